--- a/internal/search/calls.go
+++ b/internal/search/calls.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// event is the end of one call.
-type event struct {
+// callResult is the end of one call.
+type callResult struct {
 	shard  int
 	leaf   string
 	answer *pb.LeafSearchResponse
@@ -21,32 +21,32 @@
 	survived bool
 	// wrote is true where a byte may have reached the leaf.
 	wrote bool
-	// trial is true for a call of the first run.
-	trial bool
+	// firstRun is true for a call of the first run.
+	firstRun bool
 }
 
 // launch sends a call for the shard. gate names the leaf whose gate the call has to leave.
-func (r *run) launch(i int, call balance.Call, gate string) {
+func (r *run) launch(i int, call balance.Call, guardLeaf string) {
 	s := &r.shards[i]
-	s.active++
-	s.tries++
+	s.inFlight++
+	s.attempts++
 	s.peer = call.Leaf()
-	s.tried = append(s.tried, call.Leaf())
-	s.hedgeAt = time.Now().Add(r.hedgeAfter(s, call))
-	r.active++
+	s.attempted = append(s.attempted, call.Leaf())
+	s.hedgeAt = time.Now().Add(r.hedgeDelay(s, call))
+	r.inFlight++
 	if r.firstSent.IsZero() {
-		r.firstSent = time.Now().Add(-r.idled)
+		r.firstSent = time.Now().Add(-r.blockedTime)
 	}
 	r.e.metrics.calls.WithLabelValues(r.q.service.Name).Inc()
 	r.e.calls.Add(1)
 	if s.cancel == nil {
 		s.ctx, s.cancel = context.WithCancel(r.ctx)
 	}
-	go r.call(s.ctx, i, s.asked, call, gate)
+	go r.call(s.ctx, i, s.request, call, guardLeaf)
 }
 
-// hedgeAfter returns how long the call may run before a hedge: less where it only tries a leaf.
-func (r *run) hedgeAfter(s *shard, call balance.Call) time.Duration {
+// hedgeDelay returns how long the call may run before a hedge: less where it only tries a leaf.
+func (r *run) hedgeDelay(s *shard, call balance.Call) time.Duration {
 	d := r.q.replicas.HedgeAfter(s.replicas)
 	if call.Suspect() {
 		return d / balance.SuspectSooner
@@ -55,25 +55,25 @@
 }
 
 // call asks a leaf and hands the end to the run, or drops it where the run has ended.
-func (r *run) call(ctx context.Context, i int, asked *pb.LeafSearchRequest, call balance.Call, gate string) {
+func (r *run) call(ctx context.Context, i int, req *pb.LeafSearchRequest, call balance.Call, guardLeaf string) {
 	defer r.e.calls.Done()
 	leaf := call.Leaf()
-	got, err := r.send(ctx, leaf, asked)
-	ev := r.judge(ctx, asked, leaf, got, err)
-	ev.shard, ev.trial = i, gate != ""
+	answer, err := r.send(ctx, leaf, req)
+	res := r.evaluate(ctx, req, leaf, answer, err)
+	res.shard, res.firstRun = i, guardLeaf != ""
 	result := balance.ResultOK
-	if ev.answer == nil {
-		result = failures[ev.failure].result
+	if res.answer == nil {
+		result = failures[res.failure].result
 	} else {
-		r.q.replicas.Report(leaf, got.GetLoad())
+		r.q.replicas.Report(leaf, answer.GetLoad())
 	}
 	call.Done(result)
-	r.note(ev, err, gate)
-	r.q.state.waiting.freed(leaf)
+	r.reportToGuard(res, err, guardLeaf)
+	r.q.state.slots.slotFreed(leaf)
 	select {
-	case r.events <- ev:
-	case <-r.over:
-		if ev.answer != nil {
+	case r.results <- res:
+	case <-r.done:
+		if res.answer != nil {
 			r.e.metrics.late.WithLabelValues(r.q.service.Name, r.q.kind.Name).Inc()
 		}
 	}
@@ -84,36 +84,36 @@
 
 // send makes the call, unless the process may have been paused since the search was let in: leaves, index version
 // and callers may have changed meanwhile.
-func (r *run) send(ctx context.Context, leaf string, asked *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
-	if !r.e.source.FreshSince(r.q.planned) {
+func (r *run) send(ctx context.Context, leaf string, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
+	if !r.e.source.FreshSince(r.q.plannedAt) {
 		return nil, &upstream.CallError{Leaf: leaf, Err: errStale}
 	}
-	return r.e.caller.Search(ctx, leaf, asked)
+	return r.e.caller.Search(ctx, leaf, req)
 }
 
-// judge turns the end of a call into an event; only an answer that matches its question counts.
-func (r *run) judge(ctx context.Context, asked *pb.LeafSearchRequest, leaf string, got *pb.LeafSearchResponse, err error) event {
+// evaluate turns the end of a call into an event; only an answer that matches its question counts.
+func (r *run) evaluate(ctx context.Context, req *pb.LeafSearchRequest, leaf string, answer *pb.LeafSearchResponse, err error) callResult {
 	if err != nil {
 		f := classify(ctx, err)
 		var ce *upstream.CallError
 		wrote := !errors.As(err, &ce) || ce.Wrote
-		return event{leaf: leaf, failure: f, wrote: wrote, survived: failures[f].survived}
+		return callResult{leaf: leaf, failure: f, wrote: wrote, survived: failures[f].survived}
 	}
-	if m := check(asked, r.q.digest, got); m != MismatchNone {
+	if m := checkAnswer(req, r.q.digest, answer); m != MismatchNone {
 		r.e.metrics.mismatches.WithLabelValues(r.q.service.Name, string(m)).Inc()
-		ran := got.GetRequestId() == asked.GetRequestId() && got.GetQueryDigest() == r.q.digest
-		return event{leaf: leaf, failure: failMismatch, wrote: true, survived: ran}
+		ran := answer.GetRequestId() == req.GetRequestId() && answer.GetQueryDigest() == r.q.digest
+		return callResult{leaf: leaf, failure: failMismatch, wrote: true, survived: ran}
 	}
-	return event{leaf: leaf, answer: got, wrote: true, survived: true}
+	return callResult{leaf: leaf, answer: answer, wrote: true, survived: true}
 }
 
-// note tells the guard how the leaf and the request fared, and leaves the gate.
-func (r *run) note(ev event, err error, gate string) {
+// reportToGuard tells the guard how the leaf and the request fared, and leaves the gate.
+func (r *run) reportToGuard(res callResult, err error, guardLeaf string) {
 	alone := false
-	if gate != "" {
-		alone = r.e.guard.Leave(gate)
+	if guardLeaf != "" {
+		alone = r.e.guard.Leave(guardLeaf)
 	}
-	if ev.answer != nil || err == nil {
+	if res.answer != nil || err == nil {
 		return
 	}
 	var ce *upstream.CallError
@@ -121,91 +121,91 @@
 	if errors.As(err, &ce) {
 		incarnation = ce.Incarnation
 	}
-	guard, outlived := r.e.guard, r.outlived.Load()
+	guard, proven := r.e.guard, r.proven.Load()
 	switch {
-	case ev.failure == failLost && outlived:
+	case res.failure == failLost && proven:
 		guard.LostProven(r.key)
-		guard.LostLeaf(ev.leaf, incarnation)
-	case ev.failure == failLost:
-		guard.LostUnproven(r.key.Digest, ev.leaf, incarnation, alone)
-	case (ev.failure == failDeadline || ev.failure == failCancelled) && !outlived && ev.wrote:
-		guard.Abandoned(r.key.Digest, ev.leaf, incarnation)
+		guard.LostLeaf(res.leaf, incarnation)
+	case res.failure == failLost:
+		guard.LostUnproven(r.key.Digest, res.leaf, incarnation, alone)
+	case (res.failure == failDeadline || res.failure == failCancelled) && !proven && res.wrote:
+		guard.Abandoned(r.key.Digest, res.leaf, incarnation)
 	}
 }
 
-// take takes in the end of a call.
-func (r *run) take(ev event) {
-	s := &r.shards[ev.shard]
-	s.active--
-	r.active--
-	r.sent = r.sent || ev.wrote
-	if ev.answer != nil {
-		r.takeAnswer(ev)
+// handleResult takes in the end of a call.
+func (r *run) handleResult(res callResult) {
+	s := &r.shards[res.shard]
+	s.inFlight--
+	r.inFlight--
+	r.sent = r.sent || res.wrote
+	if res.answer != nil {
+		r.handleAnswer(res)
 		return
 	}
-	r.e.metrics.failures.WithLabelValues(r.q.service.Name, failures[ev.failure].name).Inc()
-	r.takeFailure(ev)
+	r.e.metrics.failures.WithLabelValues(r.q.service.Name, failures[res.failure].name).Inc()
+	r.handleFailure(res)
 }
 
-func (r *run) takeAnswer(ev event) {
-	if s := &r.shards[ev.shard]; s.answer == nil {
-		s.answer = ev.answer
-		r.close(s)
-		r.covered++
-		r.documents += s.documents
+func (r *run) handleAnswer(res callResult) {
+	if s := &r.shards[res.shard]; s.answer == nil {
+		s.answer = res.answer
+		r.markSettled(s)
+		r.coveredShards++
+		r.coveredDocuments += s.documents
 		s.cancel() // the loser of a hedge
 		r.lastAnswer = time.Now()
 	}
-	r.release()
+	r.startFanOut()
 }
 
-func (r *run) takeFailure(ev event) {
-	if ev.failure == failSnapshot && r.dropped(ev.leaf) {
+func (r *run) handleFailure(res callResult) {
+	if res.failure == failSnapshotGone && r.handleSnapshotGone(res.leaf) {
 		return
 	}
-	if s := &r.shards[ev.shard]; !s.settled {
-		r.failed(s, ev)
+	if s := &r.shards[res.shard]; !s.settled {
+		r.shardFailed(s, res)
 	}
-	if r.trial != nil && ev.trial {
-		r.trial.failed(ev)
+	if r.firstRun != nil && res.firstRun {
+		r.firstRun.callFailed(res)
 	}
 }
 
-// failed notes the failed call of a shard and reacts to it.
-func (r *run) failed(s *shard, ev event) {
-	s.failure, s.reason = ev.failure, failures[ev.failure].reason
-	switch ev.failure {
+// shardFailed notes the failed call of a shard and reacts to it.
+func (r *run) shardFailed(s *shard, res callResult) {
+	s.failure, s.reason = res.failure, failures[res.failure].reason
+	switch res.failure {
 	case failShed:
-		s.shed++
+		s.sheds++
 	case failLost:
-		s.lost++
+		s.losses++
 		r.losses++
 	}
-	if ev.survived && !r.outlived.Load() {
+	if res.survived && !r.proven.Load() {
 		s.parked = true
-		r.release() // reacts to all that is parked
+		r.startFanOut() // reacts to all that is parked
 		return
 	}
-	r.react(ev.shard)
+	r.resolveFailure(res.shard)
 }
 
-// dropped notes that a leaf has dropped the snapshot; true where the query has to run again.
-func (r *run) dropped(leaf string) bool {
-	r.e.noteLacking(leaf, r.plan.snapshot.Version)
+// handleSnapshotGone notes that a leaf has dropped the snapshot; true where the query has to run again.
+func (r *run) handleSnapshotGone(leaf string) bool {
+	r.e.recordMissingSnapshot(leaf, r.plan.snapshot.Version)
 	now := time.Now()
-	if !mayRerun(r.reruns, r.q.deadline.Sub(now), r.q.state.usual.get(), now.Sub(r.started)) {
+	if !mayRerun(r.reruns, r.q.deadline.Sub(now), r.q.state.typical.get(), now.Sub(r.started)) {
 		return false
 	}
-	p := choose(r.q.service, r.fleet)
+	p := choosePlan(r.q.service, r.fleet)
 	if p == nil || p.snapshot.Version == r.plan.snapshot.Version {
 		return false
 	}
-	r.again = p
+	r.rerunPlan = p
 	return true
 }
 
-// react applies the rule for the latest failed call of a shard.
-func (r *run) react(i int) {
+// resolveFailure applies the rule for the latest failed call of a shard.
+func (r *run) resolveFailure(i int) {
 	s := &r.shards[i]
 	switch next := afterFailure(s.failure, r.facts(s)); next {
 	case stepWait:
@@ -220,32 +220,32 @@
 
 func (r *run) facts(s *shard) shardFacts {
 	return shardFacts{
-		active: s.active, tries: s.tries, sheds: s.shed, lost: s.lost, hedged: s.hedged,
-		others: len(r.among(s, false)), usable: len(r.among(s, true)),
-		mayAsk: r.mayAsk(),
+		inFlight: s.inFlight, attempts: s.attempts, sheds: s.sheds, losses: s.losses, hedged: s.hedged,
+		untried: len(r.usableReplicas(s, false)), usable: len(r.usableReplicas(s, true)),
+		mayCallMore: r.mayCallMore(),
 	}
 }
 
-// mayAsk tells whether the request may go to further leaves: one has answered it, or by the
+// mayCallMore tells whether the request may go to further leaves: one has answered it, or by the
 // settings it runs anywhere and no connection was lost with it.
-func (r *run) mayAsk() bool { return r.outlived.Load() || r.released && r.losses == 0 }
+func (r *run) mayCallMore() bool { return r.proven.Load() || r.fanOut && r.losses == 0 }
 
 // retry asks another replica of the shard; the shard is missing where the budget refuses. A retry
 // that needs no budget takes from it what is there. It waits for a slot, but not after a refusal
 // for load.
-func (r *run) retry(i int, how step) {
+func (r *run) retry(i int, next step) {
 	s := &r.shards[i]
-	s.anyReplica = how == stepRetryAny
+	s.anyReplica = next == stepRetryAnyReplica
 	candidates := r.candidates(s)
 	granted := len(candidates) > 0 && r.q.replicas.AllowRetry(r.q.kind.RetryBudget)
-	if how == stepRetry && !granted {
+	if next == stepRetry && !granted {
 		r.e.metrics.retries.WithLabelValues(r.q.service.Name, r.q.kind.Name, "refused").Inc()
 		r.settle(i, s.reason, "")
 		return
 	}
 	r.e.metrics.retries.WithLabelValues(r.q.service.Name, r.q.kind.Name, "sent").Inc()
 	if s.failure == failShed {
-		r.startNow(i, candidates)
+		r.startWithoutWait(i, candidates)
 		return
 	}
 	r.start(i)
@@ -255,11 +255,11 @@
 func (r *run) tick() {
 	now := time.Now()
 	for i := range r.shards {
-		if s := &r.shards[i]; !s.settled && s.active == 1 && !s.hedged && r.mayAsk() && !now.Before(s.hedgeAt) {
+		if s := &r.shards[i]; !s.settled && s.inFlight == 1 && !s.hedged && r.mayCallMore() && !now.Before(s.hedgeAt) {
 			r.hedge(i, now)
 		}
 	}
-	r.place()
+	r.startWaiting()
 }
 
 // hedge sends a second call beside a slow one where rule and budget allow, or looks again later.
@@ -270,19 +270,19 @@
 		s.hedged = true
 		return
 	}
-	others := r.candidates(s)
-	if r.q.replicas.HedgeAfter(others) == balance.NoHedge { // no room now; the budget isn't asked in vain
-		s.hedgeAt = now.Add(hedgePoll)
+	candidates := r.candidates(s)
+	if r.q.replicas.HedgeAfter(candidates) == balance.NoHedge { // no room now; the budget isn't asked in vain
+		s.hedgeAt = now.Add(hedgePollInterval)
 		return
 	}
 	if !r.q.replicas.AllowHedge(r.q.kind.HedgeBudget) {
 		r.e.metrics.hedges.WithLabelValues(r.q.service.Name, r.q.kind.Name, "refused").Inc()
-		s.hedgeAt = now.Add(hedgePoll)
+		s.hedgeAt = now.Add(hedgePollInterval)
 		return
 	}
-	call, ok := r.q.replicas.Pick(others)
+	call, ok := r.q.replicas.Pick(candidates)
 	if !ok {
-		s.hedgeAt = now.Add(hedgePoll)
+		s.hedgeAt = now.Add(hedgePollInterval)
 		return
 	}
 	s.hedged = true
@@ -290,29 +290,29 @@
 	r.launch(i, call, "")
 }
 
-// untilDue returns how long nothing is due.
-func (r *run) untilDue() time.Duration {
+// timerDelay returns how long nothing is due.
+func (r *run) timerDelay() time.Duration {
 	now := time.Now()
 	due := r.q.deadline
-	sooner := func(t time.Time) {
+	addDue := func(t time.Time) {
 		if t.Before(due) {
 			due = t
 		}
 	}
 	for i := range r.shards {
 		s := &r.shards[i]
-		if !s.settled && s.active == 1 && !s.hedged && r.mayAsk() {
-			sooner(s.hedgeAt)
+		if !s.settled && s.inFlight == 1 && !s.hedged && r.mayCallMore() {
+			addDue(s.hedgeAt)
 		}
 	}
 	if r.waiter != nil {
-		sooner(now.Add(placePoll))
+		addDue(now.Add(slotPollInterval))
 	}
-	if at, may := r.policy().earlyAt(); may && now.Before(r.started.Add(at)) {
-		sooner(r.started.Add(at))
+	if at, allowed := r.policy().earlyAt(); allowed && now.Before(r.started.Add(at)) {
+		addDue(r.started.Add(at))
 	}
-	if r.trial != nil {
-		r.trial.due(sooner)
+	if r.firstRun != nil {
+		r.firstRun.due(addDue)
 	}
 	return due.Sub(now)
 }
--- a/internal/search/check.go
+++ b/internal/search/check.go
@@ -21,22 +21,22 @@
 	MismatchHit Mismatch = "hit"
 )
 
-// check compares an answer with its question. Only an answer without mismatch is merged.
-func check(asked *pb.LeafSearchRequest, digest uint64, got *pb.LeafSearchResponse) Mismatch {
+// checkAnswer compares an answer with its question. Only an answer without mismatch is merged.
+func checkAnswer(req *pb.LeafSearchRequest, digest uint64, got *pb.LeafSearchResponse) Mismatch {
 	switch {
-	case got.GetRequestId() != asked.GetRequestId():
+	case got.GetRequestId() != req.GetRequestId():
 		return MismatchRequest
-	case got.GetService() != asked.GetService():
+	case got.GetService() != req.GetService():
 		return MismatchService
-	case got.GetShard() != asked.GetShard():
+	case got.GetShard() != req.GetShard():
 		return MismatchShard
-	case got.GetSnapshot() != asked.GetSnapshot():
+	case got.GetSnapshot() != req.GetSnapshot():
 		return MismatchSnapshot
 	case got.GetQueryDigest() != digest:
 		return MismatchDigest
 	}
 	for _, h := range got.GetHits() {
-		if h.GetShard() != asked.GetShard() || math.IsNaN(h.GetScore()) {
+		if h.GetShard() != req.GetShard() || math.IsNaN(h.GetScore()) {
 			return MismatchHit
 		}
 	}
--- a/internal/search/coverage_test.go
+++ b/internal/search/coverage_test.go
@@ -27,9 +27,9 @@
 	failWith(&upstream.CallError{Err: errRefused}),
 	answerAfter(serviceTime),
 	answerAfter(20 * serviceTime),
-	spoil(func(a *pb.LeafSearchResponse) { a.Hits = nil }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.Hits = nil }),
 	stall,
-	deaf,
+	ignoreCancellation,
 	refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED),
 	refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING),
 	refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SNAPSHOT_GONE),
@@ -37,22 +37,22 @@
 	failWith(&upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost}),
 	failWith(&upstream.CallError{Wrote: true, ConnectionLost: true, Err: errLost}),
 	failWith(&upstream.CallError{Wrote: true, Err: errLost}),
-	spoil(func(a *pb.LeafSearchResponse) { a.Shard++ }),
-	spoil(func(a *pb.LeafSearchResponse) { a.Snapshot++ }),
-	spoil(func(a *pb.LeafSearchResponse) { a.RequestId += "x" }),
-	spoil(func(a *pb.LeafSearchResponse) { a.QueryDigest++ }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.Shard++ }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.Snapshot++ }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.RequestId += "x" }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.QueryDigest++ }),
 }
 
-// deaf answers late whatever becomes of its call.
-func deaf(_ context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
+// ignoreCancellation answers late whatever becomes of its call.
+func ignoreCancellation(_ context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 	time.Sleep(300 * time.Millisecond)
 	return goodAnswer(req), nil
 }
 
 // deliveries records which true answers were given, by request, snapshot and shard.
 type deliveries struct {
-	mu    sync.Mutex
-	given map[string]bool
+	mu        sync.Mutex
+	delivered map[string]bool
 	// written holds the requests of which a byte reached a leaf.
 	written map[string]bool
 }
@@ -71,7 +71,7 @@
 	a = proto.CloneOf(a)
 	want.Hits, a.Hits = nil, nil
 	if proto.Equal(a, want) {
-		d.given[deliveryKey(req.GetRequestId(), req.GetSnapshot(), req.GetShard())] = true
+		d.delivered[deliveryKey(req.GetRequestId(), req.GetSnapshot(), req.GetShard())] = true
 	}
 }
 
@@ -92,7 +92,7 @@
 func (d *deliveries) has(key string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.given[key]
+	return d.delivered[key]
 }
 
 // TestCoverageIsWhatWasDelivered lets each leaf do anything to any call, and compares each answer
@@ -111,21 +111,21 @@
 			service.Snapshots = append([]*bundle.Snapshot{repartitioned(service.Snapshots[0])}, service.Snapshots...)
 			r := newRig("az-b", service, fleet, modes[mode])
 			r.replicas.slots = slots
-			given := &deliveries{given: make(map[string]bool), written: make(map[string]bool)}
+			delivered := &deliveries{delivered: make(map[string]bool), written: make(map[string]bool)}
 			calls := 0
 			for _, l := range fleet.leaves {
 				l.answer = func(ctx context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
-					given.mu.Lock()
+					delivered.mu.Lock()
 					n := calls
 					calls++
-					given.mu.Unlock()
+					delivered.mu.Unlock()
 					choice := choices[n%len(choices)]
 					if n%10 < healthy {
 						choice = 1
 					}
-					given.write(req, choice)
+					delivered.write(req, choice)
 					a, err := behaviours[choice](ctx, req)
-					given.record(req, a, err)
+					delivered.record(req, a, err)
 					return a, err
 				}
 			}
@@ -135,10 +135,10 @@
 					id := fmt.Sprint("r", i)
 					text := fmt.Sprint("text ", i/2) // two searches share a text
 					a, err := r.ask(id, kind, text, 200*time.Millisecond)
-					found := append(verify(id, text, a, err, given.wasWritten(id)), notDelivered(id, a, given)...)
-					given.mu.Lock()
+					found := append(verify(id, text, a, err, delivered.wasWritten(id)), notDelivered(id, a, delivered)...)
+					delivered.mu.Lock()
 					wrong = append(wrong, found...)
-					given.mu.Unlock()
+					delivered.mu.Unlock()
 				})
 			}
 			wg.Wait()
@@ -185,11 +185,11 @@
 }
 
 // notDelivered returns the shards claimed to be covered that no leaf gave an answer for.
-func notDelivered(id string, a *pb.SearchResponse, given *deliveries) []string {
+func notDelivered(id string, a *pb.SearchResponse, delivered *deliveries) []string {
 	var wrong []string
 	for shard := range a.GetCoverage().GetShardsTotal() {
 		missing := slices.ContainsFunc(a.GetCoverage().GetMissing(), func(m *pb.MissingShard) bool { return m.GetShard() == shard })
-		if !missing && !given.has(deliveryKey(id, a.GetSnapshot(), shard)) {
+		if !missing && !delivered.has(deliveryKey(id, a.GetSnapshot(), shard)) {
 			wrong = append(wrong, fmt.Sprintf("shard %d covered, not delivered", shard))
 		}
 	}
@@ -222,9 +222,9 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := choose(service, fleet{
-				state: func(l string) (upstream.State, bool) { s, ok := tt.states[l]; return s, ok },
-				lacks: func(l string, v uint64) bool { return l == tt.lacks && v == 2 },
+			p := choosePlan(service, fleet{
+				state:         func(l string) (upstream.State, bool) { s, ok := tt.states[l]; return s, ok },
+				lacksSnapshot: func(l string, v uint64) bool { return l == tt.lacks && v == 2 },
 			})
 			if tt.want == 0 {
 				is.True(p == nil)
@@ -233,8 +233,8 @@
 			is.Equal(p.snapshot.Version, tt.want)
 		})
 	}
-	twice := makePlan(&bundle.Snapshot{Shards: []bundle.Shard{{ID: 3, Documents: 5, Leaves: []string{"a"}}, {ID: 3, Documents: 5, Leaves: []string{"a", "b"}}}},
-		fleet{state: func(string) (upstream.State, bool) { return up(nil), true }, lacks: func(string, uint64) bool { return false }})
+	twice := newPlan(&bundle.Snapshot{Shards: []bundle.Shard{{ID: 3, Documents: 5, Leaves: []string{"a"}}, {ID: 3, Documents: 5, Leaves: []string{"a", "b"}}}},
+		fleet{state: func(string) (upstream.State, bool) { return up(nil), true }, lacksSnapshot: func(string, uint64) bool { return false }})
 	is.Equal(len(twice.shards), 1)
 	is.Equal(twice.documents, uint64(5))
 	is.Equal(twice.shards[0].replicas, []string{"a", "b"})
@@ -249,7 +249,7 @@
 		k := rapid.IntRange(0, 8).Draw(rt, "k")
 		cut := rapid.IntRange(0, len(hits)).Draw(rt, "cut")
 		sorted := slices.Clone(hits)
-		slices.SortFunc(sorted, before)
+		slices.SortFunc(sorted, compareHits)
 		a, b := &pb.LeafSearchResponse{Hits: hits[:cut]}, &pb.LeafSearchResponse{Hits: hits[cut:]}
 		for _, answers := range [][]*pb.LeafSearchResponse{{a, b}, {b, a}} {
 			got := merge(answers, k)
@@ -257,7 +257,7 @@
 				rt.Fatal("wrong number of hits")
 			}
 			for i, h := range got {
-				if before(h, sorted[i]) != 0 {
+				if compareHits(h, sorted[i]) != 0 {
 					rt.Fatal("not the best hits in order")
 				}
 			}
--- a/internal/search/crashing_test.go
+++ b/internal/search/crashing_test.go
@@ -34,14 +34,14 @@
 	return s, ok
 }
 
-// spread runs n gathers in each of three availability zones over one fleet. What one reports
+// newGathers runs n gathers in each of three availability zones over one fleet. What one reports
 // reaches each other gather after the delay, unless their zones are cut.
-func spread(ctx context.Context, n int, delay time.Duration, cut func(from, to string) bool) ([]*rig, *fakeFleet) {
-	return spreadOver(ctx, 5, n, delay, cut)
+func newGathers(ctx context.Context, n int, delay time.Duration, cut func(from, to string) bool) ([]*rig, *fakeFleet) {
+	return newGathersOver(ctx, 5, n, delay, cut)
 }
 
-// spreadOver is spread over a fleet of as many shards.
-func spreadOver(ctx context.Context, shards, n int, delay time.Duration, cut func(from, to string) bool) ([]*rig, *fakeFleet) {
+// newGathersOver is spread over a fleet of as many shards.
+func newGathersOver(ctx context.Context, shards, n int, delay time.Duration, cut func(from, to string) bool) ([]*rig, *fakeFleet) {
 	service, fleet := groups(shards)
 	var rigs []*rig
 	for _, z := range []string{"az-a", "az-b", "az-c"} {
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, from := range rigs {
-		from.feed.hear = func(c *pb.Crash) {
+		from.feed.onCrash = func(c *pb.Crash) {
 			for _, to := range rigs {
 				if to != from && !cut(from.feed.view.Zone, to.feed.view.Zone) {
 					time.AfterFunc(delay, func() { to.guard.Take(&feed.View{Crashes: []*pb.Crash{c}, Received: time.Now().Add(-delay)}) })
@@ -81,7 +81,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			cut := func(from, to string) bool { return zoneCut && from != to && (from == "az-a" || to == "az-a") }
-			rigs, fleet := spread(ctx, 2, delay, cut)
+			rigs, fleet := newGathers(ctx, 2, delay, cut)
 			fleet.restart = restart
 			time.Sleep(time.Second) // the leaves are seen up
 			var wg sync.WaitGroup
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
-		rigs, fleet := spread(ctx, 2, 50*time.Millisecond, neverCut)
+		rigs, fleet := newGathers(ctx, 2, 50*time.Millisecond, neverCut)
 		fleet.restart = 500 * time.Millisecond
 		time.Sleep(time.Second)
 		var wg sync.WaitGroup
@@ -183,16 +183,16 @@
 	})
 }
 
-// breakingView is a fleet in which a leaf crashes right after it was last seen connected.
-type breakingView struct {
+// crashingView is a fleet in which a leaf crashes right after it was last seen connected.
+type crashingView struct {
 	*fakeFleet
-	breaks string
+	crashOnRead string
 }
 
-func (v *breakingView) State(leaf string) (upstream.State, bool) {
+func (v *crashingView) State(leaf string) (upstream.State, bool) {
 	s, ok := v.fakeFleet.State(leaf)
-	if leaf == v.breaks {
-		v.breaks = ""
+	if leaf == v.crashOnRead {
+		v.crashOnRead = ""
 		v.crash(leaf, s.Incarnation, "another")
 	}
 	return s, ok
@@ -201,21 +201,21 @@
 // TestLeafThatCrashesWhileItsPlaceIsLookedAt: a leaf whose connection breaks between two looks at it keeps its
 // place. Were it taken for out of use, the next in rank would be asked, and a crashing text that runs through
 // several gathers at once would end a fourth leaf.
-func TestLeafThatCrashesWhileItsPlaceIsLookedAt(t *testing.T) {
+func TestCrashBetweenAvailabilityChecksKeepsPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service, fleet := groups(3)
-		view := &breakingView{fakeFleet: fleet}
+		view := &crashingView{fakeFleet: fleet}
 		r := newRigOver("az-a", service, view, fleet, nil)
 		for leaf := range service.Leaves {
 			r.guard.Look()
-			first := &trial{r: &run{
-				e: r.engine, fleet: r.engine.fleet(), plan: choose(service, r.engine.fleet()),
+			first := &firstRun{r: &run{
+				e: r.engine, fleet: r.engine.fleet(), plan: choosePlan(service, r.engine.fleet()),
 				key: quarantine.SearchKey(service.Name, "new", 1, 1),
 			}}
-			is.Equal(first.place(leaf), quarantine.PlaceFree)
-			view.breaks = leaf
-			is.Equal(first.place(leaf), quarantine.PlaceHeld)
+			is.Equal(first.status(leaf), quarantine.PlaceFree)
+			view.crashOnRead = leaf
+			is.Equal(first.status(leaf), quarantine.PlaceHeld)
 		}
 	})
 }
@@ -227,7 +227,7 @@
 		is := is.New(t)
 		service, fleet := groups(3)
 		r := newRig("az-a", service, fleet, nil)
-		tell := func(digest uint64) {
+		reportCrashes := func(digest uint64) {
 			var crashes []*pb.Crash
 			for _, leaf := range []string{"leaf-0-b", "leaf-1-c"} {
 				crashes = append(crashes, &pb.Crash{RequestDigest: digest, Leaf: leaf, Incarnation: 77})
@@ -235,21 +235,21 @@
 			r.guard.Take(&feed.View{Bundle: r.feed.Current().Bundle, Crashes: crashes, Received: time.Now()})
 		}
 		key := quarantine.SearchKey(service.Name, "innocent", 1, 1)
-		tell(key.Digest)
+		reportCrashes(key.Digest)
 		const evidence = 200 * time.Millisecond // within the time that it is waited for
-		time.AfterFunc(evidence, func() { tell(99) })
-		begun := time.Now()
+		time.AfterFunc(evidence, func() { reportCrashes(99) })
+		start := time.Now()
 		a, err := r.ask("r1", "claim", "innocent", 4*time.Second)
 		is.NoErr(err)
 		is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
-		is.True(time.Since(begun) >= evidence)
+		is.True(time.Since(start) >= evidence)
 	})
 }
 
 // TestInnocentSuspectWaitsForItsPlacesToComeBack: a request is in flight at a crash that another one
 // caused, while its other places are down by crashes of that one. It is answered by the first of them
 // that comes back.
-func TestInnocentSuspectWaitsForItsPlacesToComeBack(t *testing.T) {
+func TestInnocentSuspectWaitsForItsPrimariesToRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service, fleet := groups(1)
--- a/internal/search/decide.go
+++ b/internal/search/decide.go
@@ -7,26 +7,26 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// freeLosses is how many broken connections of one shard are retried without the budget. A
+// maxUnbudgetedLosses is how many broken connections of one shard are retried without the budget. A
 // crashing request may end two replicas of a group at about the same time.
-const freeLosses = 2
+const maxUnbudgetedLosses = 2
 
 // shardFacts is what the rules for one shard look at.
 type shardFacts struct {
-	// active calls in flight, tries made so far.
-	active, tries int
+	// inFlight calls in flight, tries made so far.
+	inFlight, attempts int
 	// sheds is how many replicas refused for load in this run.
 	sheds int
-	// lost is how many connections broke with a call of the shard.
-	lost int
-	// others is how many usable replicas were not asked yet.
-	others int
+	// losses is how many connections broke with a call of the shard.
+	losses int
+	// untried is how many usable replicas were not asked yet.
+	untried int
 	// usable is how many replicas may be asked at all.
 	usable int
 	// hedged is true where a hedge was sent.
 	hedged bool
-	// mayAsk is false while the request may crash the leaf that it is sent to.
-	mayAsk bool
+	// mayCallMore is false while the request may crash the leaf that it is sent to.
+	mayCallMore bool
 }
 
 // step is what to do about a shard whose call failed.
@@ -42,29 +42,29 @@
 	// stepRetry: ask another replica where the budget allows.
 	stepRetry
 	// stepRetryFree: ask another replica; the failed call was no load to an upstream.
-	stepRetryFree
+	stepRetryUnbudgeted
 	// stepRetryAny: ask any replica, the same one too; the failed call was no load to an upstream.
-	stepRetryAny
+	stepRetryAnyReplica
 )
 
 // afterFailure is the rule for a failed call of a shard.
 func afterFailure(f failure, s shardFacts) step {
 	facts := failures[f]
 	switch {
-	case s.active > 0:
+	case s.inFlight > 0:
 		return stepWait
-	case !facts.again || s.tries >= maxTries:
+	case !facts.retryable || s.attempts >= maxAttempts:
 		return stepGiveUp
 	case f == failShed && s.sheds > 1:
 		return stepGiveUp // the group is overloaded
-	case !s.mayAsk:
+	case !s.mayCallMore:
 		return stepPark
-	case f == failSilent && s.others == 0 && s.usable > 0:
-		return stepRetryAny
-	case s.others == 0:
+	case f == failSilent && s.untried == 0 && s.usable > 0:
+		return stepRetryAnyReplica
+	case s.untried == 0:
 		return stepGiveUp
-	case facts.free, f == failLost && s.lost <= freeLosses:
-		return stepRetryFree
+	case facts.unbudgeted, f == failLost && s.losses <= maxUnbudgetedLosses:
+		return stepRetryUnbudgeted
 	}
 	return stepRetry
 }
@@ -72,7 +72,7 @@
 // mayHedge is the rule for a second call beside one that takes long. The budget is asked only
 // where it says yes.
 func mayHedge(s shardFacts) bool {
-	return s.active == 1 && !s.hedged && s.sheds == 0 && s.others > 0 && s.mayAsk && s.tries < maxTries
+	return s.inFlight == 1 && !s.hedged && s.sheds == 0 && s.untried > 0 && s.mayCallMore && s.attempts < maxAttempts
 }
 
 // policy is what the kind says of late shards, with the service's usual time.
@@ -80,23 +80,23 @@
 	partial       bundle.Partial
 	earlyCoverage float64
 	earlyAfter    float64
-	// usual is the usual time of the slowest shard, 0 while it isn't known.
-	usual time.Duration
+	// typical is the usual time of the slowest shard, 0 while it isn't known.
+	typical time.Duration
 }
 
 // earlyAt returns how long after its start a search may be answered without its stragglers, and
 // whether it ever may.
 func (p policy) earlyAt() (time.Duration, bool) {
-	if p.partial != bundle.PartialLatency || p.usual <= 0 || p.earlyAfter <= 0 {
+	if p.partial != bundle.PartialLatency || p.typical <= 0 || p.earlyAfter <= 0 {
 		return 0, false
 	}
-	return time.Duration(p.earlyAfter * float64(p.usual)), true
+	return time.Duration(p.earlyAfter * float64(p.typical)), true
 }
 
 // early tells whether to answer now without the shards that are late.
 func (p policy) early(elapsed time.Duration, covered float64) bool {
-	at, may := p.earlyAt()
-	return may && elapsed >= at && covered > 0 && covered >= p.earlyCoverage
+	at, allowed := p.earlyAt()
+	return allowed && elapsed >= at && covered > 0 && covered >= p.earlyCoverage
 }
 
 // needed returns how many of n shards the kind waits for, at least 1.
@@ -108,10 +108,10 @@
 }
 
 // mayRerun tells whether a whole query may run again at another snapshot.
-func mayRerun(reruns int, left, usual, elapsed time.Duration) bool {
-	need := usual
-	if need == 0 {
-		need = elapsed
+func mayRerun(reruns int, remaining, typical, elapsed time.Duration) bool {
+	required := typical
+	if required == 0 {
+		required = elapsed
 	}
-	return reruns == 0 && left > need
+	return reruns == 0 && remaining > required
 }
--- a/internal/search/engine.go
+++ b/internal/search/engine.go
@@ -37,19 +37,19 @@
 
 	mu sync.Mutex
 	// services by name, and lacking, the snapshots that leaves refused; both guarded by mu.
-	services map[string]*serviceState
-	lacking  map[holding]time.Time
+	services         map[string]*serviceState
+	missingSnapshots map[leafSnapshot]time.Time
 }
 
 // serviceState is what the engine learned of one service.
 type serviceState struct {
-	usual   usual
-	waiting *waiting
-	gate    *gate
+	typical typicalTime
+	slots   *slotQueue
+	limiter *limiter
 }
 
-// holding names a snapshot at a leaf.
-type holding struct {
+// leafSnapshot names a snapshot at a leaf.
+type leafSnapshot struct {
 	leaf    string
 	version uint64
 }
@@ -58,12 +58,12 @@
 func New(s Settings, source feed.Source, caller upstream.Caller, b Balancers, guard *quarantine.Registry, m *Metrics) *Engine {
 	return &Engine{
 		settings: s, source: source, caller: caller, balancers: b, guard: guard, metrics: m,
-		services: make(map[string]*serviceState), lacking: make(map[holding]time.Time),
+		services: make(map[string]*serviceState), missingSnapshots: make(map[leafSnapshot]time.Time),
 	}
 }
 
-// question is what is fixed for one search from its arrival on.
-type question struct {
+// query is what is fixed for one search from its arrival on.
+type query struct {
 	identity *pb.Identity
 	bundle   *bundle.Bundle
 	service  *bundle.Service
@@ -74,63 +74,63 @@
 	replicas balance.Replicas
 	state    *serviceState
 	started  time.Time
-	// planned is a time before the view was taken by which the search goes.
-	planned time.Time
+	// plannedAt is a time before the view was taken by which the search goes.
+	plannedAt time.Time
 	// deadline is when the answer must be made, the caller's one less the margin.
 	deadline time.Time
-	// waited is how long the search waited for slots of leaves; set by its runs as they end.
-	waited time.Duration
-	// idle is how long it waited for leaves that it couldn't ask yet; set as waited is.
-	idle time.Duration
+	// slotWait is how long the search waited for slots of leaves; set by its runs as they end.
+	slotWait time.Duration
+	// blockedTime is how long it waited for leaves that it couldn't ask yet; set as waited is.
+	blockedTime time.Duration
 }
 
 // Search answers a search of an identified caller. An error is an *outcome.Error. The answer holds
 // hits of one snapshot only, and its coverage counts only shards whose answer is merged.
 func (e *Engine) Search(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*pb.SearchResponse, error) {
-	q, err := e.question(ctx, identity, req)
+	q, err := e.newQuery(ctx, identity, req)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
-	a, err := e.gated(ctx, q)
-	e.metrics.ended(q, a, err)
+	a, err := e.answerWhenAdmitted(ctx, q)
+	e.metrics.recordSearch(q, a, err)
 	if err != nil {
 		return nil, err
 	}
 	return a, nil
 }
 
-// gated answers once the gate of the service lets the search in.
-func (e *Engine) gated(ctx context.Context, q *question) (*pb.SearchResponse, error) {
-	if q.state.gate == nil {
+// answerWhenAdmitted answers once the gate of the service lets the search in.
+func (e *Engine) answerWhenAdmitted(ctx context.Context, q *query) (*pb.SearchResponse, error) {
+	if q.state.limiter == nil {
 		return e.answer(ctx, q)
 	}
-	if !q.state.gate.enter(ctx, q.kind.Weight, q.patience()) {
+	if !q.state.limiter.enter(ctx, q.kind.Weight, q.queueWait()) {
 		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "too many searches run").After(e.settings.RetryAfter.D())
 	}
-	begun := time.Now()
+	started := time.Now()
 	defer func() {
 		now := time.Now()
-		q.state.gate.leave(now, now.Sub(begun)-q.idle, q.waited)
+		q.state.limiter.leave(now, now.Sub(started)-q.blockedTime, q.slotWait)
 	}()
 	return e.answer(ctx, q)
 }
 
-// patience is how long the search waits at the gate beyond the gate's own bound: a kind that weighs
+// queueWait is how long the search waits at the gate beyond the gate's own bound: a kind that weighs
 // coverage most has a part of its time to spare when the searches that run are held up, as by
 // connections gone silent. It finds no more places in the queue than run at once, so that overload
 // is refused at once as before.
-func (q *question) patience() time.Duration {
+func (q *query) queueWait() time.Duration {
 	if q.kind.Partial != bundle.PartialCoverage {
 		return 0
 	}
-	return q.deadline.Sub(q.started) / patienceShare
+	return q.deadline.Sub(q.started) / queueWaitDivisor
 }
 
-// question checks a request against the bundle in force. Nothing has been sent when it refuses.
-func (e *Engine) question(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*question, error) {
-	planned := time.Now()
+// newQuery checks a request against the bundle in force. Nothing has been sent when it refuses.
+func (e *Engine) newQuery(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*query, error) {
+	plannedAt := time.Now()
 	b := e.source.Current().Bundle
 	if b == nil {
 		return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "no bundle in force yet").After(e.settings.RetryAfter.D())
@@ -149,10 +149,10 @@
 	if len(req.GetQuery()) > b.Limits.MaxQueryBytes || int(req.GetTopK()) > b.Limits.MaxTopK {
 		return nil, outcome.NotRun(pb.Reason_REASON_TOO_LARGE, Step, "query or top_k above the limit")
 	}
-	q := &question{
+	q := &query{
 		identity: identity, bundle: b, service: s, kind: k, text: req.GetQuery(),
 		digest: xxhash.Sum64String(req.GetQuery()), topK: int(req.GetTopK()),
-		replicas: e.balancers.For(s.Name), state: e.service(s), started: time.Now(), planned: planned,
+		replicas: e.balancers.For(s.Name), state: e.service(s), started: time.Now(), plannedAt: plannedAt,
 	}
 	if q.topK == 0 {
 		q.topK = k.TopK
@@ -161,16 +161,16 @@
 }
 
 // setDeadline keeps a margin of the caller's time for the way back.
-func (e *Engine) setDeadline(ctx context.Context, q *question) error {
+func (e *Engine) setDeadline(ctx context.Context, q *query) error {
 	end, ok := ctx.Deadline()
 	if latest := q.started.Add(q.kind.Timeout); !ok {
 		end = latest
 	}
-	left := end.Sub(q.started)
-	if left <= 0 {
+	remaining := end.Sub(q.started)
+	if remaining <= 0 {
 		return outcome.NotRun(pb.Reason_REASON_DEADLINE, Step, "no time left")
 	}
-	q.deadline = end.Add(-min(max(e.settings.AnswerMargin.D(), left/marginShare), left/marginMost))
+	q.deadline = end.Add(-min(max(e.settings.AnswerMargin.D(), remaining/marginDivisor), remaining/marginCapDivisor))
 	return nil
 }
 
@@ -179,9 +179,9 @@
 	defer e.mu.Unlock()
 	s := e.services[b.Name]
 	if s == nil {
-		s = &serviceState{waiting: newWaiting()}
+		s = &serviceState{slots: newSlotQueue()}
 		if e.settings.Concurrency == ConcurrencyAdaptive {
-			s.gate = newGate(leastSlots(b), e.settings.QueueWait.D())
+			s.limiter = newLimiter(minGroupSlots(b), e.settings.QueueWait.D())
 		}
 		e.services[b.Name] = s
 	}
@@ -189,29 +189,29 @@
 }
 
 // answer runs the query, a second time where a snapshot was dropped under it.
-func (e *Engine) answer(ctx context.Context, q *question) (*pb.SearchResponse, error) {
-	p := choose(q.service, e.fleet())
+func (e *Engine) answer(ctx context.Context, q *query) (*pb.SearchResponse, error) {
+	p := choosePlan(q.service, e.fleet())
 	if p == nil {
 		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard can be asked").After(e.settings.RetryAfter.D())
 	}
 	sent := false
 	for reruns := 0; ; reruns++ {
 		r := newRun(ctx, e, q, p, reruns)
-		if err := r.admit(); err != nil {
-			return nil, refusal(err, sent)
+		if err := r.checkQuarantine(); err != nil {
+			return nil, failedIfSent(err, sent)
 		}
 		r.loop()
 		sent = sent || r.sent
-		if r.again == nil {
-			return r.result(sent)
+		if r.rerunPlan == nil {
+			return r.response(sent)
 		}
 		e.metrics.reruns.WithLabelValues(q.service.Name, q.kind.Name).Inc()
-		p = r.again
+		p = r.rerunPlan
 	}
 }
 
-// refusal keeps not_run for requests of which nothing was sent.
-func refusal(err *outcome.Error, sent bool) error {
+// failedIfSent keeps not_run for requests of which nothing was sent.
+func failedIfSent(err *outcome.Error, sent bool) error {
 	if !sent {
 		return err
 	}
@@ -221,28 +221,28 @@
 }
 
 // fleet returns what is known of the leaves now.
-func (e *Engine) fleet() fleet { return fleet{state: e.caller.State, lacks: e.lacks} }
+func (e *Engine) fleet() fleet { return fleet{state: e.caller.State, lacksSnapshot: e.lacksSnapshot} }
 
-// lacks tells whether the leaf refused the version lately.
-func (e *Engine) lacks(leaf string, version uint64) bool {
+// lacksSnapshot tells whether the leaf refused the version lately.
+func (e *Engine) lacksSnapshot(leaf string, version uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.lacking) == 0 {
+	if len(e.missingSnapshots) == 0 {
 		return false
 	}
-	h := holding{leaf, version}
-	until, ok := e.lacking[h]
+	key := leafSnapshot{leaf, version}
+	until, ok := e.missingSnapshots[key]
 	if ok && time.Now().After(until) {
-		delete(e.lacking, h)
+		delete(e.missingSnapshots, key)
 		return false
 	}
 	return ok
 }
 
-func (e *Engine) noteLacking(leaf string, version uint64) {
+func (e *Engine) recordMissingSnapshot(leaf string, version uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lacking[holding{leaf, version}] = time.Now().Add(lacksFor)
+	e.missingSnapshots[leafSnapshot{leaf, version}] = time.Now().Add(missingSnapshotTTL)
 }
 
 // Wait returns when no call to a leaf is in flight any more. No search may be started beside it.
--- a/internal/search/failure.go
+++ b/internal/search/failure.go
@@ -28,15 +28,15 @@
 	// failDraining: the leaf is leaving.
 	failDraining
 	// failSnapshot: the leaf doesn't hold the snapshot.
-	failSnapshot
+	failSnapshotGone
 	// failShard: the leaf doesn't hold the shard.
-	failShard
+	failWrongShard
 	// failDeadline: the time ran out, here or at the leaf.
 	failDeadline
 	// failCancelled: the call was given up here.
 	failCancelled
 	// failAnswered: the leaf answered with an error.
-	failAnswered
+	failErrorAnswer
 	// failMismatch: the answer was to another question.
 	failMismatch
 	// failOther is anything else.
@@ -47,8 +47,8 @@
 var refusals = map[pb.LeafRefusalReason]failure{
 	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED:          failShed,
 	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING:      failDraining,
-	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SNAPSHOT_GONE: failSnapshot,
-	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_WRONG_SHARD:   failShard,
+	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SNAPSHOT_GONE: failSnapshotGone,
+	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_WRONG_SHARD:   failWrongShard,
 	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE:      failDeadline,
 }
 
@@ -75,7 +75,7 @@
 	case !ce.Wrote:
 		return failNotSent
 	case connect.IsWireError(ce.Err):
-		return failAnswered
+		return failErrorAnswer
 	}
 	return failOther
 }
@@ -87,29 +87,29 @@
 	reason pb.Reason
 	// result goes to the balancer.
 	result balance.Result
-	// again is true where another replica may be asked.
-	again bool
-	// free is true where the call has cost no upstream anything, as far as can be known: it was not
+	// retryable is true where another replica may be asked.
+	retryable bool
+	// unbudgeted is true where the call has cost no upstream anything, as far as can be known: it was not
 	// sent, or went into a silent connection. Asking again needs no budget then. The first retries
 	// of a shard after broken connections need none either: only the calls in flight at one moment
 	// are lost so, and the leaf that worked on them is gone.
-	free bool
+	unbudgeted bool
 	// survived is true where the leaf has surely run the request and lived on.
 	survived bool
 }
 
 var failures = map[failure]failureFacts{
-	failNotSent:   {name: "not_sent", reason: pb.Reason_REASON_UNREACHABLE, result: balance.ResultError, again: true, free: true},
-	failLost:      {name: "lost", reason: pb.Reason_REASON_UNREACHABLE, result: balance.ResultError, again: true},
-	failSilent:    {name: "silent", reason: pb.Reason_REASON_UNREACHABLE, result: balance.ResultNeutral, again: true, free: true},
-	failStale:     {name: "stale", reason: pb.Reason_REASON_PAUSED, result: balance.ResultNeutral},
-	failShed:      {name: "shed", reason: pb.Reason_REASON_OVERLOAD, result: balance.ResultShed, again: true},
-	failDraining:  {name: "draining", reason: pb.Reason_REASON_DRAINING, result: balance.ResultNeutral, again: true},
-	failSnapshot:  {name: "snapshot_gone", reason: pb.Reason_REASON_NO_SNAPSHOT, result: balance.ResultNeutral, again: true},
-	failShard:     {name: "wrong_shard", reason: pb.Reason_REASON_UPSTREAM_REFUSED, result: balance.ResultError, again: true},
-	failDeadline:  {name: "deadline", reason: pb.Reason_REASON_DEADLINE, result: balance.ResultTimeout},
-	failCancelled: {name: "cancelled", reason: pb.Reason_REASON_CANCELLED, result: balance.ResultCancelled},
-	failAnswered:  {name: "error", reason: pb.Reason_REASON_UPSTREAM_ERROR, result: balance.ResultError, again: true, survived: true},
-	failMismatch:  {name: "mismatch", reason: pb.Reason_REASON_ANSWER_MISMATCH, result: balance.ResultError, again: true},
-	failOther:     {name: "other", reason: pb.Reason_REASON_UPSTREAM_ERROR, result: balance.ResultError, again: true},
+	failNotSent:      {name: "not_sent", reason: pb.Reason_REASON_UNREACHABLE, result: balance.ResultError, retryable: true, unbudgeted: true},
+	failLost:         {name: "lost", reason: pb.Reason_REASON_UNREACHABLE, result: balance.ResultError, retryable: true},
+	failSilent:       {name: "silent", reason: pb.Reason_REASON_UNREACHABLE, result: balance.ResultNeutral, retryable: true, unbudgeted: true},
+	failStale:        {name: "stale", reason: pb.Reason_REASON_PAUSED, result: balance.ResultNeutral},
+	failShed:         {name: "shed", reason: pb.Reason_REASON_OVERLOAD, result: balance.ResultShed, retryable: true},
+	failDraining:     {name: "draining", reason: pb.Reason_REASON_DRAINING, result: balance.ResultNeutral, retryable: true},
+	failSnapshotGone: {name: "snapshot_gone", reason: pb.Reason_REASON_NO_SNAPSHOT, result: balance.ResultNeutral, retryable: true},
+	failWrongShard:   {name: "wrong_shard", reason: pb.Reason_REASON_UPSTREAM_REFUSED, result: balance.ResultError, retryable: true},
+	failDeadline:     {name: "deadline", reason: pb.Reason_REASON_DEADLINE, result: balance.ResultTimeout},
+	failCancelled:    {name: "cancelled", reason: pb.Reason_REASON_CANCELLED, result: balance.ResultCancelled},
+	failErrorAnswer:  {name: "error", reason: pb.Reason_REASON_UPSTREAM_ERROR, result: balance.ResultError, retryable: true, survived: true},
+	failMismatch:     {name: "mismatch", reason: pb.Reason_REASON_ANSWER_MISMATCH, result: balance.ResultError, retryable: true},
+	failOther:        {name: "other", reason: pb.Reason_REASON_UPSTREAM_ERROR, result: balance.ResultError, retryable: true},
 }
--- a/internal/search/fakes_test.go
+++ b/internal/search/fakes_test.go
@@ -198,8 +198,8 @@
 	return func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) { return nil, err }
 }
 
-// spoil changes the good answer before it is sent.
-func spoil(change func(*pb.LeafSearchResponse)) func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
+// corrupt changes the good answer before it is sent.
+func corrupt(change func(*pb.LeafSearchResponse)) func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 	return func(_ context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 		res := goodAnswer(req)
 		change(res)
@@ -294,10 +294,10 @@
 
 // fakeFeed is a source with a fixed view, fresh until stale is set, and a reporter that hands crashes to hear.
 type fakeFeed struct {
-	mu    sync.Mutex
-	view  *feed.View
-	hear  func(*pb.Crash)
-	stale atomic.Bool
+	mu      sync.Mutex
+	view    *feed.View
+	onCrash func(*pb.Crash)
+	stale   atomic.Bool
 	// paused is when the process was paused last, in Unix nanoseconds.
 	paused atomic.Int64
 }
@@ -314,7 +314,7 @@
 }
 func (f *fakeFeed) ReportDeparture(*pb.Departure) {}
 func (f *fakeFeed) SetState(pb.ProcessState)      {}
-func (f *fakeFeed) ReportCrash(c *pb.Crash)       { f.hear(c) }
+func (f *fakeFeed) ReportCrash(c *pb.Crash)       { f.onCrash(c) }
 
 // rig is one gather's engine with its fakes.
 type rig struct {
@@ -337,7 +337,7 @@
 		Limits: bundle.Limits{MaxQueryBytes: 100, MaxTopK: 100, MaxTimeout: 10 * time.Second},
 	}
 	r := &rig{fleet: fleet, replicas: newFakeReplicas(), registry: prometheus.NewRegistry()}
-	r.feed = &fakeFeed{view: &feed.View{Zone: zone, Bundle: b}, hear: func(*pb.Crash) {}}
+	r.feed = &fakeFeed{view: &feed.View{Zone: zone, Bundle: b}, onCrash: func(*pb.Crash) {}}
 	qs := quarantine.DefaultSettings()
 	if change != nil {
 		change(&qs)
--- a/internal/search/gate_test.go
+++ b/internal/search/gate_test.go
@@ -15,19 +15,19 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// TestGateOrder shows who starts, waits and is refused at a gate for two searches with one running
+// TestLimiterOrder shows who starts, waits and is refused at a gate for two searches with one running
 // of each weight in turn.
-func TestGateOrder(t *testing.T) {
+func TestLimiterOrder(t *testing.T) {
 	is := is.New(t)
-	g := newGate(2, time.Second)
+	l := newLimiter(2, time.Second)
 	now := time.Unix(0, 0)
-	start := func(weight int) *place {
-		p, ok := g.arrive(weight, time.Second)
+	start := func(weight int) *queueEntry {
+		p, ok := l.admit(weight, time.Second)
 		is.Equal(p == nil, ok) // in at once, or a place
 		return p
 	}
 	refused := func(weight int) bool {
-		p, ok := g.arrive(weight, time.Second)
+		p, ok := l.admit(weight, time.Second)
 		return p == nil && !ok
 	}
 	is.True(start(1) == nil)
@@ -35,55 +35,55 @@
 	light, heavy := start(1), start(5)
 	is.True(refused(1)) // the queue is as long as the limit
 	heavier := start(10)
-	is.Equal(<-light.turn, false) // a heavier one took its place
-	g.leave(now, time.Millisecond, 0)
-	is.Equal(<-heavier.turn, true)
-	g.leave(now, time.Millisecond, 0)
-	is.Equal(<-heavy.turn, true)
+	is.Equal(<-light.decision, false) // a heavier one took its place
+	l.leave(now, time.Millisecond, 0)
+	is.Equal(<-heavier.decision, true)
+	l.leave(now, time.Millisecond, 0)
+	is.Equal(<-heavy.decision, true)
 	last := start(1)
-	g.leave(now, time.Millisecond, 0)
-	is.Equal(g.withdraw(last), true) // its turn had come
-	is.Equal(g.running, 2)
+	l.leave(now, time.Millisecond, 0)
+	is.Equal(l.withdraw(last), true) // its turn had come
+	is.Equal(l.running, 2)
 	again := start(1)
-	is.Equal(g.withdraw(again), false)
-	is.Equal(len(g.queue), 0)
+	is.Equal(l.withdraw(again), false)
+	is.Equal(len(l.queue), 0)
 }
 
-// TestGateLimit shows what a window of searches does to a limit of 10.
-func TestGateLimit(t *testing.T) {
+// TestLimiterAdapts shows what a window of searches does to a limit of 10.
+func TestLimiterAdapts(t *testing.T) {
 	for name, tt := range map[string]struct {
-		running      int
-		took, waited time.Duration
-		want         float64
+		running         int
+		elapsed, waited time.Duration
+		want            float64
 	}{
-		"the limit was reached, no waiting":      {running: 10, took: 30 * time.Millisecond, want: 11},
-		"the limit was not reached":              {running: 5, took: 30 * time.Millisecond, want: 10},
-		"slow, but no waiting, as at stragglers": {running: 10, took: time.Second, want: 11},
-		"half the time besides is tolerated":     {running: 10, took: 30 * time.Millisecond, waited: 10 * time.Millisecond, want: 11},
-		"more than that isn't":                   {running: 10, took: 30 * time.Millisecond, waited: 11 * time.Millisecond, want: 8.5},
+		"the limit was reached, no waiting":      {running: 10, elapsed: 30 * time.Millisecond, want: 11},
+		"the limit was not reached":              {running: 5, elapsed: 30 * time.Millisecond, want: 10},
+		"slow, but no waiting, as at stragglers": {running: 10, elapsed: time.Second, want: 11},
+		"half the time besides is tolerated":     {running: 10, elapsed: 30 * time.Millisecond, waited: 10 * time.Millisecond, want: 11},
+		"more than that isn't":                   {running: 10, elapsed: 30 * time.Millisecond, waited: 11 * time.Millisecond, want: 8.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newGate(10, time.Second)
+			l := newLimiter(10, time.Second)
 			now := time.Unix(0, 0)
 			for range tt.running {
-				g.arrive(1, time.Second)
+				l.admit(1, time.Second)
 			}
-			for i := range gateSamples {
-				now = now.Add(gateWindow / (gateSamples - 1))
-				if i == gateSamples-1 {
+			for i := range minWindowSearches {
+				now = now.Add(minWindow / (minWindowSearches - 1))
+				if i == minWindowSearches-1 {
 					now = now.Add(time.Millisecond)
 				}
-				g.leave(now, tt.took, tt.waited)
-				g.arrive(1, time.Second)
+				l.leave(now, tt.elapsed, tt.waited)
+				l.admit(1, time.Second)
 			}
-			is.Equal(g.limit, tt.want)
+			is.Equal(l.limit, tt.want)
 		})
 	}
 }
 
-// TestGateRoom shows how many may wait after a window in which 8 searches ended in 112 ms.
-func TestGateRoom(t *testing.T) {
+// TestLimiterQueueCapacity shows how many may wait after a window in which 8 searches ended in 112 ms.
+func TestLimiterQueueCapacity(t *testing.T) {
 	for name, tt := range map[string]struct {
 		running int
 		longest time.Duration
@@ -97,17 +97,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newGate(10, tt.longest)
+			l := newLimiter(10, tt.longest)
 			now := time.Unix(0, 0)
 			for range tt.running {
-				g.arrive(1, time.Second)
+				l.admit(1, time.Second)
 			}
-			for range gateSamples {
-				g.leave(now, time.Millisecond, 0)
-				g.arrive(1, time.Second)
+			for range minWindowSearches {
+				l.leave(now, time.Millisecond, 0)
+				l.admit(1, time.Second)
 				now = now.Add(16 * time.Millisecond)
 			}
-			is.Equal(g.room(g.longest), tt.want)
+			is.Equal(l.queueCapacity(l.maxWait), tt.want)
 		})
 	}
 }
@@ -127,20 +127,20 @@
 	}
 }
 
-// TestSearchesBeyondTheGateAreRefusedNotRun sends more searches at once than the gate lets in while
+// TestSearchesBeyondTheLimitAreRefusedNotRun sends more searches at once than the gate lets in while
 // no leaf answers: what finds no place is refused at once, the rest after its wait, and reaches no
 // leaf. A kind that weighs coverage most waits for a part of its time.
-func TestSearchesBeyondTheGateAreRefusedNotRun(t *testing.T) {
-	const margin = time.Second / marginShare
+func TestSearchesBeyondTheLimitAreRefusedNotRun(t *testing.T) {
+	const margin = time.Second / marginDivisor
 	for kind, wait := range map[string]time.Duration{
 		"dawn":  DefaultSettings().QueueWait.D(),
-		"claim": (time.Second - margin) / patienceShare,
+		"claim": (time.Second - margin) / queueWaitDivisor,
 	} {
-		t.Run(kind, func(t *testing.T) { refusedBeyondTheGate(t, kind, wait) })
+		t.Run(kind, func(t *testing.T) { refusedBeyondTheLimit(t, kind, wait) })
 	}
 }
 
-func refusedBeyondTheGate(t *testing.T, kind string, wait time.Duration) {
+func refusedBeyondTheLimit(t *testing.T, kind string, wait time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service, fleet := groups(1) // of 9 slots
@@ -193,12 +193,12 @@
 		time.Sleep(2 * fleet.restart)
 		r.guard.Look()
 		var wg sync.WaitGroup
-		for i := range 3 * leastSlots(service) {
+		for i := range 3 * minGroupSlots(service) {
 			wg.Go(func() {
-				begun := time.Now()
+				start := time.Now()
 				_, err := r.ask("waits", "claim", fmt.Sprint("new ", i), 4*time.Second)
 				is.NoErr(err)
-				is.True(time.Since(begun) >= time.Second)
+				is.True(time.Since(start) >= time.Second)
 			})
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/search/known_test.go
+++ b/internal/search/known_test.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// designedSpread is the longest time for which evidence travels while the bound of crashes is promised.
-	designedSpread = 800 * time.Millisecond
-	// knownLimit is the deadline of the searches for known texts, longer than all holds of leaves.
-	knownLimit = 8 * time.Second
+	// designedDelay is the longest time for which evidence travels while the bound of crashes is promised.
+	designedDelay = 800 * time.Millisecond
+	// searchTimeout is the deadline of the searches for known texts, longer than all holds of leaves.
+	searchTimeout = 8 * time.Second
 )
 
 // storms is how many storms are played; more are played by hand.
@@ -30,20 +30,20 @@
 // to each gather, the restarts of leaves and the pauses of callers are drawn. None of them is refused as
 // quarantined, for all times of evidence within the hold of leaves.
 func TestKnownRequestsAreNeverQuarantined(t *testing.T) {
-	playStorms(t, drawStorm, notRefused)
+	runStorms(t, drawStorm, notRefused)
 }
 
 // TestNewRequestsAreNotQuarantined guards against the same for innocent texts that no leaf has answered before the
 // crashing ones come.
 func TestNewRequestsAreNotQuarantined(t *testing.T) {
-	playStorms(t, func(seed uint64) storm {
+	runStorms(t, func(seed uint64) storm {
 		s := drawStorm(seed)
 		s.unseen = true
 		return s
 	}, notRefused)
 }
 
-func notRefused(t *testing.T, _ storm, e stormEnd) {
+func notRefused(t *testing.T, _ storm, e stormResult) {
 	for _, r := range e.refused {
 		t.Errorf("an innocent request was refused: %v", r.err)
 	}
@@ -53,16 +53,16 @@
 // is new, while others answer it: once word of the last crash has reached those, and theirs has come back, it isn't
 // refused anywhere.
 func TestTextsAnsweredAnywhereAreNotQuarantined(t *testing.T) {
-	playStorms(t, func(seed uint64) storm {
+	runStorms(t, func(seed uint64) storm {
 		s := drawStorm(seed)
 		s.unseen = true
-		s.calm = s.wordTime() + time.Second
+		s.calm = s.reportDelay() + time.Second
 		return s
-	}, func(t *testing.T, s storm, e stormEnd) {
+	}, func(t *testing.T, s storm, e stormResult) {
 		for _, r := range e.refused {
 			answered, ok := e.answered[r.text]
-			known := answered.Add(s.wordTime())
-			if crash := e.lastCrash.Add(s.wordTime()); crash.After(known) {
+			known := answered.Add(s.reportDelay())
+			if crash := e.lastCrash.Add(s.reportDelay()); crash.After(known) {
 				known = crash
 			}
 			if ok && r.at.After(known) {
@@ -72,25 +72,25 @@
 	})
 }
 
-// wordTime is how long word takes of a crash to a gather that knows an answer, and of that to all others.
-func (s storm) wordTime() time.Duration {
-	const sure = 300 * time.Millisecond // until a gather that lost a connection is sure of a crash
-	return sure + 2*s.spread
+// reportDelay is how long word takes of a crash to a gather that knows an answer, and of that to all others.
+func (s storm) reportDelay() time.Duration {
+	const establish = 300 * time.Millisecond // until a gather that lost a connection is sure of a crash
+	return establish + 2*s.maxDelay
 }
 
 // TestCrashingTextsInAStormAreBound guards against a text that ends more leaves than promised while another one
 // crashes leaves, too.
 func TestCrashingTextsInAStormAreBound(t *testing.T) {
-	playStorms(t, drawStorm, func(t *testing.T, s storm, e stormEnd) {
+	runStorms(t, drawStorm, func(t *testing.T, s storm, e stormResult) {
 		for text, n := range e.crashes {
-			if s.spread <= designedSpread && n > maxCrashes {
+			if s.maxDelay <= designedDelay && n > maxCrashes {
 				t.Errorf("%s ended %d leaves", text, n)
 			}
 		}
 	})
 }
 
-func playStorms(t *testing.T, draw func(seed uint64) storm, check func(t *testing.T, s storm, e stormEnd)) {
+func runStorms(t *testing.T, draw func(seed uint64) storm, check func(t *testing.T, s storm, e stormResult)) {
 	for seed := range *storms {
 		t.Run(fmt.Sprint("storm ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -107,21 +107,21 @@
 
 func drawStorm(seed uint64) storm {
 	random := rand.New(rand.NewPCG(seed, 0))
-	between := func(least, most int64) time.Duration {
-		return time.Duration(least+random.Int64N(most-least)) * time.Millisecond
+	between := func(minimum, maximum int64) time.Duration {
+		return time.Duration(minimum+random.Int64N(maximum-minimum)) * time.Millisecond
 	}
 	return storm{
-		restart: between(1, 3000), spread: between(0, 1300), pause: between(2, 40),
-		evil: 1 + random.IntN(2), known: 1 + random.IntN(5), topKs: 1 + random.IntN(3),
+		restart: between(1, 3000), maxDelay: between(0, 1300), pause: between(2, 40),
+		crashing: 1 + random.IntN(2), innocent: 1 + random.IntN(5), maxTopK: 1 + random.IntN(3),
 		shards: 1 + random.IntN(4), seed: seed,
 	}
 }
 
 // storm is a fleet of six gathers through which crashing and known texts are sent at once.
 type storm struct {
-	restart, spread, pause time.Duration
-	evil, known, topKs     int
-	shards                 int
+	restart, maxDelay, pause    time.Duration
+	crashing, innocent, maxTopK int
+	shards                      int
 	// unseen is true where no leaf has answered the innocent texts before.
 	unseen bool
 	// calm is how long the innocent texts are sent on after the crashing ones.
@@ -129,38 +129,38 @@
 	seed uint64
 }
 
-// stormEnd holds the refusals of innocent requests as quarantined, when each text was answered first, and the crashes
+// stormResult holds the refusals of innocent requests as quarantined, when each text was answered first, and the crashes
 // by text.
-type stormEnd struct {
-	refused   []refused
+type stormResult struct {
+	refused   []quarantinedRequest
 	answered  map[string]time.Time
 	crashes   map[string]int
 	lastCrash time.Time
 }
 
-// refused is a request refused as quarantined.
-type refused struct {
+// quarantinedRequest is a request refused as quarantined.
+type quarantinedRequest struct {
 	text string
 	at   time.Time
 	err  error
 }
 
-// note takes how a request ended. Where all leaves of a shard are down, or all that a text in a new form may be tried
+// record takes how a request ended. Where all leaves of a shard are down, or all that a text in a new form may be tried
 // on, it is refused for that.
-func (e *stormEnd) note(text string, err error) {
+func (e *stormResult) record(text string, err error) {
 	now := time.Now()
 	if _, known := e.answered[text]; err == nil && !known {
 		e.answered[text] = now
 	}
 	if o, ok := outcome.As(err); ok && o.Reason == pb.Reason_REASON_QUARANTINED {
-		e.refused = append(e.refused, refused{text, now, err})
+		e.refused = append(e.refused, quarantinedRequest{text, now, err})
 	}
 }
 
 // run plays the storm.
-func (s storm) run() stormEnd {
+func (s storm) run() stormResult {
 	ctx, cancel := context.WithCancel(context.Background())
-	rigs, fleet := spreadOver(ctx, s.shards, 2, 0, neverCut)
+	rigs, fleet := newGathersOver(ctx, s.shards, 2, 0, neverCut)
 	s.delayEvidence(rigs)
 	fleet.restart = s.restart
 	time.Sleep(time.Second) // the leaves are seen up
@@ -169,24 +169,24 @@
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	result := stormEnd{answered: make(map[string]time.Time), crashes: fleet.crashes}
+	result := stormResult{answered: make(map[string]time.Time), crashes: fleet.crashes}
 	end := time.Now().Add(3 * time.Second)
 	for i, r := range rigs {
 		random := rand.New(rand.NewPCG(s.seed, uint64(i)))
 		wg.Go(func() {
 			for k := 0; time.Now().Before(end); k++ {
-				_, _ = s.ask(r, fmt.Sprint(crashMark, k%s.evil), 1)
+				_, _ = s.ask(r, fmt.Sprint(crashMark, k%s.crashing), 1)
 				time.Sleep(s.pause)
 			}
 		})
 		wg.Go(func() {
 			for time.Now().Before(end.Add(s.calm)) {
-				text, topK := knownText(random.IntN(s.known)), 1+random.IntN(s.topKs)
+				text, topK := innocentText(random.IntN(s.innocent)), 1+random.IntN(s.maxTopK)
 				wg.Go(func() {
 					_, err := s.ask(r, text, topK)
 					mu.Lock()
 					defer mu.Unlock()
-					result.note(text, err)
+					result.record(text, err)
 				})
 				time.Sleep(time.Duration(random.Int64N(int64(s.pause))))
 			}
@@ -201,14 +201,14 @@
 
 // askAll has each gather answer each innocent text.
 func (s storm) askAll(rigs []*rig) {
-	for n := range s.known {
+	for n := range s.innocent {
 		for _, r := range rigs {
-			_, _ = s.ask(r, knownText(n), 1)
+			_, _ = s.ask(r, innocentText(n), 1)
 		}
 	}
 }
 
-func knownText(n int) string { return fmt.Sprint("known ", n) }
+func innocentText(n int) string { return fmt.Sprint("known ", n) }
 
 // delayEvidence lets each piece of evidence take a time of its own to each other gather.
 func (s storm) delayEvidence(rigs []*rig) {
@@ -217,10 +217,10 @@
 	draw := func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
-		return time.Duration(random.Int64N(int64(s.spread) + 1))
+		return time.Duration(random.Int64N(int64(s.maxDelay) + 1))
 	}
 	for _, from := range rigs {
-		from.feed.hear = func(c *pb.Crash) {
+		from.feed.onCrash = func(c *pb.Crash) {
 			for _, to := range rigs {
 				if to == from {
 					continue
@@ -235,7 +235,7 @@
 }
 
 func (s storm) ask(r *rig, text string, topK int) (*pb.SearchResponse, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), knownLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
 	return r.engine.Search(ctx, &pb.Identity{RequestId: text, Caller: "desk"},
 		&pb.SearchRequest{Service: "teachers", Kind: "claim", Query: text, TopK: int32(topK)})
--- a/internal/search/merge.go
+++ b/internal/search/merge.go
@@ -8,9 +8,9 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// before orders hits: higher scores first, ties by document and then by shard, so that equal
+// compareHits orders hits: higher scores first, ties by document and then by shard, so that equal
 // answers give equal results whatever order they came in.
-func before(a, b *pb.Hit) int {
+func compareHits(a, b *pb.Hit) int {
 	if c := cmp.Compare(b.GetScore(), a.GetScore()); c != 0 {
 		return c
 	}
@@ -24,7 +24,7 @@
 type worstFirst []*pb.Hit
 
 func (h worstFirst) Len() int           { return len(h) }
-func (h worstFirst) Less(i, j int) bool { return before(h[i], h[j]) > 0 }
+func (h worstFirst) Less(i, j int) bool { return compareHits(h[i], h[j]) > 0 }
 func (h worstFirst) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
@@ -46,7 +46,7 @@
 			best.offer(hit, topK)
 		}
 	}
-	slices.SortFunc(best, before)
+	slices.SortFunc(best, compareHits)
 	return best
 }
 
@@ -56,7 +56,7 @@
 		heap.Push(h, hit)
 		return
 	}
-	if n > 0 && before(hit, (*h)[0]) < 0 {
+	if n > 0 && compareHits(hit, (*h)[0]) < 0 {
 		(*h)[0] = hit
 		heap.Fix(h, 0)
 	}
--- a/internal/search/metrics.go
+++ b/internal/search/metrics.go
@@ -21,7 +21,7 @@
 	reruns     *prometheus.CounterVec
 	late       *prometheus.CounterVec
 	mismatches *prometheus.CounterVec
-	standings  *prometheus.CounterVec
+	statuses   *prometheus.CounterVec
 }
 
 // NewMetrics registers the metrics of the duty.
@@ -49,12 +49,12 @@
 		reruns:     counter("burdock_gather_reruns_total", "Searches run again because a leaf had dropped their snapshot.", "service", "kind"),
 		late:       counter("burdock_gather_late_answers_total", "Answers of leaves dropped because their search had ended.", "service", "kind"),
 		mismatches: counter("burdock_gather_mismatches_total", "Answers of leaves dropped because they differ from the question, by field.", "service", "field"),
-		standings:  counter("burdock_gather_standings_total", "Runs of searches by what is known of their text.", "service", "standing"),
+		statuses:   counter("burdock_gather_standings_total", "Runs of searches by what is known of their text.", "service", "standing"),
 	}
 }
 
-// ended counts a search.
-func (m *Metrics) ended(q *question, a *pb.SearchResponse, err error) {
+// recordSearch counts a search.
+func (m *Metrics) recordSearch(q *query, a *pb.SearchResponse, err error) {
 	o := a.GetOutcome()
 	if e, ok := outcome.As(err); ok {
 		o = e.Proto("")
@@ -63,6 +63,6 @@
 	m.searches.WithLabelValues(q.service.Name, q.kind.Name, kind, outcome.ReasonName(o.GetReason())).Inc()
 	m.seconds.WithLabelValues(q.service.Name, q.kind.Name, kind).Observe(time.Since(q.started).Seconds())
 	if a != nil {
-		m.coverage.WithLabelValues(q.service.Name, q.kind.Name).Observe(share(a.GetCoverage()))
+		m.coverage.WithLabelValues(q.service.Name, q.kind.Name).Observe(coveredShare(a.GetCoverage()))
 	}
 }
--- a/internal/search/plan.go
+++ b/internal/search/plan.go
@@ -29,8 +29,8 @@
 // fleet says what is known of the leaves when a plan is made.
 type fleet struct {
 	state func(leaf string) (upstream.State, bool)
-	// lacks tells whether a leaf was found without the version, beside what it says of itself.
-	lacks func(leaf string, version uint64) bool
+	// lacksSnapshot tells whether a leaf was found without the version, beside what it says of itself.
+	lacksSnapshot func(leaf string, version uint64) bool
 }
 
 // usable tells whether a leaf may be asked for a version: it isn't leaving, can be reached, and
@@ -43,19 +43,19 @@
 	if s.Snapshots != nil && !slices.Contains(s.Snapshots, version) {
 		return false
 	}
-	return !f.lacks(leaf, version)
+	return !f.lacksSnapshot(leaf, version)
 }
 
-// choose picks the newest snapshot of which every shard has a usable replica; where there is none,
+// choosePlan picks the newest snapshot of which every shard has a usable replica; where there is none,
 // the one with the most documents within reach, the newest on ties. It returns nil where no shard
 // of any snapshot can be asked.
-func choose(service *bundle.Service, f fleet) *plan {
+func choosePlan(service *bundle.Service, f fleet) *plan {
 	var best *plan
 	var bestDocuments uint64
 	bestShards := 0
 	for _, s := range newestFirst(service.Snapshots) {
-		p := makePlan(s, f)
-		documents, shards := p.reach()
+		p := newPlan(s, f)
+		documents, shards := p.reachable()
 		if shards == len(p.shards) && shards > 0 {
 			return p
 		}
@@ -80,8 +80,8 @@
 	return sorted
 }
 
-// makePlan lists each shard of the snapshot once; a shard listed again only adds replicas.
-func makePlan(s *bundle.Snapshot, f fleet) *plan {
+// newPlan lists each shard of the snapshot once; a shard listed again only adds replicas.
+func newPlan(s *bundle.Snapshot, f fleet) *plan {
 	p := &plan{snapshot: s, shards: make([]target, 0, len(s.Shards))}
 	index := make(map[uint32]int, len(s.Shards))
 	for i := range s.Shards {
@@ -93,12 +93,12 @@
 			p.shards = append(p.shards, target{id: sh.ID, documents: sh.Documents})
 			p.documents += sh.Documents
 		}
-		p.shards[at].add(sh.Leaves, s.Version, f)
+		p.shards[at].addReplicas(sh.Leaves, s.Version, f)
 	}
 	return p
 }
 
-func (t *target) add(leaves []string, version uint64, f fleet) {
+func (t *target) addReplicas(leaves []string, version uint64, f fleet) {
 	for _, l := range leaves {
 		if slices.Contains(t.listed, l) {
 			continue
@@ -110,16 +110,16 @@
 	}
 }
 
-// known names a replica where none can be asked.
-func (t *target) known() string {
+// firstListed names a replica where none can be asked.
+func (t *target) firstListed() string {
 	if len(t.listed) == 0 {
 		return ""
 	}
 	return t.listed[0]
 }
 
-// reach returns the documents and the number of shards that have a usable replica.
-func (p *plan) reach() (documents uint64, shards int) {
+// reachable returns the documents and the number of shards that have a usable replica.
+func (p *plan) reachable() (documents uint64, shards int) {
 	for i := range p.shards {
 		if len(p.shards[i].replicas) > 0 {
 			documents += p.shards[i].documents
--- a/internal/search/ranking.go
+++ b/internal/search/ranking.go
@@ -7,9 +7,9 @@
 	"github.com/burdockplank/burdockplank/internal/quarantine"
 )
 
-// maxFirst is how many leaves in the whole fleet may be asked first for one request, and so the
+// maxFirstRunLeaves is how many leaves in the whole fleet may be asked first for one request, and so the
 // most that it can crash: every gather ranks the leaves alike.
-const maxFirst = 3
+const maxFirstRunLeaves = 3
 
 // ranked is a leaf of the snapshot with its rank for a request.
 type ranked struct {
@@ -52,38 +52,38 @@
 	return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.leaf, b.leaf))
 }
 
-// fixed gives the places of each availability zone by rank alone: to the highest ranked of a shard without a
+// primaries gives the places of each availability zone by rank alone: to the highest ranked of a shard without a
 // place, so that a crashing request can't end a whole group; to the highest ranked where each shard has one.
-func (k ranking) fixed() []ranked {
-	var places []ranked
+func (k ranking) primaries() []ranked {
+	var chosen []ranked
 	for z, n := range k.quotas() {
 		for range n {
-			if l, ok := next(k[z], places, func(string) bool { return false }); ok {
-				places = append(places, l)
+			if l, ok := nextLeaf(k[z], chosen, func(string) bool { return false }); ok {
+				chosen = append(chosen, l)
 			}
 		}
 	}
-	return places
+	return chosen
 }
 
-// places gives the fixed places, where that of an absent leaf goes to the next in rank of its zone. The other places
+// withSubstitutes gives the fixed places, where that of an absent leaf goes to the next in rank of its zone. The other places
 // stay as they are: were they dealt out anew, gathers that see different leaves would ask up to twice as many. A
 // zone that is lost or cut off leaves its places empty, for those on the other side of a cut still use them.
-func (k ranking) places(absent func(leaf string) bool) []ranked {
-	places := k.fixed()
-	for i := 0; i < len(places); i++ {
-		if !absent(places[i].leaf) {
+func (k ranking) withSubstitutes(absent func(leaf string) bool) []ranked {
+	chosen := k.primaries()
+	for i := 0; i < len(chosen); i++ {
+		if !absent(chosen[i].leaf) {
 			continue
 		}
-		others := slices.Delete(slices.Clone(places), i, i+1)
-		if l, ok := next(k.zone(places[i].zone), others, absent); ok {
-			places[i] = l
+		others := slices.Delete(slices.Clone(chosen), i, i+1)
+		if l, ok := nextLeaf(k.zone(chosen[i].zone), others, absent); ok {
+			chosen[i] = l
 			continue
 		}
-		places = others
+		chosen = others
 		i--
 	}
-	return places
+	return chosen
 }
 
 // zone returns the leaves of an availability zone.
@@ -100,34 +100,34 @@
 // leaves at most.
 func (k ranking) quotas() []int {
 	quotas := make([]int, len(k))
-	for left, dealt := maxFirst, true; dealt; {
-		dealt = false
+	for remaining, assigned := maxFirstRunLeaves, true; assigned; {
+		assigned = false
 		for z := range k {
-			if left > 0 && quotas[z] < len(k[z]) {
+			if remaining > 0 && quotas[z] < len(k[z]) {
 				quotas[z]++
-				left--
-				dealt = true
+				remaining--
+				assigned = true
 			}
 		}
 	}
 	return quotas
 }
 
-// nearest returns the place of an availability zone that has none of its own, for use where no
+// fallback returns the place of an availability zone that has none of its own, for use where no
 // other place can be reached: with more zones than places, one that is cut off goes on alone.
-func (k ranking) nearest(zone string, absent func(leaf string) bool) []ranked {
-	if l, ok := next(k.zone(zone), nil, absent); ok {
+func (k ranking) fallback(zone string, absent func(leaf string) bool) []ranked {
+	if l, ok := nextLeaf(k.zone(zone), nil, absent); ok {
 		return []ranked{l}
 	}
 	return nil
 }
 
-// next returns the leaf of an availability zone that gets the next place.
-func next(leaves, places []ranked, absent func(leaf string) bool) (ranked, bool) {
+// nextLeaf returns the leaf of an availability zone that gets the next place.
+func nextLeaf(leaves, chosen []ranked, absent func(leaf string) bool) (ranked, bool) {
 	found := -1
 	for i, l := range leaves {
-		sameLeaf := slices.ContainsFunc(places, func(p ranked) bool { return p.leaf == l.leaf })
-		sameShard := slices.ContainsFunc(places, func(p ranked) bool { return p.shard == l.shard })
+		sameLeaf := slices.ContainsFunc(chosen, func(p ranked) bool { return p.leaf == l.leaf })
+		sameShard := slices.ContainsFunc(chosen, func(p ranked) bool { return p.shard == l.shard })
 		if sameLeaf || sameShard && found >= 0 || absent(l.leaf) {
 			continue
 		}
@@ -142,16 +142,16 @@
 	return leaves[found], true
 }
 
-// nearFirst orders places with those of the own availability zone in front.
-func nearFirst(places []ranked, own string) []ranked {
-	slices.SortStableFunc(places, func(a, b ranked) int {
+// localFirst orders places with those of the own availability zone in front.
+func localFirst(leaves []ranked, localZone string) []ranked {
+	slices.SortStableFunc(leaves, func(a, b ranked) int {
 		switch {
-		case a.zone == own && b.zone != own:
+		case a.zone == localZone && b.zone != localZone:
 			return -1
-		case b.zone == own && a.zone != own:
+		case b.zone == localZone && a.zone != localZone:
 			return 1
 		}
 		return 0
 	})
-	return places
+	return leaves
 }
--- a/internal/search/result.go
+++ b/internal/search/result.go
@@ -7,21 +7,21 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// result makes the answer of an ended run. sent is true where a byte of the request may have
+// response makes the answer of an ended run. sent is true where a byte of the request may have
 // reached a leaf, in this run or the one before.
-func (r *run) result(sent bool) (*pb.SearchResponse, error) {
-	if r.refused != nil {
-		return nil, refusal(r.refused, sent)
+func (r *run) response(sent bool) (*pb.SearchResponse, error) {
+	if r.refusal != nil {
+		return nil, failedIfSent(r.refusal, sent)
 	}
-	ends := r.ends()
-	coverage := coverageOf(ends)
-	if coverage.GetShardsCovered() == 0 || share(coverage) < r.q.kind.MinCoverage {
-		return nil, r.unusable(coverage, sent)
+	results := r.shardResults()
+	coverage := coverageOf(results)
+	if coverage.GetShardsCovered() == 0 || coveredShare(coverage) < r.q.kind.MinCoverage {
+		return nil, r.insufficientCoverage(coverage, sent)
 	}
-	answers := make([]*pb.LeafSearchResponse, 0, len(ends))
-	for i := range ends {
-		if ends[i].answer != nil {
-			answers = append(answers, ends[i].answer)
+	answers := make([]*pb.LeafSearchResponse, 0, len(results))
+	for i := range results {
+		if results[i].answer != nil {
+			answers = append(answers, results[i].answer)
 		}
 	}
 	return &pb.SearchResponse{
@@ -42,8 +42,8 @@
 	return o
 }
 
-// unusable is the end of a search that has too little to answer with.
-func (r *run) unusable(c *pb.Coverage, sent bool) *outcome.Error {
+// insufficientCoverage is the end of a search that has too little to answer with.
+func (r *run) insufficientCoverage(c *pb.Coverage, sent bool) *outcome.Error {
 	reason, peer := commonReason(c.GetMissing())
 	e := outcome.Failed(reason, Step, "%d of %d shards answered", c.GetShardsCovered(), c.GetShardsTotal())
 	if !sent {
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -17,7 +17,7 @@
 )
 
 // answerBy is when a search with a limit of 1 s ends at the latest.
-const answerBy = time.Second - time.Second/marginShare
+const answerBy = time.Second - time.Second/marginDivisor
 
 func TestWholeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -52,29 +52,29 @@
 		kind  string
 		// missing reason of shard 0; UNSPECIFIED where the answer is whole.
 		missing pb.Reason
-		took    time.Duration
+		elapsed time.Duration
 		calls   int
 		// proven texts only are retried after a broken connection; no retry budget is left then.
 		proven bool
 	}{
-		"replica errs":                     {fault: one(lost), took: serviceTime, calls: 4},
-		"group errs":                       {fault: all(lost), missing: pb.Reason_REASON_UPSTREAM_ERROR, took: serviceTime, calls: 5},
-		"replica sheds":                    {fault: one(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), took: serviceTime, calls: 4},
-		"group sheds, asked twice only":    {fault: all(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), missing: pb.Reason_REASON_OVERLOAD, took: serviceTime, calls: 4},
-		"replica drains":                   {fault: one(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING)), took: serviceTime, calls: 4},
-		"replica has another shard":        {fault: one(spoil(func(a *pb.LeafSearchResponse) { a.Shard++ })), took: serviceTime, calls: 4},
-		"replica has another snapshot":     {fault: one(spoil(func(a *pb.LeafSearchResponse) { a.Snapshot++ })), took: serviceTime, calls: 4},
-		"replica answers another request":  {fault: one(spoil(func(a *pb.LeafSearchResponse) { a.RequestId = "other" })), took: serviceTime, calls: 4},
-		"replica ran another text":         {fault: one(spoil(func(a *pb.LeafSearchResponse) { a.QueryDigest++ })), took: serviceTime, calls: 4},
-		"replica is of another service":    {fault: one(spoil(func(a *pb.LeafSearchResponse) { a.Service = "clips" })), took: serviceTime, calls: 4},
-		"replica has hits of other shards": {fault: one(spoil(func(a *pb.LeafSearchResponse) { a.Hits[0].Shard++ })), took: serviceTime, calls: 4},
-		"group answers wrongly":            {fault: all(spoil(func(a *pb.LeafSearchResponse) { a.Shard++ })), missing: pb.Reason_REASON_ANSWER_MISMATCH, took: serviceTime, calls: 5},
-		"empty shard counts as covered":    {fault: all(spoil(func(a *pb.LeafSearchResponse) { a.Hits = nil })), took: serviceTime, calls: 3},
-		"silent connection, asked at once": {fault: all(failWith(&upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost})), missing: pb.Reason_REASON_UNREACHABLE, took: serviceTime, calls: 6},
-		"connection lost, no budget left":  {fault: brokeOnce, proven: true, took: serviceTime, calls: 4},
-		"straggler is hedged":              {fault: one(stall), took: 10*time.Millisecond + serviceTime, calls: 4},
-		"lost group, known at once":        {fault: down, missing: pb.Reason_REASON_NO_UPSTREAM, took: serviceTime, calls: 2},
-		"stalled group, coverage waits":    {fault: all(stall), kind: "claim", missing: pb.Reason_REASON_DEADLINE, took: answerBy, calls: 4},
+		"replica errs":                     {fault: firstReplica(lost), elapsed: serviceTime, calls: 4},
+		"group errs":                       {fault: wholeGroup(lost), missing: pb.Reason_REASON_UPSTREAM_ERROR, elapsed: serviceTime, calls: 5},
+		"replica sheds":                    {fault: firstReplica(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), elapsed: serviceTime, calls: 4},
+		"group sheds, asked twice only":    {fault: wholeGroup(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), missing: pb.Reason_REASON_OVERLOAD, elapsed: serviceTime, calls: 4},
+		"replica drains":                   {fault: firstReplica(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING)), elapsed: serviceTime, calls: 4},
+		"replica has another shard":        {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Shard++ })), elapsed: serviceTime, calls: 4},
+		"replica has another snapshot":     {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Snapshot++ })), elapsed: serviceTime, calls: 4},
+		"replica answers another request":  {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.RequestId = "other" })), elapsed: serviceTime, calls: 4},
+		"replica ran another text":         {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.QueryDigest++ })), elapsed: serviceTime, calls: 4},
+		"replica is of another service":    {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Service = "clips" })), elapsed: serviceTime, calls: 4},
+		"replica has hits of other shards": {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Hits[0].Shard++ })), elapsed: serviceTime, calls: 4},
+		"group answers wrongly":            {fault: wholeGroup(corrupt(func(a *pb.LeafSearchResponse) { a.Shard++ })), missing: pb.Reason_REASON_ANSWER_MISMATCH, elapsed: serviceTime, calls: 5},
+		"empty shard counts as covered":    {fault: wholeGroup(corrupt(func(a *pb.LeafSearchResponse) { a.Hits = nil })), elapsed: serviceTime, calls: 3},
+		"silent connection, asked at once": {fault: wholeGroup(failWith(&upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost})), missing: pb.Reason_REASON_UNREACHABLE, elapsed: serviceTime, calls: 6},
+		"connection lost, no budget left":  {fault: firstConnectionLost, proven: true, elapsed: serviceTime, calls: 4},
+		"straggler is hedged":              {fault: firstReplica(stall), elapsed: 10*time.Millisecond + serviceTime, calls: 4},
+		"lost group, known at once":        {fault: wholeGroupDown, missing: pb.Reason_REASON_NO_UPSTREAM, elapsed: serviceTime, calls: 2},
+		"stalled group, coverage waits":    {fault: wholeGroup(stall), kind: "claim", missing: pb.Reason_REASON_DEADLINE, elapsed: answerBy, calls: 4},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -93,7 +93,7 @@
 				start := time.Now()
 				a, err := r.ask("r1", tt.kind, "algebra", time.Second)
 				is.NoErr(err)
-				is.Equal(time.Since(start), tt.took)
+				is.Equal(time.Since(start), tt.elapsed)
 				if tt.missing == pb.Reason_REASON_UNSPECIFIED {
 					is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
 				} else {
@@ -116,7 +116,7 @@
 		service, fleet := groups(1)
 		r := newRig("az-a", service, fleet, anywhere)
 		r.replicas.slots = 1
-		one(failWith(&upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost}))(fleet)
+		firstReplica(failWith(&upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost}))(fleet)
 		for _, busy := range []string{"leaf-0-b", "leaf-0-c"} {
 			call, ok := r.replicas.Pick([]string{busy})
 			is.True(ok)
@@ -128,12 +128,12 @@
 	})
 }
 
-// one gives the fault to the replica of shard 0 that is asked first, all to its whole group.
-func one(answer func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error)) func(*fakeFleet) {
+// firstReplica gives the fault to the replica of shard 0 that is asked first, all to its whole group.
+func firstReplica(answer func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error)) func(*fakeFleet) {
 	return func(f *fakeFleet) { f.set("leaf-0-a", func(l *fakeLeaf) { l.answer = answer }) }
 }
 
-func all(answer func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error)) func(*fakeFleet) {
+func wholeGroup(answer func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error)) func(*fakeFleet) {
 	return func(f *fakeFleet) {
 		for _, id := range []string{"leaf-0-a", "leaf-0-b", "leaf-0-c"} {
 			f.set(id, func(l *fakeLeaf) { l.answer = answer })
@@ -141,27 +141,27 @@
 	}
 }
 
-func brokeOnce(f *fakeFleet) {
-	one(failWith(&upstream.CallError{Wrote: true, ConnectionLost: true, Err: errLost}))(f)
+func firstConnectionLost(f *fakeFleet) {
+	firstReplica(failWith(&upstream.CallError{Wrote: true, ConnectionLost: true, Err: errLost}))(f)
 }
 
-func down(f *fakeFleet) {
+func wholeGroupDown(f *fakeFleet) {
 	for _, id := range []string{"leaf-0-a", "leaf-0-b", "leaf-0-c"} {
 		f.set(id, f.kill)
 	}
 }
 
-func TestLatencyAnswersEarlyOnceTheUsualTimeIsKnown(t *testing.T) {
+func TestLatencyAnswersEarlyOnceTheTypicalTimeIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service, fleet := groups(3)
 		r := newRig("az-a", service, fleet, anywhere)
-		for range usualNeeds {
+		for range minTypicalSamples {
 			_, err := r.ask("r", "dawn", "algebra", time.Second)
 			is.NoErr(err)
 		}
-		all(stall)(fleet)
-		for range 3 * usualWindow { // stragglers don't push up the usual time
+		wholeGroup(stall)(fleet)
+		for range 3 * typicalWindow { // stragglers don't push up the usual time
 			start := time.Now()
 			a, err := r.ask("r", "dawn", "algebra", time.Second)
 			is.NoErr(err)
@@ -174,22 +174,22 @@
 // TestRefusals checks that a refusal is not_run only where no byte went to a leaf.
 func TestRefusals(t *testing.T) {
 	tests := map[string]struct {
-		fault  func(*rig)
-		query  string
-		limit  time.Duration
-		kind   pb.OutcomeKind
-		reason pb.Reason
-		took   time.Duration
+		fault   func(*rig)
+		query   string
+		limit   time.Duration
+		kind    pb.OutcomeKind
+		reason  pb.Reason
+		elapsed time.Duration
 	}{
 		"no leaf":         {fault: allDown, kind: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, reason: pb.Reason_REASON_NO_UPSTREAM},
 		"long query":      {query: string(make([]byte, 101)), kind: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, reason: pb.Reason_REASON_TOO_LARGE},
 		"not UTF-8":       {query: "\xff", kind: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, reason: pb.Reason_REASON_INVALID_REQUEST},
-		"all at limit":    {fault: func(r *rig) { r.replicas.slots = 0 }, kind: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, reason: pb.Reason_REASON_OVERLOAD, took: answerBy},
+		"all at limit":    {fault: func(r *rig) { r.replicas.slots = 0 }, kind: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, reason: pb.Reason_REASON_OVERLOAD, elapsed: answerBy},
 		"queue is full":   {fault: func(r *rig) { r.replicas.slots, r.engine.settings.MaxWaiting = 0, 0 }, kind: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, reason: pb.Reason_REASON_OVERLOAD},
 		"all leaves shed": {fault: allAnswer(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), kind: pb.OutcomeKind_OUTCOME_KIND_FAILED, reason: pb.Reason_REASON_OVERLOAD},
 		"all leaves err":  {fault: allAnswer(failWith(&upstream.CallError{Wrote: true, Err: errLost})), kind: pb.OutcomeKind_OUTCOME_KIND_FAILED, reason: pb.Reason_REASON_UPSTREAM_ERROR},
 		"none connects":   {fault: allAnswer(failWith(&upstream.CallError{Err: errRefused})), kind: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, reason: pb.Reason_REASON_UNREACHABLE},
-		"all stall":       {fault: allAnswer(stall), kind: pb.OutcomeKind_OUTCOME_KIND_FAILED, reason: pb.Reason_REASON_DEADLINE, took: answerBy},
+		"all stall":       {fault: allAnswer(stall), kind: pb.OutcomeKind_OUTCOME_KIND_FAILED, reason: pb.Reason_REASON_DEADLINE, elapsed: answerBy},
 	}
 	for name, tt := range tests {
 		for mode, change := range modes {
@@ -205,7 +205,7 @@
 					_, err := r.ask("r1", "claim", tt.query, time.Second)
 					e, ok := outcome.As(err)
 					is.True(ok)
-					is.Equal(time.Since(start), tt.took)
+					is.Equal(time.Since(start), tt.elapsed)
 					is.Equal(outcome.KindName(e.Kind), outcome.KindName(tt.kind))
 					is.Equal(outcome.ReasonName(e.Reason), outcome.ReasonName(tt.reason))
 				})
@@ -334,12 +334,12 @@
 // and that a slow leaf asked first holds the search up for its group's hedge delay only.
 func TestFirstRunGoesToTheLeafThatTheBalancerPicks(t *testing.T) {
 	for name, tt := range map[string]struct {
-		slow  func(leaf string) bool
-		known bool
-		took  time.Duration
+		slow    func(leaf string) bool
+		known   bool
+		elapsed time.Duration
 	}{
-		"known to be slow":     {slow: func(l string) bool { return l[len(l)-1] == 'a' }, known: true, took: 2 * serviceTime},
-		"not known to be slow": {slow: func(l string) bool { return l[len(l)-1] == 'a' }, took: 2 * (10*time.Millisecond + serviceTime)}, // each of the two steps waits for a hedge
+		"known to be slow":     {slow: func(l string) bool { return l[len(l)-1] == 'a' }, known: true, elapsed: 2 * serviceTime},
+		"not known to be slow": {slow: func(l string) bool { return l[len(l)-1] == 'a' }, elapsed: 2 * (10*time.Millisecond + serviceTime)}, // each of the two steps waits for a hedge
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -357,7 +357,7 @@
 				a, err := r.ask("r1", "dawn", "algebra", time.Second)
 				is.NoErr(err)
 				is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
-				is.Equal(time.Since(start), tt.took)
+				is.Equal(time.Since(start), tt.elapsed)
 			})
 		})
 	}
--- a/internal/search/settings.go
+++ b/internal/search/settings.go
@@ -53,18 +53,18 @@
 }
 
 const (
-	// marginShare is the part of the time left that is kept, marginMost the most that the least
+	// marginDivisor is the part of the time left that is kept, marginMost the most that the least
 	// margin may take of a short one.
-	marginShare = 32
-	marginMost  = 4
-	// patienceShare is the part of its time that a kind weighing coverage may wait at the gate.
-	patienceShare = 4
-	// maxTries is how often one shard is asked in one run, hedge and retries included.
-	maxTries = 4
-	// placePoll is how often a search that waits for a slot looks again by itself.
-	placePoll = 20 * time.Millisecond
-	// hedgePoll is when a hedge that the budget refused is asked for again.
-	hedgePoll = 5 * time.Millisecond
-	// lacksFor is how long a leaf's refusal of a snapshot is remembered beside what it says.
-	lacksFor = 2 * time.Second
+	marginDivisor    = 32
+	marginCapDivisor = 4
+	// queueWaitDivisor is the part of its time that a kind weighing coverage may wait at the gate.
+	queueWaitDivisor = 4
+	// maxAttempts is how often one shard is asked in one run, hedge and retries included.
+	maxAttempts = 4
+	// slotPollInterval is how often a search that waits for a slot looks again by itself.
+	slotPollInterval = 20 * time.Millisecond
+	// hedgePollInterval is when a hedge that the budget refused is asked for again.
+	hedgePollInterval = 5 * time.Millisecond
+	// missingSnapshotTTL is how long a leaf's refusal of a snapshot is remembered beside what it says.
+	missingSnapshotTTL = 2 * time.Second
 )
--- a/internal/search/silence_test.go
+++ b/internal/search/silence_test.go
@@ -18,22 +18,22 @@
 // silence plays leaves whose connections pass nothing from its beginning on: calls in flight then are given up as
 // silent after a while, later ones go over new connections and are answered.
 type silence struct {
-	began atomic.Bool
-	// begin is closed with began set; over is closed where the silent connections are given up.
-	begin, over chan struct{}
+	started atomic.Bool
+	// start is closed with began set; over is closed where the silent connections are given up.
+	start, end chan struct{}
 }
 
 func (s *silence) answer(ctx context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
-	if s.began.Load() {
+	if s.started.Load() {
 		return answerAfter(serviceTime)(ctx, req)
 	}
 	select {
 	case <-time.After(serviceTime):
 		return goodAnswer(req), nil
-	case <-s.begin:
+	case <-s.start:
 	}
 	select {
-	case <-s.over:
+	case <-s.end:
 		return nil, &upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost}
 	case <-ctx.Done():
 		return nil, &upstream.CallError{Wrote: true, Err: ctx.Err()}
@@ -65,7 +65,7 @@
 	service.Kinds["dawn"].Timeout, service.Kinds["claim"].Timeout = limit, limit
 	r := newRig("az-a", service, fleet, anywhere)
 	r.replicas.slots = slots
-	s := &silence{begin: make(chan struct{}), over: make(chan struct{})}
+	s := &silence{start: make(chan struct{}), end: make(chan struct{})}
 	for _, l := range fleet.leaves {
 		l.answer = s.answer
 	}
@@ -85,9 +85,9 @@
 		})
 	}
 	time.Sleep(after)
-	s.began.Store(true)
-	close(s.begin)
-	time.AfterFunc(silent, func() { close(s.over) })
+	s.started.Store(true)
+	close(s.start)
+	time.AfterFunc(silent, func() { close(s.end) })
 	time.Sleep(1500 * time.Millisecond)
 	cancel()
 	wg.Wait()
--- a/internal/search/sim_test.go
+++ b/internal/search/sim_test.go
@@ -41,18 +41,18 @@
 
 // sim is a fleet of entries and gathers over simulated leaves.
 type sim struct {
-	fleet   *simFleet
-	service *bundle.Service
-	engines []*Engine
-	doors   []*admission.Controller
-	random  *rand.Rand
+	fleet      *simFleet
+	service    *bundle.Service
+	engines    []*Engine
+	admissions []*admission.Controller
+	random     *rand.Rand
 
 	mu sync.Mutex
 	// kinds and the time from which they count are guarded by mu.
-	kinds map[string]*simKind
-	from  time.Time
-	// base is the number of calls before from, needed counts the shards of whole answers since.
-	base, needed int
+	kinds       map[string]*simKind
+	countedFrom time.Time
+	// baseCalls is the number of calls before from, needed counts the shards of whole answers since.
+	baseCalls, neededCalls int
 }
 
 type simBalancer struct{ balance.Replicas }
@@ -73,7 +73,7 @@
 		fleet: &simFleet{leaves: make(map[string]*simLeaf), random: rand.New(rand.NewPCG(2, 2))},
 	}
 	for id := range service.Leaves {
-		s.fleet.leaves[id] = &simLeaf{slow: 1}
+		s.fleet.leaves[id] = &simLeaf{slowFactor: 1}
 	}
 	for i := range simGathers {
 		s.addVM(i)
@@ -93,7 +93,7 @@
 		Version: 1, Services: map[string]*bundle.Service{s.service.Name: s.service},
 		Limits: bundle.Limits{MaxQueryBytes: 100, MaxTopK: 100, MaxTimeout: 10 * time.Second},
 	}
-	f := &fakeFeed{view: &feed.View{Zone: fmt.Sprintf("az-%c", 'a'+i%simZones), Bundle: b}, hear: func(*pb.Crash) {}}
+	f := &fakeFeed{view: &feed.View{Zone: fmt.Sprintf("az-%c", 'a'+i%simZones), Bundle: b}, onCrash: func(*pb.Crash) {}}
 	reg := prometheus.NewRegistry()
 	guard := quarantine.New(quarantine.DefaultSettings(), f, s.fleet.State, time.Now, quarantine.NewMetrics(reg))
 	guard.Take(f.view)
@@ -103,13 +103,13 @@
 		replicas.SetIncarnation(id, 1)
 	}
 	s.engines = append(s.engines, New(DefaultSettings(), f, s.fleet, simBalancer{replicas}, guard, NewMetrics(reg)))
-	s.doors = append(s.doors, admission.New(admission.DefaultSettings(), prometheus.NewRegistry(), time.Now, float))
+	s.admissions = append(s.admissions, admission.New(admission.DefaultSettings(), prometheus.NewRegistry(), time.Now, float))
 }
 
 // load sends searches for a time at a rate, and counts those that start from now on anew.
 func (s *sim) load(rate float64, d time.Duration) {
 	s.mu.Lock()
-	s.from, s.base, s.needed = time.Now(), s.calls(), 0
+	s.countedFrom, s.baseCalls, s.neededCalls = time.Now(), s.calls(), 0
 	s.kinds = map[string]*simKind{"dawn": {}, "roster": {}}
 	s.mu.Unlock()
 	var wg sync.WaitGroup
@@ -141,7 +141,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	a, err := s.ask(ctx, vm, kind, text)
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.kinds[kind]
@@ -149,13 +149,13 @@
 	switch {
 	case err == nil:
 		k.answered++
-		k.times = append(k.times, took)
-		s.needed += len(s.service.Snapshots[0].Shards)
+		k.times = append(k.times, elapsed)
+		s.neededCalls += len(s.service.Snapshots[0].Shards)
 		if a.GetOutcome().GetKind() == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE {
 			k.whole++
 		}
 	case err.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN:
-		k.refusals = append(k.refusals, took)
+		k.refusals = append(k.refusals, elapsed)
 	default:
 		k.failed++
 	}
@@ -163,7 +163,7 @@
 
 // ask goes the way of a search: the entry's door, then one of the two gathers of its zone.
 func (s *sim) ask(ctx context.Context, vm int, kind, text string) (*pb.SearchResponse, *outcome.Error) {
-	slot, refused := s.doors[vm].Admit(ctx, admission.Request{
+	slot, refused := s.admissions[vm].Admit(ctx, admission.Request{
 		Service: s.service.Name, Kind: s.service.Kinds[kind], Caller: &bundle.Caller{Name: "desk", Rate: 1e6, Burst: 1e6, Share: 1},
 	})
 	if refused != nil {
@@ -171,10 +171,10 @@
 	}
 	result := admission.ResultOK
 	defer func() { slot.Done(result) }()
-	time.Sleep(simHop)
+	time.Sleep(simNetworkDelay)
 	at := vm%simZones + simZones*rand.IntN(simGathers/simZones)
 	a, err := s.engines[at].Search(ctx, &pb.Identity{RequestId: text}, &pb.SearchRequest{Service: s.service.Name, Kind: kind, Query: text})
-	time.Sleep(simHop)
+	time.Sleep(simNetworkDelay)
 	if err != nil {
 		e, _ := outcome.As(err)
 		result = admission.ResultFailed
@@ -194,28 +194,28 @@
 	return a, nil
 }
 
-// seen is what a load met.
-type seen struct {
+// measurement is what a load met.
+type measurement struct {
 	dawn, roster simKind
-	// extra is the calls by those needed, less 1; most the most calls at once at a leaf.
-	extra float64
-	most  int
+	// extraCalls is the calls by those needed, less 1; most the most calls at once at a leaf.
+	extraCalls float64
+	maxAtLeaf  int
 }
 
-func (e seen) answered() int { return e.dawn.answered + e.roster.answered }
+func (e measurement) answered() int { return e.dawn.answered + e.roster.answered }
 
 // measure loads the fleet and returns what the searches met.
-func (s *sim) measure(t *testing.T, name string, rate float64, d time.Duration) seen {
+func (s *sim) measure(t *testing.T, name string, rate float64, d time.Duration) measurement {
 	t.Helper()
 	s.load(rate, d)
-	e := seen{dawn: *s.kinds["dawn"], roster: *s.kinds["roster"]}
-	e.extra = float64(s.calls()-s.base)/float64(max(1, s.needed)) - 1
+	e := measurement{dawn: *s.kinds["dawn"], roster: *s.kinds["roster"]}
+	e.extraCalls = float64(s.calls()-s.baseCalls)/float64(max(1, s.neededCalls)) - 1
 	for _, l := range s.fleet.leaves {
-		e.most = max(e.most, l.most)
-		l.most = 0
+		e.maxAtLeaf = max(e.maxAtLeaf, l.maxInFlight)
+		l.maxInFlight = 0
 	}
 	t.Logf("%-14s dawn   %v", name, &e.dawn)
-	t.Logf("%-14s roster %v; extra calls %.3f, most at a leaf %d", name, &e.roster, e.extra, e.most)
+	t.Logf("%-14s roster %v; extra calls %.3f, most at a leaf %d", name, &e.roster, e.extraCalls, e.maxAtLeaf)
 	return e
 }
 
@@ -236,7 +236,7 @@
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	for _, id := range ids {
-		s.fleet.leaves[id].slow = factor
+		s.fleet.leaves[id].slowFactor = factor
 	}
 }
 
@@ -249,8 +249,8 @@
 	return ids
 }
 
-// down takes leaves away, or brings them back.
-func (s *sim) down(is bool, ids ...string) {
+// setDown takes leaves away, or brings them back.
+func (s *sim) setDown(is bool, ids ...string) {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	for _, id := range ids {
@@ -260,12 +260,12 @@
 
 var everyGroup = []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}
 
-// settle is given to the fleet before a load is measured.
-const settle = 5 * time.Second
+// settleTime is given to the fleet before a load is measured.
+const settleTime = 5 * time.Second
 
-// measured is how long a load is measured for a bound of its p99: some 2,500 searches of the rarer kind. With
+// measureTime is how long a load is measured for a bound of its p99: some 2,500 searches of the rarer kind. With
 // 830 the ratio of two p99 was between 1.10 and 1.30 in 25 runs of one and the same code.
-const measured = 9 * settle
+const measureTime = 9 * settleTime
 
 // TestFaultsUnderLoad holds what the decisions should reach with faults at a usual load: a bound of p99
 // by the calm p99, of extra calls, and the share of whole answers.
@@ -277,9 +277,9 @@
 		whole float64
 	}{
 		"straggler in three groups": {func(s *sim) { s.slow(20, replicas("a", 0, 3, 6)...) }, 1.3, 0.05, 0.99},
-		"replica lost everywhere":   {func(s *sim) { s.down(true, replicas("a", everyGroup...)...) }, 1.5, 0.05, 0.99},
+		"replica lost everywhere":   {func(s *sim) { s.setDown(true, replicas("a", everyGroup...)...) }, 1.5, 0.05, 0.99},
 		"group lost": {func(s *sim) {
-			s.down(true, append(append(replicas("a", 0), replicas("b", 0)...), replicas("c", 0)...)...)
+			s.setDown(true, append(append(replicas("a", 0), replicas("b", 0)...), replicas("c", 0)...)...)
 		}, 1.1, 0.05, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -287,23 +287,23 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := newSim(bundle.PartialLatency)
-				s.load(simCalm, settle)
-				calm := s.measure(t, "calm", simCalm, measured)
+				s.load(simNormalRate, settleTime)
+				calm := s.measure(t, "calm", simNormalRate, measureTime)
 				tt.fault(s)
-				s.load(simCalm, settle)
-				during := s.measure(t, name, simCalm, measured)
+				s.load(simNormalRate, settleTime)
+				during := s.measure(t, name, simNormalRate, measureTime)
 				for _, k := range []simKind{during.dawn, during.roster} {
 					is.Equal(k.answered, k.sent)
 					is.True(float64(k.p99()) <= tt.p99*float64(calm.roster.p99()))
 					is.True(k.wholeShare() >= tt.whole)
 				}
-				is.True(during.extra <= tt.extra)
+				is.True(during.extraCalls <= tt.extra)
 				for id := range s.fleet.leaves {
 					s.slow(1, id)
-					s.down(false, id)
+					s.setDown(false, id)
 				}
-				s.load(simCalm, settle)
-				after := s.measure(t, "after", simCalm, 3*settle)
+				s.load(simNormalRate, settleTime)
+				after := s.measure(t, "after", simNormalRate, 3*settleTime)
 				is.True(float64(after.roster.p99()) <= 1.1*float64(calm.roster.p99()))
 				time.Sleep(time.Minute) // timers of the parts end
 			})
@@ -319,10 +319,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := newSim(bundle.PartialLatency)
-				s.load(simCalm, settle)
-				calm := s.measure(t, "calm", simCalm, measured)
-				peak := s.measure(t, "capacity", simCapacity, settle)
-				over := s.measure(t, "overload", times*simCapacity, settle)
+				s.load(simNormalRate, settleTime)
+				calm := s.measure(t, "calm", simNormalRate, measureTime)
+				peak := s.measure(t, "capacity", simCapacity, settleTime)
+				over := s.measure(t, "overload", times*simCapacity, settleTime)
 				is.True(over.answered()*10 >= peak.answered()*9) // goodput
 				for _, k := range []simKind{over.dawn, over.roster} {
 					is.True(k.p99() < time.Second) // in their deadlines
@@ -333,8 +333,8 @@
 				light := float64(over.roster.answered) / float64(over.roster.sent)
 				is.True(heavy > 1.5*light) // heavier kinds first
 				is.True(quantileOf(over.roster.refusals, 0.5) <= 10*time.Millisecond)
-				s.load(simCalm, settle)
-				after := s.measure(t, "after", simCalm, 3*settle)
+				s.load(simNormalRate, settleTime)
+				after := s.measure(t, "after", simNormalRate, 3*settleTime)
 				is.True(float64(after.roster.p99()) <= 1.1*float64(calm.roster.p99()))
 				time.Sleep(time.Minute)
 			})
@@ -357,10 +357,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := newSim(partial)
-				s.load(simCalm, settle)
+				s.load(simNormalRate, settleTime)
 				s.slow(15, append(append(replicas("a", 0), replicas("b", 0)...), replicas("c", 0)...)...)
-				s.load(simCapacity/50, settle) // so few that the slow group can do them all
-				e := s.measure(t, string(partial), simCapacity/50, 10*settle)
+				s.load(simCapacity/50, settleTime) // so few that the slow group can do them all
+				e := s.measure(t, string(partial), simCapacity/50, 10*settleTime)
 				is.Equal(e.dawn.answered, e.dawn.sent)
 				is.True(e.dawn.wholeShare() >= want.whole)
 				is.True(quantileOf(e.dawn.times, 0.5) >= want.from)
--- a/internal/search/simfleet_test.go
+++ b/internal/search/simfleet_test.go
@@ -15,25 +15,25 @@
 // The sizes of a simulated fleet: the booking desk's groups before six VMs, without the processors and
 // networks of a real one. Time is virtual, so that the figures don't depend on the machine.
 const (
-	simGathers  = 6
-	simZones    = 3
-	simGroups   = 10
-	simSlots    = 3
-	simQueue    = 8
-	simTime     = 20 * time.Millisecond
-	simSigma    = 0.3
-	simHop      = 500 * time.Microsecond
-	simCapacity = 430.0
-	simCalm     = 190.0
+	simGathers      = 6
+	simZones        = 3
+	simGroups       = 10
+	simSlots        = 3
+	simQueue        = 8
+	simServiceTime  = 20 * time.Millisecond
+	simSigma        = 0.3
+	simNetworkDelay = 500 * time.Microsecond
+	simCapacity     = 430.0
+	simNormalRate   = 190.0
 )
 
 // simLeaf is a leaf with slots and a queue.
 type simLeaf struct {
 	// running, waiting, most and calls are guarded by the fleet's mutex.
-	running, most, calls int
-	waiting              []chan struct{}
-	slow                 float64
-	down                 bool
+	running, maxInFlight, calls int
+	waiting                     []chan struct{}
+	slowFactor                  float64
+	down                        bool
 }
 
 type simFleet struct {
@@ -55,7 +55,7 @@
 
 // Search takes a slot, works and answers; a call that is given up frees its slot.
 func (f *simFleet) Search(ctx context.Context, id string, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
-	time.Sleep(simHop)
+	time.Sleep(simNetworkDelay)
 	l, turn, shed := f.enter(id)
 	if shed {
 		return nil, &upstream.CallError{Leaf: id, Wrote: true, Refusal: pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED, Err: errRefused}
@@ -69,7 +69,7 @@
 	defer f.release(l)
 	select {
 	case <-time.After(f.work(l)):
-		time.Sleep(simHop)
+		time.Sleep(simNetworkDelay)
 		return goodAnswer(req), nil
 	case <-ctx.Done():
 		return nil, &upstream.CallError{Leaf: id, Wrote: true, Err: ctx.Err()}
@@ -79,7 +79,7 @@
 func (f *simFleet) work(l *simLeaf) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Duration(l.slow * float64(simTime) * math.Exp(simSigma*f.random.NormFloat64()))
+	return time.Duration(l.slowFactor * float64(simServiceTime) * math.Exp(simSigma*f.random.NormFloat64()))
 }
 
 func (f *simFleet) enter(id string) (l *simLeaf, turn chan struct{}, shed bool) {
@@ -97,7 +97,7 @@
 		return l, nil, true
 	}
 	l.calls++
-	l.most = max(l.most, l.running+len(l.waiting))
+	l.maxInFlight = max(l.maxInFlight, l.running+len(l.waiting))
 	return l, turn, false
 }
 
--- a/internal/search/stale_test.go
+++ b/internal/search/stale_test.go
@@ -26,7 +26,7 @@
 
 // A process that was frozen after a search was let in sends none of its calls when it wakes: what the search was
 // planned by is from before the pause.
-func TestNoCallWithoutFreshNews(t *testing.T) {
+func TestNoCallWithoutFreshView(t *testing.T) {
 	is := is.New(t)
 	service, fleet := groups(2)
 	r := newRig("az-a", service, fleet, anywhere)
--- a/internal/search/waiting.go
+++ b/internal/search/waiting.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// waiting wakes searches that wait for a slot of a leaf, the longest waiting first.
-type waiting struct {
+// slotQueue wakes searches that wait for a slot of a leaf, the longest waiting first.
+type slotQueue struct {
 	mu sync.Mutex
 	// byLeaf holds the waiters of each leaf in order of arrival, arrivals the number of the latest
 	// waiter, and count how many there are. All are guarded by mu.
@@ -21,81 +21,81 @@
 	arrival uint64
 	// wake gets the leaf whose slot is free.
 	wake chan string
-	// at lists the leaves where it is registered; guarded by the mutex of waiting.
-	at []string
+	// leaves lists the leaves where it is registered; guarded by the mutex of waiting.
+	leaves []string
 }
 
-func newWaiting() *waiting { return &waiting{byLeaf: make(map[string][]*waiter)} }
+func newSlotQueue() *slotQueue { return &slotQueue{byLeaf: make(map[string][]*waiter)} }
 
-// enter returns a new waiter, or nil where n wait already.
-func (w *waiting) enter(n int) *waiter {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.count >= n {
+// join returns a new waiter, or nil where n wait already.
+func (q *slotQueue) join(maxWaiters int) *waiter {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.count >= maxWaiters {
 		return nil
 	}
-	w.count++
-	w.arrivals++
-	return &waiter{arrival: w.arrivals, wake: make(chan string, 1)}
+	q.count++
+	q.arrivals++
+	return &waiter{arrival: q.arrivals, wake: make(chan string, 1)}
 }
 
 // leave ends the waiting. A wake that it hasn't taken goes to the next.
-func (w *waiting) leave(who *waiter) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.count--
-	w.withdraw(who)
+func (q *slotQueue) leave(wt *waiter) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.count--
+	q.unregister(wt)
 	select {
-	case leaf := <-who.wake:
-		w.wakeNext(leaf)
+	case leaf := <-wt.wake:
+		q.wakeNext(leaf)
 	default:
 	}
 }
 
 // register adds the waiter at the leaves, in order of its arrival.
-func (w *waiting) register(who *waiter, leaves []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (q *slotQueue) register(wt *waiter, leaves []string) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for _, l := range leaves {
-		list := w.byLeaf[l]
-		i, found := slices.BinarySearchFunc(list, who.arrival, func(o *waiter, a uint64) int { return cmp.Compare(o.arrival, a) })
+		list := q.byLeaf[l]
+		i, found := slices.BinarySearchFunc(list, wt.arrival, func(o *waiter, a uint64) int { return cmp.Compare(o.arrival, a) })
 		if !found {
-			w.byLeaf[l] = slices.Insert(list, i, who)
-			who.at = append(who.at, l)
+			q.byLeaf[l] = slices.Insert(list, i, wt)
+			wt.leaves = append(wt.leaves, l)
 		}
 	}
 }
 
-// freed wakes the search that has waited longest for the leaf.
-func (w *waiting) freed(leaf string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.wakeNext(leaf)
+// slotFreed wakes the search that has waited longest for the leaf.
+func (q *slotQueue) slotFreed(leaf string) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.wakeNext(leaf)
 }
 
 // wakeNext wakes the first waiter of the leaf. It is registered nowhere then, so that the slots of
 // several leaves wake several waiters.
-func (w *waiting) wakeNext(leaf string) {
-	list := w.byLeaf[leaf]
+func (q *slotQueue) wakeNext(leaf string) {
+	list := q.byLeaf[leaf]
 	if len(list) == 0 {
 		return
 	}
 	first := list[0]
-	w.withdraw(first)
+	q.unregister(first)
 	select {
 	case first.wake <- leaf:
 	default:
 	}
 }
 
-func (w *waiting) withdraw(who *waiter) {
-	for _, l := range who.at {
-		list := slices.DeleteFunc(w.byLeaf[l], func(o *waiter) bool { return o == who })
+func (q *slotQueue) unregister(wt *waiter) {
+	for _, l := range wt.leaves {
+		list := slices.DeleteFunc(q.byLeaf[l], func(o *waiter) bool { return o == wt })
 		if len(list) == 0 {
-			delete(w.byLeaf, l)
+			delete(q.byLeaf, l)
 			continue
 		}
-		w.byLeaf[l] = list
+		q.byLeaf[l] = list
 	}
-	who.at = who.at[:0]
+	wt.leaves = wt.leaves[:0]
 }
