--- a/internal/search/calls.go
+++ b/internal/search/calls.go
@@ -10,22 +10,23 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// callResult is the end of one call.
+// callResult describes how one call to a leaf ended.
 type callResult struct {
 	shard  int
 	leaf   string
 	answer *pb.LeafSearchResponse
-	// failure is set where answer is nil.
+	// failure is valid only if answer is nil.
 	failure failure
-	// survived is true where the leaf has surely run the text and lived on.
+	// survived is true if the leaf certainly ran the query text without crashing.
 	survived bool
-	// wrote is true where a byte may have reached the leaf.
+	// wrote is true if a byte of the request may have reached the leaf.
 	wrote bool
 	// firstRun is true for a call of the first run.
 	firstRun bool
 }
 
-// launch sends a call for the shard. gate names the leaf whose gate the call has to leave.
+// launch sends a call for shard i. For a call of the first run, guardLeaf is the leaf at which the guard admitted the
+// call. It is empty for other calls.
 func (r *run) launch(i int, call balance.Call, guardLeaf string) {
 	s := &r.shards[i]
 	s.inFlight++
@@ -45,7 +46,8 @@
 	go r.call(s.ctx, i, s.request, call, guardLeaf)
 }
 
-// hedgeDelay returns how long the call may run before a hedge: less where it only tries a leaf.
+// hedgeDelay returns how long the call may run before it is hedged. A call to a suspect leaf only probes it, so its
+// delay is shorter.
 func (r *run) hedgeDelay(s *shard, call balance.Call) time.Duration {
 	d := r.q.replicas.HedgeAfter(s.replicas)
 	if call.Suspect() {
@@ -54,20 +56,20 @@
 	return d
 }
 
-// call asks a leaf and hands the end to the run, or drops it where the run has ended.
+// call calls a leaf and passes the result to the run's goroutine. If the run has ended, it drops the result.
 func (r *run) call(ctx context.Context, i int, req *pb.LeafSearchRequest, call balance.Call, guardLeaf string) {
 	defer r.e.calls.Done()
 	leaf := call.Leaf()
 	answer, err := r.send(ctx, leaf, req)
 	res := r.evaluate(ctx, req, leaf, answer, err)
 	res.shard, res.firstRun = i, guardLeaf != ""
-	result := balance.ResultOK
+	balanceResult := balance.ResultOK
 	if res.answer == nil {
-		result = failures[res.failure].result
+		balanceResult = failures[res.failure].result
 	} else {
 		r.q.replicas.Report(leaf, answer.GetLoad())
 	}
-	call.Done(result)
+	call.Done(balanceResult)
 	r.reportToGuard(res, err, guardLeaf)
 	r.q.state.slots.slotFreed(leaf)
 	select {
@@ -79,11 +81,12 @@
 	}
 }
 
-// errStale ends a call that isn't sent.
-var errStale = errors.New("no fresh news of the fleet since the search was planned")
+// errStale is the error of a call that was not sent because the process may have been paused since the search was
+// planned, or no longer has a fresh view of the fleet.
+var errStale = errors.New("process paused or no fresh view of the fleet since the search was planned")
 
-// send makes the call, unless the process may have been paused since the search was let in: leaves, index version
-// and callers may have changed meanwhile.
+// send makes the call unless the process may have been paused since the search was planned or has no fresh view.
+// Leaves, snapshots and callers may have changed meanwhile.
 func (r *run) send(ctx context.Context, leaf string, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 	if !r.e.source.FreshSince(r.q.plannedAt) {
 		return nil, &upstream.CallError{Leaf: leaf, Err: errStale}
@@ -91,7 +94,7 @@
 	return r.e.caller.Search(ctx, leaf, req)
 }
 
-// evaluate turns the end of a call into an event; only an answer that matches its question counts.
+// evaluate turns the end of a call into a callResult. An answer counts only if it matches its request.
 func (r *run) evaluate(ctx context.Context, req *pb.LeafSearchRequest, leaf string, answer *pb.LeafSearchResponse, err error) callResult {
 	if err != nil {
 		f := classify(ctx, err)
@@ -107,7 +110,8 @@
 	return callResult{leaf: leaf, answer: answer, wrote: true, survived: true}
 }
 
-// reportToGuard tells the guard how the leaf and the request fared, and leaves the gate.
+// reportToGuard reports to the guard what the call shows about the leaf and the request. For a call of the first run it
+// also ends the admission of the call at guardLeaf.
 func (r *run) reportToGuard(res callResult, err error, guardLeaf string) {
 	alone := false
 	if guardLeaf != "" {
@@ -133,7 +137,7 @@
 	}
 }
 
-// handleResult takes in the end of a call.
+// handleResult processes the end of a call.
 func (r *run) handleResult(res callResult) {
 	s := &r.shards[res.shard]
 	s.inFlight--
@@ -147,18 +151,21 @@
 	r.handleFailure(res)
 }
 
+// handleAnswer records the first answer of a shard and cancels the other calls of the shard. The first answer of the
+// run starts the calls to all shards.
 func (r *run) handleAnswer(res callResult) {
 	if s := &r.shards[res.shard]; s.answer == nil {
 		s.answer = res.answer
 		r.markSettled(s)
 		r.coveredShards++
 		r.coveredDocuments += s.documents
-		s.cancel() // the loser of a hedge
+		s.cancel() // cancels the slower call of a hedge
 		r.lastAnswer = time.Now()
 	}
 	r.startFanOut()
 }
 
+// handleFailure processes a call that ended without an answer to merge.
 func (r *run) handleFailure(res callResult) {
 	if res.failure == failSnapshotGone && r.handleSnapshotGone(res.leaf) {
 		return
@@ -171,7 +178,7 @@
 	}
 }
 
-// shardFailed notes the failed call of a shard and reacts to it.
+// shardFailed records the failed call of a shard and reacts to it.
 func (r *run) shardFailed(s *shard, res callResult) {
 	s.failure, s.reason = res.failure, failures[res.failure].reason
 	switch res.failure {
@@ -183,13 +190,14 @@
 	}
 	if res.survived && !r.proven.Load() {
 		s.parked = true
-		r.startFanOut() // reacts to all that is parked
+		r.startFanOut() // also reacts to the failures of parked shards
 		return
 	}
 	r.resolveFailure(res.shard)
 }
 
-// handleSnapshotGone notes that a leaf has dropped the snapshot; true where the query has to run again.
+// handleSnapshotGone records that a leaf no longer holds the snapshot. It returns true if the query has to run again,
+// with the plan in rerunPlan.
 func (r *run) handleSnapshotGone(leaf string) bool {
 	r.e.recordMissingSnapshot(leaf, r.plan.snapshot.Version)
 	now := time.Now()
@@ -204,7 +212,7 @@
 	return true
 }
 
-// resolveFailure applies the rule for the latest failed call of a shard.
+// resolveFailure applies the rule for the latest failed call of shard i.
 func (r *run) resolveFailure(i int) {
 	s := &r.shards[i]
 	switch next := afterFailure(s.failure, r.facts(s)); next {
@@ -226,13 +234,13 @@
 	}
 }
 
-// mayCallMore tells whether the request may go to further leaves: one has answered it, or by the
-// settings it runs anywhere and no connection was lost with it.
+// mayCallMore reports whether the request may be sent to further leaves: either a leaf has answered it, or the
+// settings let it run anywhere and no connection was lost with it.
 func (r *run) mayCallMore() bool { return r.proven.Load() || r.fanOut && r.losses == 0 }
 
-// retry asks another replica of the shard; the shard is missing where the budget refuses. A retry
-// that needs no budget takes from it what is there. It waits for a slot, but not after a refusal
-// for load.
+// retry calls another replica of shard i. The shard is missing if the retry budget refuses. An unbudgeted retry draws
+// on what the budget has, but is sent even if the budget is empty. A retry waits for a slot, except after a refusal for
+// load.
 func (r *run) retry(i int, next step) {
 	s := &r.shards[i]
 	s.anyReplica = next == stepRetryAnyReplica
@@ -251,7 +259,7 @@
 	r.start(i)
 }
 
-// tick does what is due: hedges, and another look for slots.
+// tick sends the hedges that are due and looks for free slots again.
 func (r *run) tick() {
 	now := time.Now()
 	for i := range r.shards {
@@ -262,7 +270,7 @@
 	r.startWaiting()
 }
 
-// hedge sends a second call beside a slow one where rule and budget allow, or looks again later.
+// hedge sends a second call beside a slow one if the rule and the budget allow it. Otherwise it postpones the hedge.
 func (r *run) hedge(i int, now time.Time) {
 	s := &r.shards[i]
 	s.hedgeAt = now.Add(r.q.replicas.HedgeAfter(s.replicas))
@@ -271,7 +279,7 @@
 		return
 	}
 	candidates := r.candidates(s)
-	if r.q.replicas.HedgeAfter(candidates) == balance.NoHedge { // no room now; the budget isn't asked in vain
+	if r.q.replicas.HedgeAfter(candidates) == balance.NoHedge { // no free slot now; a request to the budget would be wasted
 		s.hedgeAt = now.Add(hedgePollInterval)
 		return
 	}
@@ -290,7 +298,7 @@
 	r.launch(i, call, "")
 }
 
-// timerDelay returns how long nothing is due.
+// timerDelay returns the time until the next hedge, slot poll, early answer or deadline is due.
 func (r *run) timerDelay() time.Duration {
 	now := time.Now()
 	due := r.q.deadline
--- a/internal/search/check.go
+++ b/internal/search/check.go
@@ -6,10 +6,10 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// Mismatch names what of an answer differs from what was asked; it labels the metric.
+// Mismatch names the field in which an answer differs from its request. It is a label value of the metric.
 type Mismatch string
 
-// The ways in which an answer can differ from what was asked.
+// The ways in which an answer can differ from its request.
 const (
 	MismatchNone     Mismatch = ""
 	MismatchRequest  Mismatch = "request_id"
@@ -17,11 +17,11 @@
 	MismatchShard    Mismatch = "shard"
 	MismatchSnapshot Mismatch = "snapshot"
 	MismatchDigest   Mismatch = "query_digest"
-	// MismatchHit is a hit of another shard, or one whose score is not a number.
+	// MismatchHit means a hit of another shard, or one whose score is NaN.
 	MismatchHit Mismatch = "hit"
 )
 
-// checkAnswer compares an answer with its question. Only an answer without mismatch is merged.
+// checkAnswer compares an answer with its request. Only an answer without a mismatch is merged.
 func checkAnswer(req *pb.LeafSearchRequest, digest uint64, got *pb.LeafSearchResponse) Mismatch {
 	switch {
 	case got.GetRequestId() != req.GetRequestId():
--- a/internal/search/coverage.go
+++ b/internal/search/coverage.go
@@ -4,18 +4,19 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// shardResult is how one shard of a run stands: merged, or missing for a reason.
+// shardResult is the result of one shard of a run: merged, or missing for a reason.
 type shardResult struct {
 	id        uint32
 	documents uint64
-	// answer is nil while nothing that can be merged has come.
+	// answer is nil until an answer that can be merged arrives.
 	answer *pb.LeafSearchResponse
 	reason pb.Reason
-	// peer is the last leaf asked.
+	// peer is the leaf called last.
 	peer string
 }
 
-// coverageOf counts only shards whose answer is merged; all others are listed as missing.
+// coverageOf returns the coverage of the results. Only shards whose answer is merged count as covered; all others are
+// listed as missing.
 func coverageOf(results []shardResult) *pb.Coverage {
 	c := &pb.Coverage{ShardsTotal: uint32(len(results))}
 	for i := range results {
@@ -31,12 +32,13 @@
 	return c
 }
 
-// coveredShare is the covered share of the answer.
+// coveredShare returns the share of the data that the answer covers, 0 to 1.
 func coveredShare(c *pb.Coverage) float64 {
 	return coveredFraction(c.GetDocumentsCovered(), c.GetDocumentsTotal(), int(c.GetShardsCovered()), int(c.GetShardsTotal()))
 }
 
-// coveredFraction is the covered share of the documents, 0 to 1; of the shards where no document is listed.
+// coveredFraction returns the covered fraction of the documents, 0 to 1. If no documents are listed, it returns the
+// covered fraction of the shards.
 func coveredFraction(documents, allDocuments uint64, shards, allShards int) float64 {
 	switch {
 	case allDocuments > 0:
--- a/internal/search/decide.go
+++ b/internal/search/decide.go
@@ -7,47 +7,48 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// maxUnbudgetedLosses is how many broken connections of one shard are retried without the budget. A
-// crashing request may end two replicas of a group at about the same time.
+// maxUnbudgetedLosses is how many lost connections of one shard are retried without the retry budget. A crashing
+// request may end two replicas of a group at about the same time.
 const maxUnbudgetedLosses = 2
 
-// shardFacts is what the rules for one shard look at.
+// shardFacts is the input of the retry and hedge rules for one shard.
 type shardFacts struct {
-	// inFlight calls in flight, tries made so far.
+	// inFlight is the number of calls in flight, attempts the number of calls made so far.
 	inFlight, attempts int
-	// sheds is how many replicas refused for load in this run.
+	// sheds is the number of replicas that refused for load in this run.
 	sheds int
-	// losses is how many connections broke with a call of the shard.
+	// losses is the number of connections lost with a call of the shard.
 	losses int
-	// untried is how many usable replicas were not asked yet.
+	// untried is the number of usable replicas that were not called yet.
 	untried int
-	// usable is how many replicas may be asked at all.
+	// usable is the number of replicas that may be called, including those called before.
 	usable int
-	// hedged is true where a hedge was sent.
+	// hedged is true if a hedge was sent or is ruled out.
 	hedged bool
 	// mayCallMore is false while the request may crash the leaf that it is sent to.
 	mayCallMore bool
 }
 
-// step is what to do about a shard whose call failed.
+// step is the reaction to a failed call of a shard.
 type step int
 
 const (
-	// stepGiveUp: the shard is missing.
+	// stepGiveUp reports the shard as missing.
 	stepGiveUp step = iota
-	// stepWait: another call of the shard is still in flight.
+	// stepWait waits for another call of the shard that is still in flight.
 	stepWait
-	// stepPark: asking again waits until some leaf has answered the request.
+	// stepPark postpones the next call until a leaf has answered the request.
 	stepPark
-	// stepRetry: ask another replica where the budget allows.
+	// stepRetry calls another replica if the retry budget allows it.
 	stepRetry
-	// stepRetryFree: ask another replica; the failed call was no load to an upstream.
+	// stepRetryUnbudgeted calls another replica without the retry budget: the failed call put no load on an upstream
+	// that still runs.
 	stepRetryUnbudgeted
-	// stepRetryAny: ask any replica, the same one too; the failed call was no load to an upstream.
+	// stepRetryAnyReplica calls any replica, including those called before: the failed call put no load on an upstream.
 	stepRetryAnyReplica
 )
 
-// afterFailure is the rule for a failed call of a shard.
+// afterFailure returns the reaction to a failed call of a shard.
 func afterFailure(f failure, s shardFacts) step {
 	facts := failures[f]
 	switch {
@@ -69,23 +70,23 @@
 	return stepRetry
 }
 
-// mayHedge is the rule for a second call beside one that takes long. The budget is asked only
-// where it says yes.
+// mayHedge reports whether a second call may be made beside one that takes long. The hedge budget is asked only if it
+// returns true.
 func mayHedge(s shardFacts) bool {
 	return s.inFlight == 1 && !s.hedged && s.sheds == 0 && s.untried > 0 && s.mayCallMore && s.attempts < maxAttempts
 }
 
-// policy is what the kind says of late shards, with the service's usual time.
+// policy is the kind's policy for late shards, with the typical time of the service.
 type policy struct {
 	partial       bundle.Partial
 	earlyCoverage float64
 	earlyAfter    float64
-	// typical is the usual time of the slowest shard, 0 while it isn't known.
+	// typical is the typical time of the slowest shard, 0 while it is unknown.
 	typical time.Duration
 }
 
-// earlyAt returns how long after its start a search may be answered without its stragglers, and
-// whether it ever may.
+// earlyAt returns how long after its start a search may be answered without its stragglers, and whether it may be at
+// all.
 func (p policy) earlyAt() (time.Duration, bool) {
 	if p.partial != bundle.PartialLatency || p.typical <= 0 || p.earlyAfter <= 0 {
 		return 0, false
@@ -93,7 +94,7 @@
 	return time.Duration(p.earlyAfter * float64(p.typical)), true
 }
 
-// early tells whether to answer now without the shards that are late.
+// early reports whether to answer now without the shards that are late.
 func (p policy) early(elapsed time.Duration, covered float64) bool {
 	at, allowed := p.earlyAt()
 	return allowed && elapsed >= at && covered > 0 && covered >= p.earlyCoverage
@@ -107,7 +108,8 @@
 	return min(n, max(1, int(math.Ceil(p.earlyCoverage*float64(n)))))
 }
 
-// mayRerun tells whether a whole query may run again at another snapshot.
+// mayRerun reports whether a whole query may run again at another snapshot: at most once, and only if more than the
+// typical time remains. While that is unknown, the time elapsed in the current run stands in for it.
 func mayRerun(reruns int, remaining, typical, elapsed time.Duration) bool {
 	required := typical
 	if required == 0 {
--- a/internal/search/engine.go
+++ b/internal/search/engine.go
@@ -17,10 +17,10 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// Step names this duty in outcomes.
+// Step names this step of a request in outcomes.
 const Step = "gather.search"
 
-// Balancers gives the replica choice of a service.
+// Balancers provides the load balancer of a service.
 type Balancers interface {
 	For(service string) balance.Replicas
 }
@@ -36,25 +36,26 @@
 	calls     sync.WaitGroup
 
 	mu sync.Mutex
-	// services by name, and lacking, the snapshots that leaves refused; both guarded by mu.
+	// services holds the state of each service by its name, missingSnapshots until when a leaf that refused a snapshot
+	// is taken to lack it. Both are guarded by mu.
 	services         map[string]*serviceState
 	missingSnapshots map[leafSnapshot]time.Time
 }
 
-// serviceState is what the engine learned of one service.
+// serviceState is what the engine has learned about one service.
 type serviceState struct {
 	typical typicalTime
 	slots   *slotQueue
 	limiter *limiter
 }
 
-// leafSnapshot names a snapshot at a leaf.
+// leafSnapshot identifies a snapshot at a leaf.
 type leafSnapshot struct {
 	leaf    string
 	version uint64
 }
 
-// New returns an engine that has learned nothing yet.
+// New returns an engine without any learned state.
 func New(s Settings, source feed.Source, caller upstream.Caller, b Balancers, guard *quarantine.Registry, m *Metrics) *Engine {
 	return &Engine{
 		settings: s, source: source, caller: caller, balancers: b, guard: guard, metrics: m,
@@ -62,7 +63,7 @@
 	}
 }
 
-// query is what is fixed for one search from its arrival on.
+// query holds what is fixed for one search when it arrives.
 type query struct {
 	identity *pb.Identity
 	bundle   *bundle.Bundle
@@ -74,18 +75,19 @@
 	replicas balance.Replicas
 	state    *serviceState
 	started  time.Time
-	// plannedAt is a time before the view was taken by which the search goes.
+	// plannedAt is a time just before the search took the view that it is planned by.
 	plannedAt time.Time
-	// deadline is when the answer must be made, the caller's one less the margin.
+	// deadline is when the answer must be ready: the caller's deadline less the margin.
 	deadline time.Time
-	// slotWait is how long the search waited for slots of leaves; set by its runs as they end.
+	// slotWait is how long the search waited for slots of leaves. Each run adds to it when it ends.
 	slotWait time.Duration
-	// blockedTime is how long it waited for leaves that it couldn't ask yet; set as waited is.
+	// blockedTime is how long the search waited for leaves that it was not allowed to call yet. Each run adds to it when
+	// it ends.
 	blockedTime time.Duration
 }
 
-// Search answers a search of an identified caller. An error is an *outcome.Error. The answer holds
-// hits of one snapshot only, and its coverage counts only shards whose answer is merged.
+// Search answers a search of an identified caller. An error is an *outcome.Error. The answer holds hits of one
+// snapshot only, and its coverage counts only shards whose answer is merged.
 func (e *Engine) Search(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*pb.SearchResponse, error) {
 	q, err := e.newQuery(ctx, identity, req)
 	if err != nil {
@@ -101,13 +103,13 @@
 	return a, nil
 }
 
-// answerWhenAdmitted answers once the gate of the service lets the search in.
+// answerWhenAdmitted answers the search once the concurrency limiter of the service admits it.
 func (e *Engine) answerWhenAdmitted(ctx context.Context, q *query) (*pb.SearchResponse, error) {
 	if q.state.limiter == nil {
 		return e.answer(ctx, q)
 	}
 	if !q.state.limiter.enter(ctx, q.kind.Weight, q.queueWait()) {
-		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "too many searches run").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "concurrency limit of the service reached").After(e.settings.RetryAfter.D())
 	}
 	started := time.Now()
 	defer func() {
@@ -117,10 +119,10 @@
 	return e.answer(ctx, q)
 }
 
-// queueWait is how long the search waits at the gate beyond the gate's own bound: a kind that weighs
-// coverage most has a part of its time to spare when the searches that run are held up, as by
-// connections gone silent. It finds no more places in the queue than run at once, so that overload
-// is refused at once as before.
+// queueWait returns how long the search may wait at the limiter if that is longer than the limiter's own maximum. A
+// kind that prefers coverage can spend a part of its time waiting while the running searches are delayed, for instance
+// by connections that have gone silent. The queue still holds no more searches than run at once, so overload is refused
+// immediately.
 func (q *query) queueWait() time.Duration {
 	if q.kind.Partial != bundle.PartialCoverage {
 		return 0
@@ -128,7 +130,7 @@
 	return q.deadline.Sub(q.started) / queueWaitDivisor
 }
 
-// newQuery checks a request against the bundle in force. Nothing has been sent when it refuses.
+// newQuery checks a request against the bundle in force. When it returns an error, nothing has been sent.
 func (e *Engine) newQuery(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*query, error) {
 	plannedAt := time.Now()
 	b := e.source.Current().Bundle
@@ -147,7 +149,7 @@
 		return nil, outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "query is not UTF-8 or top_k is negative")
 	}
 	if len(req.GetQuery()) > b.Limits.MaxQueryBytes || int(req.GetTopK()) > b.Limits.MaxTopK {
-		return nil, outcome.NotRun(pb.Reason_REASON_TOO_LARGE, Step, "query or top_k above the limit")
+		return nil, outcome.NotRun(pb.Reason_REASON_TOO_LARGE, Step, "query or top_k exceeds the limit")
 	}
 	q := &query{
 		identity: identity, bundle: b, service: s, kind: k, text: req.GetQuery(),
@@ -160,7 +162,7 @@
 	return q, e.setDeadline(ctx, q)
 }
 
-// setDeadline keeps a margin of the caller's time for the way back.
+// setDeadline reserves a margin of the caller's time for the return of the answer.
 func (e *Engine) setDeadline(ctx context.Context, q *query) error {
 	end, ok := ctx.Deadline()
 	if latest := q.started.Add(q.kind.Timeout); !ok {
@@ -188,11 +190,11 @@
 	return s
 }
 
-// answer runs the query, a second time where a snapshot was dropped under it.
+// answer runs the query, and a second time if its snapshot was dropped during the first run.
 func (e *Engine) answer(ctx context.Context, q *query) (*pb.SearchResponse, error) {
 	p := choosePlan(q.service, e.fleet())
 	if p == nil {
-		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard can be asked").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard of any snapshot has a usable replica").After(e.settings.RetryAfter.D())
 	}
 	sent := false
 	for reruns := 0; ; reruns++ {
@@ -210,7 +212,8 @@
 	}
 }
 
-// failedIfSent keeps not_run for requests of which nothing was sent.
+// failedIfSent returns err with not_run turned into failed if anything was sent. The kind not_run is only for requests
+// of which nothing was sent.
 func failedIfSent(err *outcome.Error, sent bool) error {
 	if !sent {
 		return err
@@ -220,10 +223,10 @@
 	return &failed
 }
 
-// fleet returns what is known of the leaves now.
+// fleet returns the current state of the leaves.
 func (e *Engine) fleet() fleet { return fleet{state: e.caller.State, lacksSnapshot: e.lacksSnapshot} }
 
-// lacksSnapshot tells whether the leaf refused the version lately.
+// lacksSnapshot reports whether the leaf refused the version within missingSnapshotTTL.
 func (e *Engine) lacksSnapshot(leaf string, version uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -245,5 +248,5 @@
 	e.missingSnapshots[leafSnapshot{leaf, version}] = time.Now().Add(missingSnapshotTTL)
 }
 
-// Wait returns when no call to a leaf is in flight any more. No search may be started beside it.
+// Wait returns when no call to a leaf is in flight. No search may start concurrently with it.
 func (e *Engine) Wait() { e.calls.Wait() }
--- a/internal/search/failure.go
+++ b/internal/search/failure.go
@@ -11,39 +11,40 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// failure says how a call to a leaf ended without an answer to merge.
+// failure classifies how a call to a leaf ended without an answer to merge.
 type failure int
 
 const (
-	// failNotSent: no byte reached the leaf.
+	// failNotSent means that no byte reached the leaf.
 	failNotSent failure = iota
-	// failLost: the connection broke, as it does when the leaf crashes.
+	// failLost means that the connection broke, as it does when the leaf crashes.
 	failLost
-	// failSilent: the connection went silent, which says nothing about the leaf.
+	// failSilent means that the connection went silent, which says nothing about the leaf.
 	failSilent
-	// failStale: the call was not sent, for the process was paused or hears nothing since it was planned.
+	// failStale means that the call was not sent because the process was paused, or has received no updates, since the
+	// search was planned.
 	failStale
-	// failShed: the leaf refused for load.
+	// failShed means that the leaf refused for load.
 	failShed
-	// failDraining: the leaf is leaving.
+	// failDraining means that the leaf is leaving.
 	failDraining
-	// failSnapshot: the leaf doesn't hold the snapshot.
+	// failSnapshotGone means that the leaf does not hold the snapshot.
 	failSnapshotGone
-	// failShard: the leaf doesn't hold the shard.
+	// failWrongShard means that the leaf does not hold the shard.
 	failWrongShard
-	// failDeadline: the time ran out, here or at the leaf.
+	// failDeadline means that the time ran out, here or at the leaf.
 	failDeadline
-	// failCancelled: the call was given up here.
+	// failCancelled means that the call was cancelled here.
 	failCancelled
-	// failAnswered: the leaf answered with an error.
+	// failErrorAnswer means that the leaf answered with an error.
 	failErrorAnswer
-	// failMismatch: the answer was to another question.
+	// failMismatch means that the answer does not match the request.
 	failMismatch
-	// failOther is anything else.
+	// failOther means anything else.
 	failOther
 )
 
-// refusals maps the refusals of a leaf that didn't start the work.
+// refusals maps the refusal reasons of a leaf that did not start the work.
 var refusals = map[pb.LeafRefusalReason]failure{
 	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED:          failShed,
 	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING:      failDraining,
@@ -52,7 +53,7 @@
 	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE:      failDeadline,
 }
 
-// classify sorts the error of a call; ctx is the call's own.
+// classify returns the failure for the error of a call. ctx is the context of the call.
 func classify(ctx context.Context, err error) failure {
 	var ce *upstream.CallError
 	if !errors.As(err, &ce) {
@@ -80,21 +81,20 @@
 	return failOther
 }
 
-// failureFacts is what the rest of the system needs to know of a failure.
+// failureFacts holds the properties of a failure.
 type failureFacts struct {
 	name string
-	// reason stands in the coverage where the shard stays missing.
+	// reason is reported in the coverage if the shard stays missing.
 	reason pb.Reason
-	// result goes to the balancer.
+	// result is reported to the balancer.
 	result balance.Result
-	// retryable is true where another replica may be asked.
+	// retryable is true if another replica may be called.
 	retryable bool
-	// unbudgeted is true where the call has cost no upstream anything, as far as can be known: it was not
-	// sent, or went into a silent connection. Asking again needs no budget then. The first retries
-	// of a shard after broken connections need none either: only the calls in flight at one moment
-	// are lost so, and the leaf that worked on them is gone.
+	// unbudgeted is true if the call, as far as can be known, cost no upstream anything: it was not sent, or went into a
+	// silent connection. Its retry needs no budget. The first retries of a shard after lost connections need none either:
+	// only the calls in flight at one moment are lost that way, and the leaf that worked on them is gone.
 	unbudgeted bool
-	// survived is true where the leaf has surely run the request and lived on.
+	// survived is true if the leaf certainly ran the request without crashing.
 	survived bool
 }
 
--- a/internal/search/gate.go
+++ b/internal/search/gate.go
@@ -10,58 +10,58 @@
 )
 
 const (
-	// minWindow and gateSamples are the least length and number of searches of a window.
+	// minWindow and minWindowSearches are the minimum length of a window and the minimum number of searches in it.
 	minWindow         = 100 * time.Millisecond
 	minWindowSearches = 8
-	// waitTolerance is how long searches may wait for slots, by the time they don't wait.
+	// waitTolerance is the tolerated time spent waiting for slots, as a fraction of the time spent otherwise.
 	waitTolerance = 0.5
-	// limitDecrease is what is left of the limit after a window of more waiting; gateGrowth is what is
-	// added, in parts of the limit but at least one, where the limit was reached without it.
+	// limitDecrease is the factor applied to the limit after a window with more waiting. limitIncrease is the fraction of
+	// the limit that is added, at least 1, after a window that reached the limit without such waiting.
 	limitDecrease = 0.85
 	limitIncrease = 0.1
-	// minLimit is the least limit.
+	// minLimit is the lower bound of the limit.
 	minLimit = 2
 )
 
-// limiter bounds the searches of one service that run at once at this gather. A search needs a slot in
-// every group. Let in without bound, each would hold slots in some groups while it waits in others,
-// and above capacity hardly one would get them all in time. The limit follows the time that
-// searches wait for slots, and not their latency: with a straggler more have to run at once, not
-// fewer. Those that don't fit wait in a short queue, heavier kinds first, and are refused at once
-// where it is full.
+// limiter limits how many searches of one service run at once at this gather. A search needs a slot in every group.
+// Without a limit, each search would hold slots in some groups while it waits in others, and above capacity hardly any
+// would get all its slots in time. The limit follows the time that searches wait for slots, not their latency: with a
+// straggler, more searches have to run at once, not fewer. Searches above the limit wait in a short queue, heavier
+// kinds first, and are refused immediately if it is full.
 //
-// Where no search ends any more, as while all connections to leaves have gone silent and aren't given up yet, the
-// slots that the running ones hold say nothing of the load. As many again are let in then, or as many as at the start
-// where that is more, and what searches of that time waited is left out of the window. It is safe for concurrent use.
+// While no search ends at all, for instance because all connections to leaves have gone silent and are not closed yet,
+// the slots held by the running searches say nothing about the load. During such a standstill the limiter admits up to
+// twice the limit, or the initial limit if that is more, and leaves the searches that waited then out of the window. A
+// limiter is safe for concurrent use.
 type limiter struct {
 	mu sync.Mutex
-	// The rest is guarded by mu. limit bounds running; queue is in the order in which searches start.
+	// The fields below are guarded by mu. limit bounds running. queue is in the order in which searches start.
 	limit   float64
 	running int
 	queue   []*queueEntry
-	// The window under way: its start, its searches, their time waited for slots and their time
-	// besides, and the most that ran at once.
+	// The current window: its start, the number of searches that ended in it, the time they waited for slots, the time
+	// they spent otherwise, and the maximum number of searches that ran at once.
 	windowStart            time.Time
 	windowSearches         int
 	windowWait, windowBusy time.Duration
 	windowPeak             int
-	// completionRate is how many searches a second ended in the last window, 0 where the limit wasn't reached in
-	// it, so that it tells nothing of what can be done; longest is how long one may wait, fixed.
+	// completionRate is the number of searches per second that ended in the last window. It is 0 if that window did not
+	// reach the limit and so does not show what the leaves can do. maxWait is the fixed maximum time in the queue.
 	completionRate float64
 	maxWait        time.Duration
-	// shortestTime is the shortest time of a search in the last window, of the first search before its end, and 0 before
-	// that; shortest is that of the window under way. ended is when a search ended last, or began where none ran;
-	// resumed is when the last standstill was over.
+	// shortestTime is the shortest time of a search in the last window. Before the first window ends it is the time of
+	// the first search, and 0 before any search ends. windowShortest is the shortest time in the current window. lastEnd
+	// is when a search last ended, or when one started while none ran. standstillEnd is when the last standstill ended.
 	shortestTime, windowShortest time.Duration
 	lastEnd, standstillEnd       time.Time
-	// minStandstillLimit is how many may run in a standstill where the limit is low, fixed.
+	// minStandstillLimit is the fixed number of searches that may run in a standstill even if the limit is lower.
 	minStandstillLimit int
 }
 
 // queueEntry is a search in the queue.
 type queueEntry struct {
 	weight int
-	// decision gets true where the search may start, false where a heavier one took the place.
+	// decision receives true when the search may start, and false when a heavier search displaces it.
 	decision chan bool
 }
 
@@ -70,8 +70,8 @@
 	return &limiter{limit: float64(limit), maxWait: maxWait, minStandstillLimit: limit}
 }
 
-// minGroupSlots returns the slots of the group that has the fewest: what can't run at once in the fleet
-// need not run at once at a gather.
+// minGroupSlots returns the number of slots of the group that has the fewest. A gather need not run more searches at
+// once than the whole fleet can.
 func minGroupSlots(s *bundle.Service) int {
 	fewest := 0
 	for _, sn := range s.Snapshots {
@@ -90,8 +90,8 @@
 	return fewest
 }
 
-// enter returns true once the search may start, and false where it has to be refused. It waits for
-// patience or the gate's longest wait, whichever is longer.
+// enter returns true once the search may start, and false if it has to be refused. The search waits at most for the
+// longer of wait and maxWait.
 func (l *limiter) enter(ctx context.Context, weight int, wait time.Duration) bool {
 	wait = max(l.maxWait, wait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -108,7 +108,7 @@
 	}
 }
 
-// admit starts a search (nil, true), gives it a place in the queue, or refuses it (nil, false).
+// admit starts a search (nil, true), queues it (entry, false) or refuses it (nil, false).
 func (l *limiter) admit(weight int, wait time.Duration) (*queueEntry, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,8 +134,8 @@
 	return entry, false
 }
 
-// queueCapacity is how many searches may wait: as many as get their turn within the patience, by how many ended
-// lately, but no more than run at once. Requires mu.
+// queueCapacity returns how many searches may wait: as many as can start within the wait at the last completion rate,
+// but no more than run at once. Requires mu.
 func (l *limiter) queueCapacity(wait time.Duration) int {
 	if l.completionRate == 0 {
 		return int(l.limit)
@@ -143,7 +143,7 @@
 	return max(1, min(int(l.limit), int(l.completionRate*wait.Seconds())))
 }
 
-// displace refuses the last of the queue for a heavier search. Requires mu.
+// displace refuses the last search in the queue in favor of a heavier one. Requires mu.
 func (l *limiter) displace(weight int) bool {
 	last := len(l.queue) - 1
 	if last < 0 || l.queue[last].weight >= weight {
@@ -154,18 +154,18 @@
 	return true
 }
 
-// withdraw ends a wait; true where the turn came at the same moment, or in a standstill.
-func (l *limiter) withdraw(p *queueEntry) bool {
+// withdraw ends a wait. It returns true if the search was admitted at the same moment, or starts in a standstill.
+func (l *limiter) withdraw(entry *queueEntry) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if i := slices.Index(l.queue, p); i >= 0 {
+	if i := slices.Index(l.queue, entry); i >= 0 {
 		l.queue = slices.Delete(l.queue, i, i+1)
 		return l.startInStandstill()
 	}
-	return <-p.decision
+	return <-entry.decision
 }
 
-// start counts a search in. Requires mu.
+// start counts a search as running. Requires mu.
 func (l *limiter) start() {
 	if l.running == 0 {
 		l.lastEnd = time.Now()
@@ -174,11 +174,11 @@
 	l.windowPeak = max(l.windowPeak, l.running)
 }
 
-// leave ends a search that waited for slots for a part of the time it took.
+// leave ends a search that ran for elapsed and waited for slots for a part of it.
 func (l *limiter) leave(now time.Time, elapsed, waited time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.recordEnd(time.Now()) // by the clock that start and startStanding go by
+	l.recordEnd(time.Now()) // the same clock as in start and startInStandstill
 	l.running--
 	if started := now.Add(-elapsed); started.After(l.standstillEnd) {
 		l.record(elapsed, waited)
@@ -187,7 +187,7 @@
 	l.startQueued()
 }
 
-// pause lets another search run in place of one that waits for something else than slots, which stepIn ends.
+// pause lets another search run in place of one that waits for something other than slots, until resume.
 func (l *limiter) pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -195,13 +195,14 @@
 	l.startQueued()
 }
 
+// resume counts a paused search as running again.
 func (l *limiter) resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.start()
 }
 
-// startQueued starts as many of the queue as may run. Requires mu.
+// startQueued starts as many searches of the queue as the limit allows. Requires mu.
 func (l *limiter) startQueued() {
 	for len(l.queue) > 0 && l.running < int(l.limit) {
 		l.queue[0].decision <- true
@@ -210,7 +211,7 @@
 	}
 }
 
-// record takes a search into the window. Requires mu.
+// record adds a search to the window. Requires mu.
 func (l *limiter) record(elapsed, waited time.Duration) {
 	l.windowSearches++
 	l.windowWait += waited
@@ -244,7 +245,7 @@
 	l.openWindow(now)
 }
 
-// openWindow begins a window. Requires mu.
+// openWindow starts a new window. Requires mu.
 func (l *limiter) openWindow(now time.Time) {
 	l.windowStart, l.windowSearches, l.windowWait, l.windowBusy, l.windowPeak, l.windowShortest = now, 0, 0, 0, l.running, 0
 }
--- a/internal/search/merge.go
+++ b/internal/search/merge.go
@@ -8,8 +8,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// compareHits orders hits: higher scores first, ties by document and then by shard, so that equal
-// answers give equal results whatever order they came in.
+// compareHits orders hits by descending score, ties by document and then by shard. Equal answers therefore give equal
+// results in whatever order they arrive.
 func compareHits(a, b *pb.Hit) int {
 	if c := cmp.Compare(b.GetScore(), a.GetScore()); c != 0 {
 		return c
@@ -20,7 +20,7 @@
 	return cmp.Compare(a.GetShard(), b.GetShard())
 }
 
-// worstFirst is a heap of hits with the worst at its top.
+// worstFirst is a heap of hits with the worst at the top.
 type worstFirst []*pb.Hit
 
 func (h worstFirst) Len() int           { return len(h) }
@@ -50,7 +50,7 @@
 	return best
 }
 
-// offer keeps the hit where it is among the best n.
+// offer keeps the hit if it is among the best n.
 func (h *worstFirst) offer(hit *pb.Hit, n int) {
 	if len(*h) < n {
 		heap.Push(h, hit)
--- a/internal/search/metrics.go
+++ b/internal/search/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// Metrics of the duty.
+// Metrics holds the metrics of searches.
 type Metrics struct {
 	searches   *prometheus.CounterVec
 	seconds    *prometheus.HistogramVec
@@ -24,7 +24,7 @@
 	statuses   *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics of the duty.
+// NewMetrics registers the metrics of searches with reg. It panics if one is registered already.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		c := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
@@ -53,7 +53,7 @@
 	}
 }
 
-// recordSearch counts a search.
+// recordSearch counts a search that ended with the answer a or with err.
 func (m *Metrics) recordSearch(q *query, a *pb.SearchResponse, err error) {
 	o := a.GetOutcome()
 	if e, ok := outcome.As(err); ok {
--- a/internal/search/place.go
+++ b/internal/search/place.go
@@ -8,36 +8,35 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// shard is how one shard of a run stands.
+// shard is the state of one shard of a run.
 type shard struct {
 	target
 	request *pb.LeafSearchRequest
 	answer  *pb.LeafSearchResponse
-	// settled is true once no further call will be made for it.
+	// settled is true once no further call will be made for the shard.
 	settled bool
 	reason  pb.Reason
 	peer    string
-	// parked is true where it is to be asked again once a leaf has answered the request; its latest
-	// call ended in failure.
+	// parked is true if the latest call failed and the next one waits until a leaf has answered the request.
 	parked  bool
 	failure failure
-	// awaitingSlot is true while it waits for a slot, waitingSince when the wait began, waited how long it
-	// took until the first call.
+	// awaitingSlot is true while the shard waits for a slot. waitingSince is when that wait began, and slotWait the total
+	// wait before calls.
 	awaitingSlot                      bool
 	waitingSince                      time.Time
 	slotWait                          time.Duration
 	inFlight, attempts, sheds, losses int
 	hedged                            bool
 	attempted                         []string
-	// anyReplica is true where a replica may be asked a second time.
+	// anyReplica is true if a replica may be called a second time.
 	anyReplica bool
 	hedgeAt    time.Time
-	// ctx is of the shard's calls, set at the first.
+	// ctx is the context of the shard's calls, set at the first call.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// start places a call of a shard, or waits for a slot.
+// start launches a call of shard i, or waits for a slot.
 func (r *run) start(i int) {
 	s := &r.shards[i]
 	s.awaitingSlot = false
@@ -65,7 +64,7 @@
 	s.awaitingSlot = true
 }
 
-// endSlotWait notes how long the shard waited for a slot.
+// endSlotWait adds the current wait for a slot, if any, to slotWait.
 func (s *shard) endSlotWait() {
 	if !s.waitingSince.IsZero() {
 		s.slotWait += time.Since(s.waitingSince)
@@ -73,8 +72,8 @@
 	}
 }
 
-// setBlocked notes whether the run waits for leaves that it may not ask yet. That is no wait for slots, and others run
-// meanwhile: counted as load, a few such searches had all others refused.
+// setBlocked records whether the run waits for leaves that it is not allowed to call yet. This is not a wait for slots,
+// so other searches run meanwhile. When it counted as load, a few such searches caused all others to be refused.
 func (r *run) setBlocked(blocked bool) {
 	if blocked != r.blockedSince.IsZero() {
 		return
@@ -94,8 +93,8 @@
 	}
 }
 
-// slotWait returns how long the run waited for slots: for the first call, and after it for the share of
-// the shards that its kind waits for.
+// slotWait returns how long the run waited for slots: until the first call, and after it for as many shards as its kind
+// waits for.
 func (r *run) slotWait() time.Duration {
 	if r.firstSent.IsZero() {
 		return time.Since(r.started) - r.blockedTime
@@ -109,7 +108,7 @@
 	return r.firstSent.Sub(r.started) + waits[r.policy().needed(len(waits))-1]
 }
 
-// startWithoutWait places a call of a shard, which is missing where there is no slot.
+// startWithoutWait launches a call of shard i. The shard is missing if no candidate has a free slot.
 func (r *run) startWithoutWait(i int, candidates []string) {
 	if call, ok := r.q.replicas.Pick(candidates); ok {
 		r.launch(i, call, "")
@@ -125,10 +124,10 @@
 	return reason
 }
 
-// candidates returns the replicas of the shard that may be asked now.
+// candidates returns the replicas of the shard that may be called now.
 func (r *run) candidates(s *shard) []string { return r.usableReplicas(s, s.anyReplica) }
 
-// usableReplicas returns the usable replicas of the shard; those asked before too where again is set.
+// usableReplicas returns the usable replicas of the shard. Those called before are included if includeAttempted is set.
 func (r *run) usableReplicas(s *shard, includeAttempted bool) []string {
 	list := make([]string, 0, len(s.replicas))
 	for _, l := range s.replicas {
@@ -139,7 +138,7 @@
 	return list
 }
 
-// awaitSlot registers for a slot of the leaves; false where too many searches wait already.
+// awaitSlot registers the run for a slot of the leaves. It returns false if too many searches wait already.
 func (r *run) awaitSlot(leaves []string) bool {
 	if r.waiter == nil {
 		r.waiter = r.q.state.slots.join(r.e.settings.MaxWaiting)
@@ -151,7 +150,7 @@
 	return true
 }
 
-// freeSlots returns the channel that tells of free slots, nil while the run never waited.
+// freeSlots returns the channel that receives the leaf of a free slot, nil if the run has never waited.
 func (r *run) freeSlots() <-chan string {
 	if r.waiter == nil {
 		return nil
@@ -159,7 +158,7 @@
 	return r.waiter.wake
 }
 
-// handleFreeSlot takes the slot of the leaf, or passes it on where nothing of the run waits for it.
+// handleFreeSlot uses the free slot of the leaf, or passes it on if nothing in the run waits for it.
 func (r *run) handleFreeSlot(leaf string) {
 	if !r.needsSlot(leaf) {
 		r.q.state.slots.slotFreed(leaf)
@@ -167,6 +166,7 @@
 	r.startWaiting()
 }
 
+// needsSlot reports whether the run can use a free slot of the leaf.
 func (r *run) needsSlot(leaf string) bool {
 	if r.firstRun != nil {
 		return true
@@ -185,7 +185,7 @@
 	}
 }
 
-// startWaiting tries again for all that waits for a slot.
+// startWaiting retries everything that waits for a slot.
 func (r *run) startWaiting() {
 	for i := range r.shards {
 		if r.shards[i].awaitingSlot {
--- a/internal/search/plan.go
+++ b/internal/search/plan.go
@@ -7,12 +7,11 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// plan is the snapshot of one run and where its shards may be asked. It is fixed before the first
-// call is sent.
+// plan is the snapshot of one run with the usable replicas of its shards. It is fixed before the first call is sent.
 type plan struct {
 	snapshot *bundle.Snapshot
 	shards   []target
-	// documents of all shards, each counted once.
+	// documents is the number of documents of all shards, each shard counted once.
 	documents uint64
 }
 
@@ -20,21 +19,21 @@
 type target struct {
 	id        uint32
 	documents uint64
-	// replicas that may be asked now, in the order of the bundle.
+	// replicas are those that may be called now, in the order of the bundle.
 	replicas []string
-	// listed are all replicas of the bundle.
+	// listed are all replicas in the bundle.
 	listed []string
 }
 
-// fleet says what is known of the leaves when a plan is made.
+// fleet gives access to the state of the leaves.
 type fleet struct {
 	state func(leaf string) (upstream.State, bool)
-	// lacksSnapshot tells whether a leaf was found without the version, beside what it says of itself.
+	// lacksSnapshot reports whether a leaf was found without the version, whatever the leaf itself reports.
 	lacksSnapshot func(leaf string, version uint64) bool
 }
 
-// usable tells whether a leaf may be asked for a version: it isn't leaving, can be reached, and
-// isn't known to lack the version. A leaf that nothing is known of can't be called.
+// usable reports whether a leaf may be called for a version: it is not leaving, is connected, and is not known to lack
+// the version. A leaf without a known state cannot be called.
 func (f fleet) usable(leaf string, version uint64) bool {
 	s, known := f.state(leaf)
 	if !known || s.Leaving || !s.Connected {
@@ -46,9 +45,9 @@
 	return !f.lacksSnapshot(leaf, version)
 }
 
-// choosePlan picks the newest snapshot of which every shard has a usable replica; where there is none,
-// the one with the most documents within reach, the newest on ties. It returns nil where no shard
-// of any snapshot can be asked.
+// choosePlan picks the newest snapshot of which every shard has a usable replica. If there is none, it picks the one
+// with the most reachable documents, the newest on ties. It returns nil if no shard of any snapshot has a usable
+// replica.
 func choosePlan(service *bundle.Service, f fleet) *plan {
 	var best *plan
 	var bestDocuments uint64
@@ -80,7 +79,7 @@
 	return sorted
 }
 
-// newPlan lists each shard of the snapshot once; a shard listed again only adds replicas.
+// newPlan lists each shard of the snapshot once. A shard that is listed again only adds replicas.
 func newPlan(s *bundle.Snapshot, f fleet) *plan {
 	p := &plan{snapshot: s, shards: make([]target, 0, len(s.Shards))}
 	index := make(map[uint32]int, len(s.Shards))
@@ -110,7 +109,7 @@
 	}
 }
 
-// firstListed names a replica where none can be asked.
+// firstListed returns the first listed replica, for a shard of which none can be called. It is empty if none is listed.
 func (t *target) firstListed() string {
 	if len(t.listed) == 0 {
 		return ""
@@ -118,7 +117,7 @@
 	return t.listed[0]
 }
 
-// reachable returns the documents and the number of shards that have a usable replica.
+// reachable returns the documents and the number of the shards that have a usable replica.
 func (p *plan) reachable() (documents uint64, shards int) {
 	for i := range p.shards {
 		if len(p.shards[i].replicas) > 0 {
--- a/internal/search/ranking.go
+++ b/internal/search/ranking.go
@@ -7,20 +7,20 @@
 	"github.com/burdockplank/burdockplank/internal/quarantine"
 )
 
-// maxFirstRunLeaves is how many leaves in the whole fleet may be asked first for one request, and so the
-// most that it can crash: every gather ranks the leaves alike.
+// maxFirstRunLeaves is how many leaves in the whole fleet may get the first call of one request, and so the maximum
+// that the request can crash: every gather ranks the leaves alike.
 const maxFirstRunLeaves = 3
 
 // ranked is a leaf of the snapshot with its rank for a request.
 type ranked struct {
 	leaf, zone string
 	rank       uint64
-	// shard is the place in the run of one shard that the leaf holds.
+	// shard is the index in run.shards of one shard that the leaf holds.
 	shard int
 }
 
-// ranking holds the leaves of a snapshot by availability zone; zones and leaves are in the order of
-// their rank for one request, the same at every gather.
+// ranking holds the leaves of a snapshot by availability zone. Zones and leaves are in the order of their rank for one
+// request, which is the same at every gather.
 type ranking [][]ranked
 
 func newRanking(r *run) ranking {
@@ -52,8 +52,9 @@
 	return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.leaf, b.leaf))
 }
 
-// primaries gives the places of each availability zone by rank alone: to the highest ranked of a shard without a
-// place, so that a crashing request can't end a whole group; to the highest ranked where each shard has one.
+// primaries returns the primary leaves of the request: the leaves of each availability zone that may get the first
+// call, chosen by rank alone. The next one in a zone is the highest ranked of a shard without a primary, so that a
+// crashing request cannot end a whole group, or the highest ranked if each shard has a primary.
 func (k ranking) primaries() []ranked {
 	var chosen []ranked
 	for z, n := range k.quotas() {
@@ -66,9 +67,9 @@
 	return chosen
 }
 
-// withSubstitutes gives the fixed places, where that of an absent leaf goes to the next in rank of its zone. The other places
-// stay as they are: were they dealt out anew, gathers that see different leaves would ask up to twice as many. A
-// zone that is lost or cut off leaves its places empty, for those on the other side of a cut still use them.
+// withSubstitutes returns the primaries with each absent one replaced by the next in rank of its zone. The others stay:
+// if all were chosen anew, gathers that see different leaves would call up to twice as many. A zone that is lost or cut
+// off gets no substitutes elsewhere, because the gathers on the other side of a cut still use its primaries.
 func (k ranking) withSubstitutes(absent func(leaf string) bool) []ranked {
 	chosen := k.primaries()
 	for i := 0; i < len(chosen); i++ {
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// quotas deals maxFirst places out to the availability zones in turn, to each as many as it has
-// leaves at most.
+// quotas distributes maxFirstRunLeaves over the availability zones round-robin. A zone gets at most as many as it has
+// leaves.
 func (k ranking) quotas() []int {
 	quotas := make([]int, len(k))
 	for remaining, assigned := maxFirstRunLeaves, true; assigned; {
@@ -113,8 +114,8 @@
 	return quotas
 }
 
-// fallback returns the place of an availability zone that has none of its own, for use where no
-// other place can be reached: with more zones than places, one that is cut off goes on alone.
+// fallback returns one leaf of an availability zone that has no primary, for use if no primary can be reached. If there
+// are more zones than primaries, it lets a zone that is cut off continue alone.
 func (k ranking) fallback(zone string, absent func(leaf string) bool) []ranked {
 	if l, ok := nextLeaf(k.zone(zone), nil, absent); ok {
 		return []ranked{l}
@@ -122,7 +123,8 @@
 	return nil
 }
 
-// nextLeaf returns the leaf of an availability zone that gets the next place.
+// nextLeaf returns the next leaf to choose from the leaves of an availability zone: the highest ranked that is neither
+// chosen nor absent, preferably of a shard without a chosen leaf.
 func nextLeaf(leaves, chosen []ranked, absent func(leaf string) bool) (ranked, bool) {
 	found := -1
 	for i, l := range leaves {
@@ -142,7 +144,7 @@
 	return leaves[found], true
 }
 
-// localFirst orders places with those of the own availability zone in front.
+// localFirst sorts leaves with those of the local availability zone in front.
 func localFirst(leaves []ranked, localZone string) []ranked {
 	slices.SortStableFunc(leaves, func(a, b ranked) int {
 		switch {
--- a/internal/search/result.go
+++ b/internal/search/result.go
@@ -7,8 +7,8 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// response makes the answer of an ended run. sent is true where a byte of the request may have
-// reached a leaf, in this run or the one before.
+// response builds the response of an ended run. sent is true if a byte of the request may have reached a leaf, in this
+// run or the one before.
 func (r *run) response(sent bool) (*pb.SearchResponse, error) {
 	if r.refusal != nil {
 		return nil, failedIfSent(r.refusal, sent)
@@ -42,17 +42,17 @@
 	return o
 }
 
-// insufficientCoverage is the end of a search that has too little to answer with.
+// insufficientCoverage returns the error of a search whose coverage is too low for an answer.
 func (r *run) insufficientCoverage(c *pb.Coverage, sent bool) *outcome.Error {
 	reason, peer := commonReason(c.GetMissing())
 	e := outcome.Failed(reason, Step, "%d of %d shards answered", c.GetShardsCovered(), c.GetShardsTotal())
 	if !sent {
-		e = outcome.NotRun(reason, Step, "no shard was asked")
+		e = outcome.NotRun(reason, Step, "no request reached a leaf")
 	}
 	return e.At(peer).After(r.retryAfter(reason))
 }
 
-// commonReason returns the most frequent reason and the first peer it is given for.
+// commonReason returns the most frequent reason and the first peer given for it.
 func commonReason(missing []*pb.MissingShard) (pb.Reason, string) {
 	counts := make(map[pb.Reason]int)
 	best, peer := pb.Reason_REASON_UPSTREAM_ERROR, ""
@@ -71,7 +71,7 @@
 	return best, peer
 }
 
-// retryAfter says when coming back makes sense; never for a caller that has gone.
+// retryAfter returns the delay after which a retry makes sense, 0 for a caller that has gone.
 func (r *run) retryAfter(reason pb.Reason) time.Duration {
 	if reason == pb.Reason_REASON_CANCELLED {
 		return 0
--- a/internal/search/run.go
+++ b/internal/search/run.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/quarantine"
 )
 
-// run is one scatter of a query over the shards of one snapshot. All fields but outlived belong to
-// the goroutine of loop; calls hand it their ends over the channel events.
+// run is one scatter of a query over the shards of one snapshot. All fields except proven are owned by the goroutine
+// that runs loop. Calls pass their results to it over the channel results.
 type run struct {
 	e       *Engine
 	q       *query
@@ -24,38 +24,38 @@
 
 	key    quarantine.Key
 	shards []shard
-	// firstRun is the first run on one leaf; nil once the request may run anywhere.
+	// firstRun is the first run of the request on one leaf, nil once the request may run anywhere.
 	firstRun *firstRun
-	// proven is true once a leaf has answered the request; calls read it when they end.
+	// proven is true once a leaf has answered the request. Calls read it when they end.
 	proven atomic.Bool
-	// fanOut is true once all shards may be asked.
+	// fanOut is true once all shards may be called.
 	fanOut bool
 
 	results chan callResult
-	// done is closed at the end; calls that end later are counted and dropped.
+	// done is closed when the run ends. Calls that end later are counted and dropped.
 	done chan struct{}
-	// waiter is set from the first wait for a slot on.
+	// waiter is set at the first wait for a slot.
 	waiter *waiter
-	// inFlight calls in flight over all shards; open shards that aren't settled.
+	// inFlight is the number of calls in flight over all shards, unsettled the number of shards that are not settled.
 	inFlight, unsettled int
-	// coveredShards counts the shards merged, documents those in them.
+	// coveredShards is the number of merged shards, coveredDocuments the number of documents in them.
 	coveredShards    int
 	coveredDocuments uint64
-	// blockedSince is since when the run waits for leaves that it may not ask yet, zero while it doesn't; idled is how long
-	// it did before.
+	// blockedSince is when the current wait for leaves that the run is not allowed to call yet began, zero if there is
+	// none. blockedTime is the total of earlier such waits.
 	blockedSince time.Time
 	blockedTime  time.Duration
-	// losses counts connections lost with calls of this run.
+	// losses is the number of connections lost with calls of this run.
 	losses int
-	// sent is true where a byte of the request may have reached a leaf.
+	// sent is true if a byte of the request may have reached a leaf.
 	sent bool
-	// rerunPlan is the plan of another snapshot by which the query has to run again.
+	// rerunPlan is the plan of another snapshot with which the query has to run again.
 	rerunPlan *plan
 	// refusal ends the run without an answer.
 	refusal *outcome.Error
-	// early is true where the policy ended the run before its stragglers.
+	// early is true if the policy ended the run before its stragglers answered.
 	early bool
-	// firstSent is when the first call was sent, less what the run had been idle before.
+	// firstSent is when the first call was sent, less the blocked time before it.
 	firstSent time.Time
 	// lastAnswer is when the latest answer was merged.
 	lastAnswer time.Time
@@ -83,7 +83,7 @@
 	}
 }
 
-// checkQuarantine refuses a quarantined request, and sets whether the rest runs on one leaf first.
+// checkQuarantine refuses a quarantined request, and decides whether the request first runs on one leaf.
 func (r *run) checkQuarantine() *outcome.Error {
 	status, after := r.e.guard.Standing(r.key)
 	r.e.metrics.statuses.WithLabelValues(r.q.service.Name, status.String()).Inc()
@@ -124,7 +124,7 @@
 	}
 }
 
-// finish gives up what is still in flight. Its ends are taken by nobody.
+// finish cancels the calls that are still in flight. Their results are dropped.
 func (r *run) finish() {
 	close(r.done)
 	r.cancel()
@@ -138,6 +138,7 @@
 	}
 }
 
+// begin settles the shards without a usable replica and starts the first calls.
 func (r *run) begin() {
 	for i := range r.shards {
 		if len(r.shards[i].replicas) == 0 {
@@ -151,7 +152,7 @@
 	r.firstRun.advance()
 }
 
-// startAll asks each shard that wasn't asked yet, and those parked once more.
+// startAll calls each shard that was not called yet, and retries those that are parked.
 func (r *run) startAll() {
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -166,7 +167,7 @@
 	}
 }
 
-// startFanOut lets the request run on all shards, for a leaf has answered it.
+// startFanOut lets the request run on all shards because a leaf has answered it.
 func (r *run) startFanOut() {
 	if r.proven.Swap(true) {
 		return
@@ -196,7 +197,7 @@
 	s.settled, s.awaitingSlot, s.parked = true, false, false
 }
 
-// ended tells whether nothing more is to be waited for.
+// ended reports whether the run has nothing left to wait for.
 func (r *run) ended() bool {
 	if r.refusal != nil || r.rerunPlan != nil {
 		return true
@@ -208,12 +209,12 @@
 	return r.early
 }
 
-// coveredShare is the covered share so far.
+// coveredShare returns the share of the data covered so far, 0 to 1.
 func (r *run) coveredShare() float64 {
 	return coveredFraction(r.coveredDocuments, r.plan.documents, r.coveredShards, len(r.shards))
 }
 
-// stuck tells whether only parked shards are left, which no answer can free any more.
+// stuck reports whether only parked shards remain unsettled and no call is in flight whose answer could restart them.
 func (r *run) stuck() bool {
 	if r.inFlight > 0 || r.firstRun != nil {
 		return false
@@ -231,7 +232,7 @@
 	return policy{partial: k.Partial, earlyCoverage: k.EarlyCoverage, earlyAfter: k.EarlyAfter, typical: r.q.state.typical.get()}
 }
 
-// settleUnfinished settles what is late when the time has run out or the caller has gone.
+// settleUnfinished settles the remaining shards when the deadline has passed or the caller has gone.
 func (r *run) settleUnfinished() {
 	reason := pb.Reason_REASON_DEADLINE
 	if r.ctx.Err() == context.Canceled {
@@ -251,7 +252,7 @@
 	}
 }
 
-// shardResults shows how the shards stand.
+// shardResults returns the results of the shards.
 func (r *run) shardResults() []shardResult {
 	results := make([]shardResult, len(r.shards))
 	for i := range r.shards {
--- a/internal/search/standstill.go
+++ b/internal/search/standstill.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// standstillFactor is how many times the time of a quick search none may have ended for it to count as a
-	// standstill: queues and slow leaves make searches longer, but with several running some end all along.
-	// standstillLeast is the least such time; a leaf's pause or a turn of the processor that comes late is shorter.
+	// standstillFactor is how many times the time of a quick search must pass without a search ending to count as a
+	// standstill. Queues and slow leaves make searches longer, but with several running some end all the time.
+	// minStandstill is the minimum of that time. A pause of a leaf or a scheduling delay of the processor is shorter.
 	standstillFactor = 4
 	minStandstill    = 50 * time.Millisecond
 )
 
-// inStandstill tells whether searches run and none has ended for long. Requires mu.
+// inStandstill reports whether searches run and none has ended for a long time. Requires mu.
 func (l *limiter) inStandstill(now time.Time) bool {
 	return l.running > 0 && now.Sub(l.lastEnd) >= max(l.maxWait, minStandstill, standstillFactor*l.shortestTime)
 }
 
-// startInStandstill lets a search in beyond the limit during a standstill; false where enough have been, or where no
-// search has ended so far, so that the leaves may be what doesn't work. Requires mu.
+// startInStandstill starts a search beyond the limit during a standstill. It returns false if enough searches run, or
+// if none has ended so far, because then the leaves may be what fails. Requires mu.
 func (l *limiter) startInStandstill() bool {
 	if l.shortestTime == 0 || l.running >= max(l.minStandstillLimit, 2*int(l.limit)) || !l.inStandstill(time.Now()) {
 		return false
@@ -25,7 +25,8 @@
 	return true
 }
 
-// recordEnd notes the end of a search, and of a standstill where it is the first after one. Requires mu.
+// recordEnd records the end of a search, and the end of a standstill if the search is the first to end after one.
+// Requires mu.
 func (l *limiter) recordEnd(now time.Time) {
 	if l.inStandstill(now) {
 		l.standstillEnd = now
--- a/internal/search/usual.go
+++ b/internal/search/usual.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// typicalWindow is of how many searches the usual time is the median.
+	// typicalWindow is the number of latest searches whose median is the typical time.
 	typicalWindow = 64
-	// minTypicalSamples is how many searches must be seen before a usual time is known.
+	// minTypicalSamples is the number of searches needed before a typical time is known.
 	minTypicalSamples = 8
-	// typicalUpdateEvery is after how many searches the median is taken anew.
+	// typicalUpdateEvery is the number of searches between updates of the median.
 	typicalUpdateEvery = 8
 )
 
-// typicalTime estimates the usual time of the slowest shard of a service as the median over the latest
-// searches. Searches answered early count with the time they waited.
+// typicalTime estimates the typical time of the slowest shard of a service as the median over the latest searches.
+// Searches that were answered early count with the time until then.
 type typicalTime struct {
 	mu sync.Mutex
-	// times is a ring, next its next place, seen how many came in all; median of the ring. All are
-	// guarded by mu.
+	// times is a ring buffer, next the index of its next sample and samples the number of samples added in total. median
+	// is the median of times. All are guarded by mu.
 	times   [typicalWindow]time.Duration
 	next    int
 	samples int
@@ -41,7 +41,7 @@
 	}
 }
 
-// get returns the usual time, 0 while it isn't known.
+// get returns the typical time, 0 while it is unknown.
 func (t *typicalTime) get() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/search/waiting.go
+++ b/internal/search/waiting.go
@@ -9,25 +9,25 @@
 // slotQueue wakes searches that wait for a slot of a leaf, the longest waiting first.
 type slotQueue struct {
 	mu sync.Mutex
-	// byLeaf holds the waiters of each leaf in order of arrival, arrivals the number of the latest
-	// waiter, and count how many there are. All are guarded by mu.
+	// byLeaf holds the waiters of each leaf in order of arrival, arrivals the number of the latest waiter, and count the
+	// number of waiters. All are guarded by mu.
 	byLeaf   map[string][]*waiter
 	arrivals uint64
 	count    int
 }
 
-// waiter is one search that waits.
+// waiter is one search in a slotQueue.
 type waiter struct {
 	arrival uint64
-	// wake gets the leaf whose slot is free.
+	// wake receives the leaf that has a free slot.
 	wake chan string
-	// leaves lists the leaves where it is registered; guarded by the mutex of waiting.
+	// leaves lists the leaves that the waiter is registered at. It is guarded by the mutex of slotQueue.
 	leaves []string
 }
 
 func newSlotQueue() *slotQueue { return &slotQueue{byLeaf: make(map[string][]*waiter)} }
 
-// join returns a new waiter, or nil where n wait already.
+// join returns a new waiter, or nil if maxWaiters wait already.
 func (q *slotQueue) join(maxWaiters int) *waiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -39,7 +39,7 @@
 	return &waiter{arrival: q.arrivals, wake: make(chan string, 1)}
 }
 
-// leave ends the waiting. A wake that it hasn't taken goes to the next.
+// leave removes the waiter. A wake-up that it has not received goes to the next waiter.
 func (q *slotQueue) leave(wt *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -73,8 +73,8 @@
 	q.wakeNext(leaf)
 }
 
-// wakeNext wakes the first waiter of the leaf. It is registered nowhere then, so that the slots of
-// several leaves wake several waiters.
+// wakeNext wakes the first waiter of the leaf and removes it at all leaves, so that the slots of several leaves wake
+// several waiters. Requires mu.
 func (q *slotQueue) wakeNext(leaf string) {
 	list := q.byLeaf[leaf]
 	if len(list) == 0 {
@@ -88,6 +88,7 @@
 	}
 }
 
+// unregister removes the waiter at all leaves. Requires mu.
 func (q *slotQueue) unregister(wt *waiter) {
 	for _, l := range wt.leaves {
 		list := slices.DeleteFunc(q.byLeaf[l], func(o *waiter) bool { return o == wt })
