--- a/internal/search/coverage_test.go
+++ b/internal/search/coverage_test.go
@@ -19,10 +19,10 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// notSent is the place in behaviours of the only one of which no byte reaches the leaf.
+// notSent is the index in behaviours of the only one of which no byte reaches the leaf.
 const notSent = 0
 
-// behaviours are what a leaf may do to any one call.
+// behaviours are the possible reactions of a leaf to a call.
 var behaviours = []func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error){
 	failWith(&upstream.CallError{Err: errRefused}),
 	answerAfter(serviceTime),
@@ -43,13 +43,13 @@
 	corrupt(func(a *pb.LeafSearchResponse) { a.QueryDigest++ }),
 }
 
-// ignoreCancellation answers late whatever becomes of its call.
+// ignoreCancellation answers late, whether or not its call is cancelled.
 func ignoreCancellation(_ context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 	time.Sleep(300 * time.Millisecond)
 	return goodAnswer(req), nil
 }
 
-// deliveries records which true answers were given, by request, snapshot and shard.
+// deliveries records which correct answers leaves gave, by request, snapshot and shard.
 type deliveries struct {
 	mu        sync.Mutex
 	delivered map[string]bool
@@ -95,12 +95,12 @@
 	return d.delivered[key]
 }
 
-// TestCoverageIsWhatWasDelivered lets each leaf do anything to any call, and compares each answer
-// with what the leaves gave: one snapshot, own hits only, every shard covered or missing, nothing
-// covered that wasn't delivered, and no call where the end says not run.
+// TestCoverageIsWhatWasDelivered guards against wrong coverage. Each leaf reacts arbitrarily to any call, and each
+// response is compared with the answers that the leaves gave: one snapshot, own hits only, every shard covered or
+// missing, nothing covered that was not delivered, and no byte at a leaf if the outcome is not_run.
 func TestCoverageIsWhatWasDelivered(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		choices := rapid.SliceOfN(rapid.IntRange(0, len(behaviours)-1), 40, 40).Draw(rt, "what leaves do")
+		choices := rapid.SliceOfN(rapid.IntRange(0, len(behaviours)-1), 40, 40).Draw(rt, "leaf behaviours")
 		healthy := rapid.IntRange(0, 10).Draw(rt, "healthy of ten calls")
 		slots := rapid.IntRange(0, 4).Draw(rt, "slots")
 		mode := rapid.SampledFrom([]string{"always", "never"}).Draw(rt, "first run")
@@ -134,7 +134,7 @@
 				wg.Go(func() {
 					id := fmt.Sprint("r", i)
 					text := fmt.Sprint("text ", i/2) // two searches share a text
-					a, err := r.ask(id, kind, text, 200*time.Millisecond)
+					a, err := r.search(id, kind, text, 200*time.Millisecond)
 					found := append(verify(id, text, a, err, delivered.wasWritten(id)), notDelivered(id, a, delivered)...)
 					delivered.mu.Lock()
 					wrong = append(wrong, found...)
@@ -150,53 +150,53 @@
 	})
 }
 
-// repartitioned is a newer snapshot with fewer shards, one of them listed twice.
+// repartitioned returns a newer snapshot with fewer shards, one of them listed twice.
 func repartitioned(s *bundle.Snapshot) *bundle.Snapshot {
 	return &bundle.Snapshot{Version: s.Version + 1, Shards: []bundle.Shard{s.Shards[0], s.Shards[1], s.Shards[0]}}
 }
 
-// verify returns what is wrong with the end of a search by itself.
+// verify returns the faults of the end of a search that show without regard to what the leaves delivered.
 func verify(id, text string, a *pb.SearchResponse, err error, written bool) []string {
 	var wrong []string
 	if e, ok := outcome.As(err); err != nil {
 		if !ok || e.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN && written {
-			wrong = append(wrong, "not run, but it was sent")
+			wrong = append(wrong, "outcome is not_run, but a byte reached a leaf")
 		}
 		return wrong
 	}
 	c := a.GetCoverage()
 	shards := uint32(4 - a.GetSnapshot()) // 3 in the first, 2 in the second
 	if c.GetShardsTotal() != shards || c.GetDocumentsTotal() != uint64(shards)*100 || c.GetDocumentsCovered() != uint64(c.GetShardsCovered())*100 {
-		wrong = append(wrong, "coverage is not of the snapshot's shards")
+		wrong = append(wrong, "coverage does not match the shards of the snapshot")
 	}
 	if c.GetShardsCovered()+uint32(len(c.GetMissing())) != shards || c.GetShardsCovered() == 0 {
-		wrong = append(wrong, "shards are neither covered nor missing")
+		wrong = append(wrong, "no shard is covered, or some are neither covered nor missing")
 	}
 	whole := a.GetOutcome().GetKind() == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE
 	if whole != (len(c.GetMissing()) == 0) {
-		wrong = append(wrong, "outcome differs from coverage")
+		wrong = append(wrong, "outcome does not match coverage")
 	}
 	for _, h := range a.GetHits() {
 		if h.GetText() != hitText(id, a.GetSnapshot(), text) {
-			wrong = append(wrong, "a hit of another search or snapshot")
+			wrong = append(wrong, "hit of another search or snapshot")
 		}
 	}
 	return wrong
 }
 
-// notDelivered returns the shards claimed to be covered that no leaf gave an answer for.
+// notDelivered returns the shards reported as covered for which no leaf gave an answer.
 func notDelivered(id string, a *pb.SearchResponse, delivered *deliveries) []string {
 	var wrong []string
 	for shard := range a.GetCoverage().GetShardsTotal() {
 		missing := slices.ContainsFunc(a.GetCoverage().GetMissing(), func(m *pb.MissingShard) bool { return m.GetShard() == shard })
 		if !missing && !delivered.has(deliveryKey(id, a.GetSnapshot(), shard)) {
-			wrong = append(wrong, fmt.Sprintf("shard %d covered, not delivered", shard))
+			wrong = append(wrong, fmt.Sprintf("shard %d is covered, but no leaf delivered it", shard))
 		}
 	}
 	return wrong
 }
 
-func TestChoose(t *testing.T) {
+func TestChoosePlan(t *testing.T) {
 	is := is.New(t)
 	both := []uint64{1, 2}
 	service := &bundle.Service{Snapshots: []*bundle.Snapshot{
@@ -210,14 +210,14 @@
 		want   uint64
 	}{
 		"newest whole":                       {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": up(both)}, want: 2},
-		"not said counts as held":            {states: map[string]upstream.State{"a": up(nil), "b": up(nil), "c": up(nil), "d": up(nil)}, want: 2},
+		"unreported snapshots count as held": {states: map[string]upstream.State{"a": up(nil), "b": up(nil), "c": up(nil), "d": up(nil)}, want: 2},
 		"newest lacks a shard":               {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": up([]uint64{1})}, want: 1},
-		"found lacking by a refusal":         {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": up(both)}, lacks: "d", want: 1},
-		"leaving leaf doesn't count":         {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": {Connected: true, Leaving: true}}, want: 1},
+		"leaf refused the snapshot":          {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": up(both)}, lacks: "d", want: 1},
+		"leaving leaf does not count":        {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": {Connected: true, Leaving: true}}, want: 1},
 		"none whole, most documents":         {states: map[string]upstream.State{"c": up(both), "d": up(both)}, want: 1},
 		"none whole, newest on ties":         {states: map[string]upstream.State{"b": up([]uint64{1}), "c": {}, "d": up(both), "a": {}}, want: 2},
-		"nothing can be asked":               {states: map[string]upstream.State{"a": {Connected: false}}, want: 0},
-		"unconnected counts as out of reach": {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": {}}, want: 1},
+		"no leaf is connected":               {states: map[string]upstream.State{"a": {Connected: false}}, want: 0},
+		"unconnected leaf does not count":    {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": {}}, want: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/search/crashing_test.go
+++ b/internal/search/crashing_test.go
@@ -19,10 +19,10 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// maxCrashes is the promise: the most leaves that one crashing request may end in the whole fleet.
+// maxCrashes is the guaranteed maximum of leaves that one crashing request may end in the whole fleet.
 const maxCrashes = 3
 
-// zoneView is a fleet as a gather sees it whose availability zone is cut off from others.
+// zoneView is the fleet as seen by a gather whose availability zone is cut off from others.
 type zoneView struct {
 	*fakeFleet
 	hidden func(leaf string) bool
@@ -34,13 +34,13 @@
 	return s, ok
 }
 
-// newGathers runs n gathers in each of three availability zones over one fleet. What one reports
-// reaches each other gather after the delay, unless their zones are cut.
+// newGathers creates n gathers in each of three availability zones over one fleet. A crash reported by one reaches each
+// other gather after the delay, unless their zones are cut off from each other.
 func newGathers(ctx context.Context, n int, delay time.Duration, cut func(from, to string) bool) ([]*rig, *fakeFleet) {
 	return newGathersOver(ctx, 5, n, delay, cut)
 }
 
-// newGathersOver is spread over a fleet of as many shards.
+// newGathersOver is newGathers over a fleet with the given number of shards.
 func newGathersOver(ctx context.Context, shards, n int, delay time.Duration, cut func(from, to string) bool) ([]*rig, *fakeFleet) {
 	service, fleet := groups(shards)
 	var rigs []*rig
@@ -65,15 +65,15 @@
 
 func neverCut(_, _ string) bool { return false }
 
-// TestCrashingRequestIsBoundInTheWholeFleet sends one or two crashing texts again and again through
-// every gather, at once and one after another, among innocent ones, while leaves restart and
-// evidence takes its time.
+// TestCrashingRequestIsBoundInTheWholeFleet guards against a text that ends more than maxCrashes leaves. One or two
+// crashing texts are sent repeatedly through every gather, concurrently and in sequence, among innocent ones, while
+// leaves restart and evidence is delayed.
 func TestCrashingRequestIsBoundInTheWholeFleet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		restart := time.Duration(rapid.IntRange(1, 3000).Draw(rt, "restart ms")) * time.Millisecond
-		delay := time.Duration(rapid.IntRange(0, 800).Draw(rt, "spread ms")) * time.Millisecond
+		delay := time.Duration(rapid.IntRange(0, 800).Draw(rt, "evidence delay ms")) * time.Millisecond
 		pause := time.Duration(rapid.IntRange(60, 500).Draw(rt, "pause ms")) * time.Millisecond
-		limit := time.Duration(rapid.IntRange(1, 400).Draw(rt, "caller's limit ms")) * time.Millisecond
+		timeout := time.Duration(rapid.IntRange(1, 400).Draw(rt, "search timeout ms")) * time.Millisecond
 		senders := rapid.IntRange(1, 2).Draw(rt, "senders at each gather")
 		zoneCut := rapid.Bool().Draw(rt, "az-a is cut off")
 		texts := rapid.IntRange(1, 2).Draw(rt, "crashing texts")
@@ -83,7 +83,7 @@
 			cut := func(from, to string) bool { return zoneCut && from != to && (from == "az-a" || to == "az-a") }
 			rigs, fleet := newGathers(ctx, 2, delay, cut)
 			fleet.restart = restart
-			time.Sleep(time.Second) // the leaves are seen up
+			time.Sleep(time.Second) // the guards see the leaves as up
 			var wg sync.WaitGroup
 			end := time.Now().Add(3500*time.Millisecond + delay)
 			for i, r := range rigs {
@@ -91,8 +91,8 @@
 					wg.Go(func() {
 						time.Sleep(time.Duration(i) * pause)
 						for k := 0; time.Now().Before(end); k++ {
-							_, _ = r.ask("good", "claim", fmt.Sprint("innocent ", i, n, k), limit)
-							if _, err := r.ask("bad", "claim", fmt.Sprint(crashMark, k%texts), limit); err == nil {
+							_, _ = r.search("good", "claim", fmt.Sprint("innocent ", i, n, k), timeout)
+							if _, err := r.search("bad", "claim", fmt.Sprint(crashMark, k%texts), timeout); err == nil {
 								t.Error("a crashing request was answered")
 							}
 							time.Sleep(pause)
@@ -107,15 +107,15 @@
 		})
 		for text, n := range crashes {
 			if n > maxCrashes {
-				rt.Fatalf("%s ended %d leaves", text, n)
+				rt.Fatalf("text %s crashed %d leaves", text, n)
 			}
 		}
 	})
 }
 
-// TestInnocentRequestsAreAnsweredBesideACrashingOne sends first-seen texts all along. One that was
-// sent to a leaf is always answered whole; one refused as not run, for all leaves that it could be
-// tried on have just gone, is answered when it comes back as told.
+// TestInnocentRequestsAreAnsweredBesideACrashingOne guards against innocent requests that fail beside a crashing one.
+// New texts are sent all the time. One that was sent to a leaf is always answered whole. One refused as not_run,
+// because all leaves for its first run were lost recently, is answered when it is retried after the reported delay.
 func TestInnocentRequestsAreAnsweredBesideACrashingOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -130,12 +130,12 @@
 				for n := range 2000 {
 					wg.Go(func() {
 						text := fmt.Sprintf("innocent %d %d", i, n)
-						a, err := r.ask(text, "claim", text, time.Second)
+						a, err := r.search(text, "claim", text, time.Second)
 						if e, ok := outcome.As(err); ok && e.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
 							refused.Add(1)
 							is.Equal(fleet.runs(text), 0)
 							time.Sleep(e.RetryAfter)
-							a, err = r.ask(text, "claim", text, time.Second)
+							a, err = r.search(text, "claim", text, time.Second)
 						}
 						is.NoErr(err)
 						is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
@@ -145,7 +145,7 @@
 			})
 			wg.Go(func() {
 				for range 50 {
-					_, err := r.ask("bad", "claim", crashMark, time.Second)
+					_, err := r.search("bad", "claim", crashMark, time.Second)
 					is.True(err != nil)
 					time.Sleep(40 * time.Millisecond)
 				}
@@ -164,20 +164,20 @@
 		is := is.New(t)
 		service, fleet := groups(3)
 		r := newRig("az-a", service, fleet, nil)
-		_, err := r.ask("r1", "claim", crashMark, time.Second)
+		_, err := r.search("r1", "claim", crashMark, time.Second)
 		e, _ := outcome.As(err)
 		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_FAILED) // it did run
 		is.Equal(e.Reason, pb.Reason_REASON_QUARANTINED)
 		is.Equal(fleet.crashes[crashMark], 2)
 		ran := fleet.ran[crashMark]
-		_, err = r.ask("r2", "claim", crashMark, time.Second)
+		_, err = r.search("r2", "claim", crashMark, time.Second)
 		e, _ = outcome.As(err)
 		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN)
 		is.Equal(e.Reason, pb.Reason_REASON_QUARANTINED)
 		is.True(e.RetryAfter > 0)
 		is.Equal(fleet.ran[crashMark], ran)
-		time.Sleep(e.RetryAfter + time.Second) // it ages out when it stays away
-		_, err = r.ask("r3", "claim", crashMark, time.Second)
+		time.Sleep(e.RetryAfter + time.Second) // its quarantine expires if it is not sent
+		_, err = r.search("r3", "claim", crashMark, time.Second)
 		e, _ = outcome.As(err)
 		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_FAILED)
 	})
@@ -186,21 +186,21 @@
 // crashingView is a fleet in which a leaf crashes right after it was last seen connected.
 type crashingView struct {
 	*fakeFleet
-	crashOnRead string
+	crashingLeaf string
 }
 
 func (v *crashingView) State(leaf string) (upstream.State, bool) {
 	s, ok := v.fakeFleet.State(leaf)
-	if leaf == v.crashOnRead {
-		v.crashOnRead = ""
+	if leaf == v.crashingLeaf {
+		v.crashingLeaf = ""
 		v.crash(leaf, s.Incarnation, "another")
 	}
 	return s, ok
 }
 
-// TestLeafThatCrashesWhileItsPlaceIsLookedAt: a leaf whose connection breaks between two looks at it keeps its
-// place. Were it taken for out of use, the next in rank would be asked, and a crashing text that runs through
-// several gathers at once would end a fourth leaf.
+// TestCrashBetweenAvailabilityChecksKeepsPrimary guards against a fourth crashed leaf. A leaf whose connection breaks
+// between the two checks of its availability stays primary. If it counted as out of use, the next in rank would be
+// called, and a crashing text that runs through several gathers at once would end a fourth leaf.
 func TestCrashBetweenAvailabilityChecksKeepsPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -214,14 +214,14 @@
 				key: quarantine.SearchKey(service.Name, "new", 1, 1),
 			}}
 			is.Equal(first.status(leaf), quarantine.PlaceFree)
-			view.crashOnRead = leaf
+			view.crashingLeaf = leaf
 			is.Equal(first.status(leaf), quarantine.PlaceHeld)
 		}
 	})
 }
 
-// TestInnocentInDoubtWaitsForEvidence: a request comes while its text, of which two crashes are known, may
-// still turn out to be innocent of them. It waits for that, as those do that came before, and is answered.
+// TestInnocentInDoubtWaitsForEvidence guards against refusal of a request while evidence may still clear its text, of
+// which two crashes are known. Like the requests that arrived before, it waits for the evidence and is answered.
 func TestInnocentInDoubtWaitsForEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -236,19 +236,19 @@
 		}
 		key := quarantine.SearchKey(service.Name, "innocent", 1, 1)
 		reportCrashes(key.Digest)
-		const evidence = 200 * time.Millisecond // within the time that it is waited for
+		const evidence = 200 * time.Millisecond // within the time that the request waits for it
 		time.AfterFunc(evidence, func() { reportCrashes(99) })
 		start := time.Now()
-		a, err := r.ask("r1", "claim", "innocent", 4*time.Second)
+		a, err := r.search("r1", "claim", "innocent", 4*time.Second)
 		is.NoErr(err)
 		is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
 		is.True(time.Since(start) >= evidence)
 	})
 }
 
-// TestInnocentSuspectWaitsForItsPlacesToComeBack: a request is in flight at a crash that another one
-// caused, while its other places are down by crashes of that one. It is answered by the first of them
-// that comes back.
+// TestInnocentSuspectWaitsForItsPrimariesToRestart guards against refusal of a request that was in flight at a crash
+// caused by another one, while crashes caused by that one keep its other primaries down. The first primary that
+// restarts answers it.
 func TestInnocentSuspectWaitsForItsPrimariesToRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -268,7 +268,7 @@
 		first, _ := fleet.State("leaf-0-a")
 		time.AfterFunc(serviceTime/2, func() { fleet.crash("leaf-0-a", first.Incarnation, "another") })
 		time.AfterFunc(300*time.Millisecond, func() { fleet.revive("leaf-0-b") })
-		a, err := r.ask("r1", "claim", "innocent", 4*time.Second)
+		a, err := r.search("r1", "claim", "innocent", 4*time.Second)
 		is.NoErr(err)
 		is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
 	})
--- a/internal/search/fakes_test.go
+++ b/internal/search/fakes_test.go
@@ -22,7 +22,7 @@
 
 const serviceTime = 3 * time.Millisecond
 
-// crashMark in a text ends every leaf that runs it.
+// crashMark at the start of a text crashes every leaf that runs it.
 const crashMark = "crash"
 
 var (
@@ -30,17 +30,16 @@
 	errLost    = errors.New("connection reset")
 )
 
-// fakeLeaf is one leaf of a fakeFleet. Tests set its fields before or between calls under the
-// fleet's lock.
+// fakeLeaf is one leaf of a fakeFleet. Tests set its fields before or between calls under the fleet's mutex.
 type fakeLeaf struct {
 	incarnation uint64
 	up, leaving bool
 	snapshots   []uint64
-	// answer replaces the usual answer where it is set.
+	// answer replaces the default answer if it is set.
 	answer func(ctx context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error)
-	// down is closed at the crash of this incarnation.
+	// down is closed when this incarnation crashes.
 	down chan struct{}
-	// calls, delivered and cancelled count what the leaf saw.
+	// calls, delivered and cancelled count the calls of the leaf, those answered and those cancelled.
 	calls, delivered, cancelled int
 }
 
@@ -48,13 +47,12 @@
 type fakeFleet struct {
 	mu     sync.Mutex
 	leaves map[string]*fakeLeaf
-	// crashes counts the leaves that a crashing text ended; restart is how long they stay away, 0 for
-	// ever.
+	// crashes counts the leaves that each crashing text ended. restart is how long they stay down, 0 for ever.
 	crashes map[string]int
 	restart time.Duration
-	// lastCrash is when a crashing text ended a leaf last.
+	// lastCrash is when a crashing text last ended a leaf.
 	lastCrash time.Time
-	// ran holds the texts that reached any leaf.
+	// ran counts how often each text reached a leaf.
 	ran map[string]int
 }
 
@@ -90,7 +88,7 @@
 }
 
 func (f *fakeFleet) Execute(context.Context, string, *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
-	panic("no orders here")
+	panic("unexpected call of Execute")
 }
 
 func (f *fakeFleet) Search(ctx context.Context, id string, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
@@ -114,7 +112,7 @@
 	return f.await(ctx, id, incarnation, down, func(ctx context.Context) (*pb.LeafSearchResponse, error) { return answer(ctx, req) })
 }
 
-// await returns the answer of run, or how the call ended before it.
+// await returns the answer of run, or the error of a call whose leaf crashed before it.
 func (f *fakeFleet) await(ctx context.Context, id string, incarnation uint64, down <-chan struct{}, run func(context.Context) (*pb.LeafSearchResponse, error)) (*pb.LeafSearchResponse, error) {
 	type end struct {
 		res *pb.LeafSearchResponse
@@ -143,7 +141,7 @@
 	}
 }
 
-// crash ends an incarnation of a leaf; it comes back as another where the fleet restarts leaves.
+// crash ends an incarnation of a leaf. If the fleet restarts leaves, the leaf returns as another incarnation.
 func (f *fakeFleet) crash(id string, incarnation uint64, text string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,7 +170,7 @@
 	l.incarnation += 1000
 }
 
-// stall answers only when the call is given up.
+// stall answers only when the call is cancelled or times out.
 func stall(ctx context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 	<-ctx.Done()
 	return nil, &upstream.CallError{Wrote: true, Err: ctx.Err()}
@@ -198,7 +196,7 @@
 	return func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) { return nil, err }
 }
 
-// corrupt changes the good answer before it is sent.
+// corrupt changes the good answer before it is returned.
 func corrupt(change func(*pb.LeafSearchResponse)) func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 	return func(_ context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 		res := goodAnswer(req)
@@ -207,7 +205,7 @@
 	}
 }
 
-// goodAnswer holds one hit, whose text only this question can produce.
+// goodAnswer returns an answer with one hit whose text only this request can produce.
 func goodAnswer(req *pb.LeafSearchRequest) *pb.LeafSearchResponse {
 	return &pb.LeafSearchResponse{
 		RequestId: req.GetRequestId(), Service: req.GetService(), Shard: req.GetShard(), Snapshot: req.GetSnapshot(),
@@ -228,13 +226,13 @@
 	mu       sync.Mutex
 	slots    int
 	inFlight map[string]int
-	// hedges and retries are what is left of the budgets.
+	// hedges and retries are the remaining budgets.
 	hedges, retries int
 	hedgeAfter      time.Duration
 	results         map[balance.Result]int
-	// slow leaves are picked only where they are the only candidate.
+	// slow leaves are picked only if they are the only candidate.
 	slow map[string]bool
-	// suspect leaves are hedged soon.
+	// suspect leaves are hedged after a shorter delay.
 	suspect map[string]bool
 }
 
@@ -292,13 +290,13 @@
 	})
 }
 
-// fakeFeed is a source with a fixed view, fresh until stale is set, and a reporter that hands crashes to hear.
+// fakeFeed is a source with a fixed view, fresh until stale is set, and a reporter that passes crashes to onCrash.
 type fakeFeed struct {
 	mu      sync.Mutex
 	view    *feed.View
 	onCrash func(*pb.Crash)
 	stale   atomic.Bool
-	// paused is when the process was paused last, in Unix nanoseconds.
+	// paused is when the process was last paused, in Unix nanoseconds.
 	paused atomic.Int64
 }
 
@@ -330,7 +328,7 @@
 	return newRigOver(zone, service, fleet, fleet, change)
 }
 
-// newRigOver makes a gather that reaches the fleet through the caller.
+// newRigOver creates a gather that reaches the fleet through caller.
 func newRigOver(zone string, service *bundle.Service, caller upstream.Caller, fleet *fakeFleet, change func(*quarantine.Settings)) *rig {
 	b := &bundle.Bundle{
 		Version: 7, Services: map[string]*bundle.Service{service.Name: service},
@@ -351,14 +349,14 @@
 // anywhere lets unproven requests run on all shards at once.
 func anywhere(s *quarantine.Settings) { s.FirstRun = quarantine.ModeNever }
 
-// ask sends one search with a time limit.
-func (r *rig) ask(id, kind, query string, limit time.Duration) (*pb.SearchResponse, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// search sends one search with a time limit.
+func (r *rig) search(id, kind, query string, timeout time.Duration) (*pb.SearchResponse, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return r.engine.Search(ctx, &pb.Identity{RequestId: id, Caller: "desk"}, &pb.SearchRequest{Service: "teachers", Kind: kind, Query: query})
 }
 
-// counter sums the samples of a metric whose labels hold all of the given values.
+// counter returns the sum of the counters of a metric whose labels include all the given values.
 func (r *rig) counter(t testing.TB, name string, values ...string) float64 {
 	t.Helper()
 	families, err := r.registry.Gather()
@@ -387,8 +385,8 @@
 	return sum
 }
 
-// groups makes a service of n shards with a leaf for each of three availability zones, and the
-// fleet of its leaves. The kinds are dawn (latency) and claim (coverage).
+// groups creates a service of n shards, each with one leaf in each of three availability zones, and the fleet of these
+// leaves. The kinds are dawn, which prefers latency, and claim, which prefers coverage.
 func groups(n int) (*bundle.Service, *fakeFleet) {
 	s := &bundle.Service{Name: "teachers", Leaves: make(map[string]*bundle.Leaf), Kinds: map[string]*bundle.Kind{
 		"dawn":  {Name: "dawn", Mode: bundle.ModeSearch, Timeout: time.Second, TopK: 10, Partial: bundle.PartialLatency, EarlyCoverage: 0.6, EarlyAfter: 3, HedgeBudget: 0.05, RetryBudget: 0.1},
--- a/internal/search/gate_test.go
+++ b/internal/search/gate_test.go
@@ -15,15 +15,14 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// TestLimiterOrder shows who starts, waits and is refused at a gate for two searches with one running
-// of each weight in turn.
+// TestLimiterOrder checks which searches start, wait and are refused at a limit of 2, with heavier kinds first.
 func TestLimiterOrder(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(2, time.Second)
 	now := time.Unix(0, 0)
 	start := func(weight int) *queueEntry {
 		p, ok := l.admit(weight, time.Second)
-		is.Equal(p == nil, ok) // in at once, or a place
+		is.Equal(p == nil, ok) // either started or queued
 		return p
 	}
 	refused := func(weight int) bool {
@@ -35,32 +34,32 @@
 	light, heavy := start(1), start(5)
 	is.True(refused(1)) // the queue is as long as the limit
 	heavier := start(10)
-	is.Equal(<-light.decision, false) // a heavier one took its place
+	is.Equal(<-light.decision, false) // displaced by a heavier search
 	l.leave(now, time.Millisecond, 0)
 	is.Equal(<-heavier.decision, true)
 	l.leave(now, time.Millisecond, 0)
 	is.Equal(<-heavy.decision, true)
 	last := start(1)
 	l.leave(now, time.Millisecond, 0)
-	is.Equal(l.withdraw(last), true) // its turn had come
+	is.Equal(l.withdraw(last), true) // it had been admitted already
 	is.Equal(l.running, 2)
 	again := start(1)
 	is.Equal(l.withdraw(again), false)
 	is.Equal(len(l.queue), 0)
 }
 
-// TestLimiterAdapts shows what a window of searches does to a limit of 10.
+// TestLimiterAdapts checks how a window of searches changes a limit of 10.
 func TestLimiterAdapts(t *testing.T) {
 	for name, tt := range map[string]struct {
 		running         int
 		elapsed, waited time.Duration
 		want            float64
 	}{
-		"the limit was reached, no waiting":      {running: 10, elapsed: 30 * time.Millisecond, want: 11},
-		"the limit was not reached":              {running: 5, elapsed: 30 * time.Millisecond, want: 10},
-		"slow, but no waiting, as at stragglers": {running: 10, elapsed: time.Second, want: 11},
-		"half the time besides is tolerated":     {running: 10, elapsed: 30 * time.Millisecond, waited: 10 * time.Millisecond, want: 11},
-		"more than that isn't":                   {running: 10, elapsed: 30 * time.Millisecond, waited: 11 * time.Millisecond, want: 8.5},
+		"the limit was reached, no waiting":        {running: 10, elapsed: 30 * time.Millisecond, want: 11},
+		"the limit was not reached":                {running: 5, elapsed: 30 * time.Millisecond, want: 10},
+		"slow, but no waiting, as with stragglers": {running: 10, elapsed: time.Second, want: 11},
+		"waiting for half of the other time":       {running: 10, elapsed: 30 * time.Millisecond, waited: 10 * time.Millisecond, want: 11},
+		"waiting for more than half of it":         {running: 10, elapsed: 30 * time.Millisecond, waited: 11 * time.Millisecond, want: 8.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -82,18 +81,18 @@
 	}
 }
 
-// TestLimiterQueueCapacity shows how many may wait after a window in which 8 searches ended in 112 ms.
+// TestLimiterQueueCapacity checks how many searches may wait after a window in which 8 searches ended in 112 ms.
 func TestLimiterQueueCapacity(t *testing.T) {
 	for name, tt := range map[string]struct {
 		running int
 		longest time.Duration
 		want    int
 	}{
-		"the limit was reached":    {10, 50 * time.Millisecond, 3},
-		"one at least":             {10, time.Millisecond, 1},
-		"the limit at most":        {10, time.Second, 11},
-		"the limit wasn't reached": {5, 50 * time.Millisecond, 10},
-		"one even without a wait":  {10, 0, 1},
+		"the limit was reached":       {10, 50 * time.Millisecond, 3},
+		"at least one":                {10, time.Millisecond, 1},
+		"at most the limit":           {10, time.Second, 11},
+		"the limit was not reached":   {5, 50 * time.Millisecond, 10},
+		"at least one without a wait": {10, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -127,9 +126,9 @@
 	}
 }
 
-// TestSearchesBeyondTheLimitAreRefusedNotRun sends more searches at once than the gate lets in while
-// no leaf answers: what finds no place is refused at once, the rest after its wait, and reaches no
-// leaf. A kind that weighs coverage most waits for a part of its time.
+// TestSearchesBeyondTheLimitAreRefusedNotRun sends more searches at once than the limiter admits while no leaf answers.
+// Searches that do not fit in the queue are refused immediately, the queued ones after their wait. None of these
+// reaches a leaf. A kind that prefers coverage waits for a fixed share of its time.
 func TestSearchesBeyondTheLimitAreRefusedNotRun(t *testing.T) {
 	const margin = time.Second / marginDivisor
 	for kind, wait := range map[string]time.Duration{
@@ -143,7 +142,7 @@
 func refusedBeyondTheLimit(t *testing.T, kind string, wait time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		service, fleet := groups(1) // of 9 slots
+		service, fleet := groups(1) // 9 slots
 		r := newRig("az-a", service, fleet, anywhere)
 		for _, l := range fleet.leaves {
 			l.answer = stall
@@ -175,15 +174,15 @@
 	})
 }
 
-// TestSearchesThatWaitForHeldLeavesAreNoLoad guards against searches that are refused as too many while the leaves are
-// idle: first-seen texts wait until leaves that were lost just now may be asked, and known ones run meanwhile.
+// TestSearchesThatWaitForHeldLeavesAreNoLoad guards against refusals for load while the leaves are idle: new texts wait
+// until recently lost leaves may be called again, and known texts run meanwhile.
 func TestSearchesThatWaitForHeldLeavesAreNoLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service, fleet := groups(1)
 		r := newRig("az-a", service, fleet, nil)
 		fleet.restart = 50 * time.Millisecond
-		_, err := r.ask("first", "claim", "known", time.Second)
+		_, err := r.search("first", "claim", "known", time.Second)
 		is.NoErr(err)
 		for leaf := range service.Leaves {
 			s, _ := fleet.State(leaf)
@@ -196,14 +195,14 @@
 		for i := range 3 * minGroupSlots(service) {
 			wg.Go(func() {
 				start := time.Now()
-				_, err := r.ask("waits", "claim", fmt.Sprint("new ", i), 4*time.Second)
+				_, err := r.search("waits", "claim", fmt.Sprint("new ", i), 4*time.Second)
 				is.NoErr(err)
 				is.True(time.Since(start) >= time.Second)
 			})
 			time.Sleep(time.Millisecond)
 		}
 		for range 100 {
-			_, err := r.ask("runs", "claim", "known", time.Second)
+			_, err := r.search("runs", "claim", "known", time.Second)
 			is.NoErr(err)
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/internal/search/known_test.go
+++ b/internal/search/known_test.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// designedDelay is the longest time for which evidence travels while the bound of crashes is promised.
+	// designedDelay is the maximum delay of evidence for which the bound of crashes is guaranteed.
 	designedDelay = 800 * time.Millisecond
-	// searchTimeout is the deadline of the searches for known texts, longer than all holds of leaves.
+	// searchTimeout is the timeout of the searches, longer than all times for which leaves are withheld.
 	searchTimeout = 8 * time.Second
 )
 
-// storms is how many storms are played; more are played by hand.
-var storms = flag.Uint64("storms", 16, "storms that the tests of crashing texts play")
+// storms is the number of storms to run. Runs by hand use more.
+var storms = flag.Uint64("storms", 16, "number of storms that the tests of crashing texts run")
 
-// TestKnownRequestsAreNeverQuarantined guards against refusals of innocent requests: texts that leaves have
-// answered are sent beside crashing ones through every gather, while the time that evidence of each crash takes
-// to each gather, the restarts of leaves and the pauses of callers are drawn. None of them is refused as
-// quarantined, for all times of evidence within the hold of leaves.
+// TestKnownRequestsAreNeverQuarantined guards against refusals of innocent requests. Texts that leaves have answered
+// are sent beside crashing ones through every gather. The delay of each crash's evidence to each gather, the restart
+// time of leaves and the pauses of callers are drawn at random. No innocent text is refused as quarantined, for all
+// delays of evidence within the time for which leaves are withheld.
 func TestKnownRequestsAreNeverQuarantined(t *testing.T) {
 	runStorms(t, drawStorm, notRefused)
 }
 
-// TestNewRequestsAreNotQuarantined guards against the same for innocent texts that no leaf has answered before the
-// crashing ones come.
+// TestNewRequestsAreNotQuarantined guards against the same refusals of innocent texts that no leaf has answered before
+// the crashing ones arrive.
 func TestNewRequestsAreNotQuarantined(t *testing.T) {
 	runStorms(t, func(seed uint64) storm {
 		s := drawStorm(seed)
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestTextsAnsweredAnywhereAreNotQuarantined guards against refusals of an innocent text for minutes at gathers where it
-// is new, while others answer it: once word of the last crash has reached those, and theirs has come back, it isn't
-// refused anywhere.
+// TestTextsAnsweredAnywhereAreNotQuarantined guards against an innocent text that is refused for minutes at gathers
+// where it is new, while others answer it. Once the last crash was reported to those gathers and their answer reports
+// have arrived, no gather refuses it.
 func TestTextsAnsweredAnywhereAreNotQuarantined(t *testing.T) {
 	runStorms(t, func(seed uint64) storm {
 		s := drawStorm(seed)
@@ -66,25 +66,26 @@
 				known = crash
 			}
 			if ok && r.at.After(known) {
-				t.Errorf("%s was refused %s after word of an answer: %v", r.text, r.at.Sub(known), r.err)
+				t.Errorf("text %s was refused %s after the answer report was due: %v", r.text, r.at.Sub(known), r.err)
 			}
 		}
 	})
 }
 
-// reportDelay is how long word takes of a crash to a gather that knows an answer, and of that to all others.
+// reportDelay returns how long a report of a crash takes to a gather that knows an answer, plus the answer report from
+// there to all others.
 func (s storm) reportDelay() time.Duration {
-	const establish = 300 * time.Millisecond // until a gather that lost a connection is sure of a crash
+	const establish = 300 * time.Millisecond // until a gather that lost a connection has established a crash
 	return establish + 2*s.maxDelay
 }
 
-// TestCrashingTextsInAStormAreBound guards against a text that ends more leaves than promised while another one
+// TestCrashingTextsInAStormAreBound guards against a text that ends more than maxCrashes leaves while another one
 // crashes leaves, too.
 func TestCrashingTextsInAStormAreBound(t *testing.T) {
 	runStorms(t, drawStorm, func(t *testing.T, s storm, e stormResult) {
 		for text, n := range e.crashes {
 			if s.maxDelay <= designedDelay && n > maxCrashes {
-				t.Errorf("%s ended %d leaves", text, n)
+				t.Errorf("text %s crashed %d leaves", text, n)
 			}
 		}
 	})
@@ -117,20 +118,20 @@
 	}
 }
 
-// storm is a fleet of six gathers through which crashing and known texts are sent at once.
+// storm is a scenario in which crashing and innocent texts are sent at once through a fleet of six gathers.
 type storm struct {
 	restart, maxDelay, pause    time.Duration
 	crashing, innocent, maxTopK int
 	shards                      int
-	// unseen is true where no leaf has answered the innocent texts before.
+	// unseen is true if no leaf has answered the innocent texts before.
 	unseen bool
-	// calm is how long the innocent texts are sent on after the crashing ones.
+	// calm is how long the innocent texts are still sent after the crashing ones stop.
 	calm time.Duration
 	seed uint64
 }
 
-// stormResult holds the refusals of innocent requests as quarantined, when each text was answered first, and the crashes
-// by text.
+// stormResult holds the innocent requests refused as quarantined, when each text was first answered, and the crashes by
+// text.
 type stormResult struct {
 	refused   []quarantinedRequest
 	answered  map[string]time.Time
@@ -145,8 +146,8 @@
 	err  error
 }
 
-// record takes how a request ended. Where all leaves of a shard are down, or all that a text in a new form may be tried
-// on, it is refused for that.
+// record adds the result of a request. Refusals for other reasons are not counted: a request is refused if all leaves
+// of a shard are down, or all that may run the text first when it is new with this number of hits.
 func (e *stormResult) record(text string, err error) {
 	now := time.Now()
 	if _, known := e.answered[text]; err == nil && !known {
@@ -157,13 +158,13 @@
 	}
 }
 
-// run plays the storm.
+// run runs the storm.
 func (s storm) run() stormResult {
 	ctx, cancel := context.WithCancel(context.Background())
 	rigs, fleet := newGathersOver(ctx, s.shards, 2, 0, neverCut)
 	s.delayEvidence(rigs)
 	fleet.restart = s.restart
-	time.Sleep(time.Second) // the leaves are seen up
+	time.Sleep(time.Second) // the guards see the leaves as up
 	if !s.unseen {
 		s.askAll(rigs)
 	}
@@ -175,7 +176,7 @@
 		random := rand.New(rand.NewPCG(s.seed, uint64(i)))
 		wg.Go(func() {
 			for k := 0; time.Now().Before(end); k++ {
-				_, _ = s.ask(r, fmt.Sprint(crashMark, k%s.crashing), 1)
+				_, _ = s.search(r, fmt.Sprint(crashMark, k%s.crashing), 1)
 				time.Sleep(s.pause)
 			}
 		})
@@ -183,7 +184,7 @@
 			for time.Now().Before(end.Add(s.calm)) {
 				text, topK := innocentText(random.IntN(s.innocent)), 1+random.IntN(s.maxTopK)
 				wg.Go(func() {
-					_, err := s.ask(r, text, topK)
+					_, err := s.search(r, text, topK)
 					mu.Lock()
 					defer mu.Unlock()
 					result.record(text, err)
@@ -199,18 +200,18 @@
 	return result
 }
 
-// askAll has each gather answer each innocent text.
+// askAll sends each innocent text through each gather once.
 func (s storm) askAll(rigs []*rig) {
 	for n := range s.innocent {
 		for _, r := range rigs {
-			_, _ = s.ask(r, innocentText(n), 1)
+			_, _ = s.search(r, innocentText(n), 1)
 		}
 	}
 }
 
 func innocentText(n int) string { return fmt.Sprint("known ", n) }
 
-// delayEvidence lets each piece of evidence take a time of its own to each other gather.
+// delayEvidence delays each report of a crash to each other gather by a random time of its own.
 func (s storm) delayEvidence(rigs []*rig) {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(s.seed, 99))
@@ -234,7 +235,7 @@
 	}
 }
 
-func (s storm) ask(r *rig, text string, topK int) (*pb.SearchResponse, error) {
+func (s storm) search(r *rig, text string, topK int) (*pb.SearchResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
 	return r.engine.Search(ctx, &pb.Identity{RequestId: text, Caller: "desk"},
--- a/internal/search/ranking_test.go
+++ b/internal/search/ranking_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestOnlyAbsentPrimaryIsReplaced guards against a text that ends more leaves than promised: gathers of which one
-// sees a leaf out of use and another doesn't share all other places.
+// TestOnlyAbsentPrimaryIsReplaced guards against a text that ends more leaves than promised. That happens if gathers,
+// of which one sees a leaf out of use and another does not, differ in more than that one leaf.
 func TestOnlyAbsentPrimaryIsReplaced(t *testing.T) {
 	is := is.New(t)
 	service, fleet := groups(4)
@@ -27,7 +27,7 @@
 			}
 		}
 		chosen := k.withSubstitutes(func(l string) bool { return service.Leaves[l].Zone == "az-b" })
-		is.Equal(len(chosen), maxFirstRunLeaves-1) // a zone that is lost leaves its place empty
+		is.Equal(len(chosen), maxFirstRunLeaves-1) // the primary of a lost zone is not replaced
 		is.True(!slices.ContainsFunc(chosen, func(p ranked) bool { return p.zone == "az-b" }))
 	}
 }
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// answerBy is when a search with a limit of 1 s ends at the latest.
+// answerBy is the latest end of a search with a timeout of 1 s.
 const answerBy = time.Second - time.Second/marginDivisor
 
 func TestWholeAnswer(t *testing.T) {
@@ -25,7 +25,7 @@
 		service, fleet := groups(4)
 		r := newRig("az-a", service, fleet, nil)
 		start := time.Now()
-		a, err := r.ask("r1", "dawn", "algebra", time.Second)
+		a, err := r.search("r1", "dawn", "algebra", time.Second)
 		is.NoErr(err)
 		is.Equal(time.Since(start), 2*serviceTime) // the first run on one leaf, then the rest at once
 		is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
@@ -38,43 +38,44 @@
 		is.Equal(fleet.ran["algebra"], 4)               // the first run costs no extra call
 
 		start = time.Now()
-		_, err = r.ask("r2", "dawn", "algebra", time.Second)
+		_, err = r.search("r2", "dawn", "algebra", time.Second)
 		is.NoErr(err)
-		is.Equal(time.Since(start), serviceTime) // known by now
+		is.Equal(time.Since(start), serviceTime) // proven by the first search
 	})
 }
 
-// TestFaults shows for each fault of one replica or group what the answer says and what it costs.
+// TestFaults checks the response, the time and the number of calls for each fault of one replica or group.
 func TestFaults(t *testing.T) {
 	lost := failWith(&upstream.CallError{Wrote: true, Err: errLost})
 	tests := map[string]struct {
 		fault func(*fakeFleet)
 		kind  string
-		// missing reason of shard 0; UNSPECIFIED where the answer is whole.
+		// missing is the reason of shard 0, UNSPECIFIED if the answer is whole.
 		missing pb.Reason
 		elapsed time.Duration
 		calls   int
-		// proven texts only are retried after a broken connection; no retry budget is left then.
+		// proven marks the text as proven, because only such a text is retried after a lost connection. It also leaves no
+		// retry budget.
 		proven bool
 	}{
-		"replica errs":                     {fault: firstReplica(lost), elapsed: serviceTime, calls: 4},
-		"group errs":                       {fault: wholeGroup(lost), missing: pb.Reason_REASON_UPSTREAM_ERROR, elapsed: serviceTime, calls: 5},
-		"replica sheds":                    {fault: firstReplica(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), elapsed: serviceTime, calls: 4},
-		"group sheds, asked twice only":    {fault: wholeGroup(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), missing: pb.Reason_REASON_OVERLOAD, elapsed: serviceTime, calls: 4},
-		"replica drains":                   {fault: firstReplica(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING)), elapsed: serviceTime, calls: 4},
-		"replica has another shard":        {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Shard++ })), elapsed: serviceTime, calls: 4},
-		"replica has another snapshot":     {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Snapshot++ })), elapsed: serviceTime, calls: 4},
-		"replica answers another request":  {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.RequestId = "other" })), elapsed: serviceTime, calls: 4},
-		"replica ran another text":         {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.QueryDigest++ })), elapsed: serviceTime, calls: 4},
-		"replica is of another service":    {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Service = "clips" })), elapsed: serviceTime, calls: 4},
-		"replica has hits of other shards": {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Hits[0].Shard++ })), elapsed: serviceTime, calls: 4},
-		"group answers wrongly":            {fault: wholeGroup(corrupt(func(a *pb.LeafSearchResponse) { a.Shard++ })), missing: pb.Reason_REASON_ANSWER_MISMATCH, elapsed: serviceTime, calls: 5},
-		"empty shard counts as covered":    {fault: wholeGroup(corrupt(func(a *pb.LeafSearchResponse) { a.Hits = nil })), elapsed: serviceTime, calls: 3},
-		"silent connection, asked at once": {fault: wholeGroup(failWith(&upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost})), missing: pb.Reason_REASON_UNREACHABLE, elapsed: serviceTime, calls: 6},
-		"connection lost, no budget left":  {fault: firstConnectionLost, proven: true, elapsed: serviceTime, calls: 4},
-		"straggler is hedged":              {fault: firstReplica(stall), elapsed: 10*time.Millisecond + serviceTime, calls: 4},
-		"lost group, known at once":        {fault: wholeGroupDown, missing: pb.Reason_REASON_NO_UPSTREAM, elapsed: serviceTime, calls: 2},
-		"stalled group, coverage waits":    {fault: wholeGroup(stall), kind: "claim", missing: pb.Reason_REASON_DEADLINE, elapsed: answerBy, calls: 4},
+		"replica errs":                         {fault: firstReplica(lost), elapsed: serviceTime, calls: 4},
+		"group errs":                           {fault: wholeGroup(lost), missing: pb.Reason_REASON_UPSTREAM_ERROR, elapsed: serviceTime, calls: 5},
+		"replica sheds":                        {fault: firstReplica(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), elapsed: serviceTime, calls: 4},
+		"group sheds, called twice only":       {fault: wholeGroup(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)), missing: pb.Reason_REASON_OVERLOAD, elapsed: serviceTime, calls: 4},
+		"replica drains":                       {fault: firstReplica(refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING)), elapsed: serviceTime, calls: 4},
+		"replica has another shard":            {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Shard++ })), elapsed: serviceTime, calls: 4},
+		"replica has another snapshot":         {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Snapshot++ })), elapsed: serviceTime, calls: 4},
+		"replica answers another request":      {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.RequestId = "other" })), elapsed: serviceTime, calls: 4},
+		"replica ran another text":             {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.QueryDigest++ })), elapsed: serviceTime, calls: 4},
+		"replica is of another service":        {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Service = "clips" })), elapsed: serviceTime, calls: 4},
+		"replica has hits of other shards":     {fault: firstReplica(corrupt(func(a *pb.LeafSearchResponse) { a.Hits[0].Shard++ })), elapsed: serviceTime, calls: 4},
+		"group answers wrongly":                {fault: wholeGroup(corrupt(func(a *pb.LeafSearchResponse) { a.Shard++ })), missing: pb.Reason_REASON_ANSWER_MISMATCH, elapsed: serviceTime, calls: 5},
+		"empty shard counts as covered":        {fault: wholeGroup(corrupt(func(a *pb.LeafSearchResponse) { a.Hits = nil })), elapsed: serviceTime, calls: 3},
+		"silent connection, retried at once":   {fault: wholeGroup(failWith(&upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost})), missing: pb.Reason_REASON_UNREACHABLE, elapsed: serviceTime, calls: 6},
+		"connection lost, no budget remaining": {fault: firstConnectionLost, proven: true, elapsed: serviceTime, calls: 4},
+		"straggler is hedged":                  {fault: firstReplica(stall), elapsed: 10*time.Millisecond + serviceTime, calls: 4},
+		"lost group, known at once":            {fault: wholeGroupDown, missing: pb.Reason_REASON_NO_UPSTREAM, elapsed: serviceTime, calls: 2},
+		"stalled group, coverage waits":        {fault: wholeGroup(stall), kind: "claim", missing: pb.Reason_REASON_DEADLINE, elapsed: answerBy, calls: 4},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +92,7 @@
 					r.replicas.retries = 0
 				}
 				start := time.Now()
-				a, err := r.ask("r1", tt.kind, "algebra", time.Second)
+				a, err := r.search("r1", tt.kind, "algebra", time.Second)
 				is.NoErr(err)
 				is.Equal(time.Since(start), tt.elapsed)
 				if tt.missing == pb.Reason_REASON_UNSPECIFIED {
@@ -108,8 +109,8 @@
 	}
 }
 
-// A call that ended without an answer is made again as soon as a replica has a slot, not given up
-// because none has one at that moment.
+// TestRetryWaitsForASlot guards against a shard given up because no replica has a free slot at the moment of a retry.
+// The retry is sent as soon as a replica has one.
 func TestRetryWaitsForASlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -122,17 +123,18 @@
 			is.True(ok)
 			time.AfterFunc(100*time.Millisecond, func() { call.Done(balance.ResultOK) })
 		}
-		a, err := r.ask("r1", "claim", "algebra", time.Second)
+		a, err := r.search("r1", "claim", "algebra", time.Second)
 		is.NoErr(err)
 		is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
 	})
 }
 
-// firstReplica gives the fault to the replica of shard 0 that is asked first, all to its whole group.
+// firstReplica gives the fault to the replica of shard 0 that is called first.
 func firstReplica(answer func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error)) func(*fakeFleet) {
 	return func(f *fakeFleet) { f.set("leaf-0-a", func(l *fakeLeaf) { l.answer = answer }) }
 }
 
+// wholeGroup gives the fault to all replicas of shard 0.
 func wholeGroup(answer func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error)) func(*fakeFleet) {
 	return func(f *fakeFleet) {
 		for _, id := range []string{"leaf-0-a", "leaf-0-b", "leaf-0-c"} {
@@ -157,13 +159,13 @@
 		service, fleet := groups(3)
 		r := newRig("az-a", service, fleet, anywhere)
 		for range minTypicalSamples {
-			_, err := r.ask("r", "dawn", "algebra", time.Second)
+			_, err := r.search("r", "dawn", "algebra", time.Second)
 			is.NoErr(err)
 		}
 		wholeGroup(stall)(fleet)
-		for range 3 * typicalWindow { // stragglers don't push up the usual time
+		for range 3 * typicalWindow { // stragglers do not raise the typical time
 			start := time.Now()
-			a, err := r.ask("r", "dawn", "algebra", time.Second)
+			a, err := r.search("r", "dawn", "algebra", time.Second)
 			is.NoErr(err)
 			is.Equal(time.Since(start), 3*serviceTime)
 			is.Equal(a.GetCoverage().GetMissing()[0].GetReason(), pb.Reason_REASON_DEADLINE)
@@ -171,7 +173,7 @@
 	})
 }
 
-// TestRefusals checks that a refusal is not_run only where no byte went to a leaf.
+// TestRefusals checks that the kind of a refusal is not_run only if no byte went to a leaf.
 func TestRefusals(t *testing.T) {
 	tests := map[string]struct {
 		fault   func(*rig)
@@ -202,7 +204,7 @@
 						tt.fault(r)
 					}
 					start := time.Now()
-					_, err := r.ask("r1", "claim", tt.query, time.Second)
+					_, err := r.search("r1", "claim", tt.query, time.Second)
 					e, ok := outcome.As(err)
 					is.True(ok)
 					is.Equal(time.Since(start), tt.elapsed)
@@ -255,7 +257,7 @@
 				}
 			})
 		}
-		a, err := r.ask("r1", "claim", "algebra", time.Second)
+		a, err := r.search("r1", "claim", "algebra", time.Second)
 		is.NoErr(err)
 		is.Equal(a.GetSnapshot(), uint64(2))
 		is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
@@ -272,14 +274,14 @@
 		is := is.New(t)
 		service, fleet := groups(2)
 		r := newRig("az-a", service, fleet, anywhere)
-		fleet.set("leaf-0-a", func(l *fakeLeaf) { // it minds no cancellation
+		fleet.set("leaf-0-a", func(l *fakeLeaf) { // it ignores cancellation
 			l.answer = func(_ context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 				time.Sleep(5 * time.Second)
 				return goodAnswer(req), nil
 			}
 		})
 		r.replicas.hedges = 0
-		a, err := r.ask("r1", "claim", "algebra", time.Second)
+		a, err := r.search("r1", "claim", "algebra", time.Second)
 		is.NoErr(err)
 		is.Equal(len(a.GetHits()), 1)
 		r.engine.Wait()
@@ -319,7 +321,7 @@
 		done := make(chan time.Duration, searches)
 		for range searches {
 			go func() {
-				_, err := r.ask("r", "claim", "algebra", time.Second)
+				_, err := r.search("r", "claim", "algebra", time.Second)
 				is.NoErr(err)
 				done <- time.Since(start)
 			}()
@@ -330,8 +332,8 @@
 	})
 }
 
-// TestFirstRunGoesToTheLeafThatTheBalancerPicks shows that a rank alone sends nothing to a slow leaf,
-// and that a slow leaf asked first holds the search up for its group's hedge delay only.
+// TestFirstRunGoesToTheLeafThatTheBalancerPicks guards against a first run sent to a slow leaf for its rank alone, and
+// against one held up by a slow leaf for longer than the hedge delay of its group.
 func TestFirstRunGoesToTheLeafThatTheBalancerPicks(t *testing.T) {
 	for name, tt := range map[string]struct {
 		slow    func(leaf string) bool
@@ -354,7 +356,7 @@
 					}
 				}
 				start := time.Now()
-				a, err := r.ask("r1", "dawn", "algebra", time.Second)
+				a, err := r.search("r1", "dawn", "algebra", time.Second)
 				is.NoErr(err)
 				is.Equal(a.GetOutcome().GetKind(), pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
 				is.Equal(time.Since(start), tt.elapsed)
--- a/internal/search/silence_test.go
+++ b/internal/search/silence_test.go
@@ -15,11 +15,11 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// silence plays leaves whose connections pass nothing from its beginning on: calls in flight then are given up as
-// silent after a while, later ones go over new connections and are answered.
+// silence simulates leaves whose connections go silent at its start. Calls in flight then are ended as silent after a
+// while. Later calls use new connections and are answered.
 type silence struct {
 	started atomic.Bool
-	// start is closed with began set; over is closed where the silent connections are given up.
+	// start is closed when started is set, end when the silent connections are closed.
 	start, end chan struct{}
 }
 
@@ -40,10 +40,10 @@
 	}
 }
 
-// TestSilentConnectionsAreNoLoad keeps a few callers asking while all connections of a gather to its leaves go silent
-// for as long as it takes to give them up, at once or later. The slots that silent calls hold until then say nothing
-// of what the leaves can do, so that nobody is refused for load, whether the gather has all slots of the leaves or a
-// third.
+// TestSilentConnectionsAreNoLoad guards against refusals for load while connections are silent. A few callers send
+// searches all the time while all connections of a gather to its leaves go silent, at once or later, until they are
+// closed. The slots that silent calls hold until then say nothing about the capacity of the leaves, so no search is
+// refused for load, whether the gather has all slots of the leaves or a third.
 func TestSilentConnectionsAreNoLoad(t *testing.T) {
 	for _, tt := range []struct{ callers, slots int }{
 		{2, 3}, {9, 3}, {10, 3}, {12, 3}, {2, 1}, {3, 1}, {4, 1}, {5, 1}, {6, 1},
@@ -56,13 +56,13 @@
 	}
 }
 
-// goSilent counts what callers without pause get before, during and after the silence.
+// goSilent runs callers without pause before, during and after the silence, and fails if any search ends in an error.
 func goSilent(t *testing.T, callers, slots int, after, silent time.Duration) {
-	const limit = 2 * time.Second
+	const timeout = 2 * time.Second
 	is := is.New(t)
 	service, fleet := groups(2)
 	service.Kinds["dawn"].Weight, service.Kinds["claim"].Weight = 10, 2
-	service.Kinds["dawn"].Timeout, service.Kinds["claim"].Timeout = limit, limit
+	service.Kinds["dawn"].Timeout, service.Kinds["claim"].Timeout = timeout, timeout
 	r := newRig("az-a", service, fleet, anywhere)
 	r.replicas.slots = slots
 	s := &silence{start: make(chan struct{}), end: make(chan struct{})}
@@ -76,7 +76,7 @@
 		kind := []string{"claim", "claim", "dawn"}[i%3]
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				if _, err := r.ask("r", kind, "q", limit); err != nil {
+				if _, err := r.search("r", kind, "q", timeout); err != nil {
 					t.Logf("%s: %v", kind, err)
 					refused.Add(1)
 					time.Sleep(100 * time.Millisecond)
--- a/internal/search/sim_test.go
+++ b/internal/search/sim_test.go
@@ -22,13 +22,13 @@
 	"github.com/burdockplank/burdockplank/internal/quarantine"
 )
 
-// simKind is what the searches of one kind met.
+// simKind holds the results of the searches of one kind.
 type simKind struct {
 	sent, answered, whole, failed int
 	times, refusals               []time.Duration
 }
 
-// p99 of the answers.
+// p99 returns the 99th percentile of the time of answered searches.
 func (k *simKind) p99() time.Duration { return quantileOf(k.times, 0.99) }
 
 func quantileOf(times []time.Duration, q float64) time.Duration {
@@ -48,10 +48,11 @@
 	random     *rand.Rand
 
 	mu sync.Mutex
-	// kinds and the time from which they count are guarded by mu.
+	// kinds, and the time from which it counts, are guarded by mu.
 	kinds       map[string]*simKind
 	countedFrom time.Time
-	// baseCalls is the number of calls before from, needed counts the shards of whole answers since.
+	// baseCalls is the number of calls before countedFrom, neededCalls the number of shards of the searches answered
+	// since.
 	baseCalls, neededCalls int
 }
 
@@ -106,7 +107,7 @@
 	s.admissions = append(s.admissions, admission.New(admission.DefaultSettings(), prometheus.NewRegistry(), time.Now, float))
 }
 
-// load sends searches for a time at a rate, and counts those that start from now on anew.
+// load sends searches at a rate per second for a duration, and counts only those that start from now on.
 func (s *sim) load(rate float64, d time.Duration) {
 	s.mu.Lock()
 	s.countedFrom, s.baseCalls, s.neededCalls = time.Now(), s.calls(), 0
@@ -140,7 +141,7 @@
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	a, err := s.ask(ctx, vm, kind, text)
+	a, err := s.send(ctx, vm, kind, text)
 	elapsed := time.Since(start)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,8 +162,8 @@
 	}
 }
 
-// ask goes the way of a search: the entry's door, then one of the two gathers of its zone.
-func (s *sim) ask(ctx context.Context, vm int, kind, text string) (*pb.SearchResponse, *outcome.Error) {
+// send sends a search through the admission of an entry and then one of the two gathers of its zone.
+func (s *sim) send(ctx context.Context, vm int, kind, text string) (*pb.SearchResponse, *outcome.Error) {
 	slot, refused := s.admissions[vm].Admit(ctx, admission.Request{
 		Service: s.service.Name, Kind: s.service.Kinds[kind], Caller: &bundle.Caller{Name: "desk", Rate: 1e6, Burst: 1e6, Share: 1},
 	})
@@ -194,17 +195,18 @@
 	return a, nil
 }
 
-// measurement is what a load met.
+// measurement holds the results of a load.
 type measurement struct {
 	dawn, roster simKind
-	// extraCalls is the calls by those needed, less 1; most the most calls at once at a leaf.
+	// extraCalls is the number of calls divided by those needed, less 1. maxAtLeaf is the maximum number of calls at once
+	// at a leaf, queued ones included.
 	extraCalls float64
 	maxAtLeaf  int
 }
 
 func (e measurement) answered() int { return e.dawn.answered + e.roster.answered }
 
-// measure loads the fleet and returns what the searches met.
+// measure loads the fleet and returns the results of the searches.
 func (s *sim) measure(t *testing.T, name string, rate float64, d time.Duration) measurement {
 	t.Helper()
 	s.load(rate, d)
@@ -219,7 +221,7 @@
 	return e
 }
 
-// String shows the counts and times.
+// String returns the counts and percentiles.
 func (k *simKind) String() string {
 	ms := func(times []time.Duration, q float64) time.Duration {
 		return quantileOf(times, q).Round(100 * time.Microsecond)
@@ -231,7 +233,7 @@
 
 func (k *simKind) wholeShare() float64 { return float64(k.whole) / float64(max(1, k.answered)) }
 
-// slow sets a factor for replicas of groups.
+// slow sets the factor of the service time of leaves.
 func (s *sim) slow(factor float64, ids ...string) {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
@@ -240,7 +242,7 @@
 	}
 }
 
-// replicas returns the ids of one replica of the groups.
+// replicas returns the ids of one replica of each of the groups.
 func replicas(letter string, groups ...int) []string {
 	var ids []string
 	for _, g := range groups {
@@ -249,26 +251,26 @@
 	return ids
 }
 
-// setDown takes leaves away, or brings them back.
-func (s *sim) setDown(is bool, ids ...string) {
+// setDown takes leaves down, or up again.
+func (s *sim) setDown(isDown bool, ids ...string) {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	for _, id := range ids {
-		s.fleet.leaves[id].down = is
+		s.fleet.leaves[id].down = isDown
 	}
 }
 
 var everyGroup = []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}
 
-// settleTime is given to the fleet before a load is measured.
+// settleTime is the duration of the load before a measurement.
 const settleTime = 5 * time.Second
 
-// measureTime is how long a load is measured for a bound of its p99: some 2,500 searches of the rarer kind. With
-// 830 the ratio of two p99 was between 1.10 and 1.30 in 25 runs of one and the same code.
+// measureTime is the duration of a measurement for a bound of its p99: some 2,500 searches of the rarer kind. With 830,
+// the ratio of two p99 was between 1.10 and 1.30 in 25 runs of the same code.
 const measureTime = 9 * settleTime
 
-// TestFaultsUnderLoad holds what the decisions should reach with faults at a usual load: a bound of p99
-// by the calm p99, of extra calls, and the share of whole answers.
+// TestFaultsUnderLoad checks what the decisions have to achieve with faults at a normal load: a bound of p99 relative
+// to the p99 without faults, a bound of extra calls, and the share of whole answers.
 func TestFaultsUnderLoad(t *testing.T) {
 	for name, tt := range map[string]struct {
 		fault func(s *sim)
@@ -305,13 +307,13 @@
 				s.load(simNormalRate, settleTime)
 				after := s.measure(t, "after", simNormalRate, 3*settleTime)
 				is.True(float64(after.roster.p99()) <= 1.1*float64(calm.roster.p99()))
-				time.Sleep(time.Minute) // timers of the parts end
+				time.Sleep(time.Minute) // lets the remaining timers end
 			})
 		})
 	}
 }
 
-// TestOverloadUnderLoad holds what the decisions should reach above capacity.
+// TestOverloadUnderLoad checks goodput, deadlines and the order of kinds above capacity, and the recovery after it.
 func TestOverloadUnderLoad(t *testing.T) {
 	for _, times := range []float64{1.5, 3, 10} {
 		t.Run(fmt.Sprint(times, " times"), func(t *testing.T) {
@@ -325,7 +327,7 @@
 				over := s.measure(t, "overload", times*simCapacity, settleTime)
 				is.True(over.answered()*10 >= peak.answered()*9) // goodput
 				for _, k := range []simKind{over.dawn, over.roster} {
-					is.True(k.p99() < time.Second) // in their deadlines
+					is.True(k.p99() < time.Second) // within their deadlines
 					is.True(k.wholeShare() > 0.85) // most are whole
 					is.Equal(k.failed, 0)
 				}
@@ -342,8 +344,8 @@
 	}
 }
 
-// TestASlowGroupIsHandledByKind shows what the two ways to treat late groups do with a group that is 15
-// times slow: one answers in time without it, the other waits and answers whole.
+// TestASlowGroupIsHandledByKind checks the two policies for late groups with a group that is 15 times slower: one
+// answers in time without it, the other waits for it and answers whole.
 func TestASlowGroupIsHandledByKind(t *testing.T) {
 	for partial, want := range map[bundle.Partial]struct {
 		whole     float64
@@ -359,7 +361,7 @@
 				s := newSim(partial)
 				s.load(simNormalRate, settleTime)
 				s.slow(15, append(append(replicas("a", 0), replicas("b", 0)...), replicas("c", 0)...)...)
-				s.load(simCapacity/50, settleTime) // so few that the slow group can do them all
+				s.load(simCapacity/50, settleTime) // few enough for the slow group to answer all of them
 				e := s.measure(t, string(partial), simCapacity/50, 10*settleTime)
 				is.Equal(e.dawn.answered, e.dawn.sent)
 				is.True(e.dawn.wholeShare() >= want.whole)
--- a/internal/search/simfleet_test.go
+++ b/internal/search/simfleet_test.go
@@ -12,8 +12,9 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// The sizes of a simulated fleet: the booking desk's groups before six VMs, without the processors and
-// networks of a real one. Time is virtual, so that the figures don't depend on the machine.
+// The size of the simulated fleet: the groups of the booking desk behind six VMs, without the processors and networks
+// of a real fleet. Time is virtual, so the results do not depend on the machine. simCapacity and simNormalRate are in
+// searches per second, simQueue is the queue length of a leaf, and simNetworkDelay the delay of one hop.
 const (
 	simGathers      = 6
 	simZones        = 3
@@ -29,7 +30,7 @@
 
 // simLeaf is a leaf with slots and a queue.
 type simLeaf struct {
-	// running, waiting, most and calls are guarded by the fleet's mutex.
+	// running, waiting, maxInFlight and calls are guarded by the fleet's mutex.
 	running, maxInFlight, calls int
 	waiting                     []chan struct{}
 	slowFactor                  float64
@@ -50,10 +51,10 @@
 }
 
 func (f *simFleet) Execute(context.Context, string, *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
-	panic("no orders here")
+	panic("unexpected call of Execute")
 }
 
-// Search takes a slot, works and answers; a call that is given up frees its slot.
+// Search takes a slot, works and answers. A call that is cancelled frees its slot.
 func (f *simFleet) Search(ctx context.Context, id string, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 	time.Sleep(simNetworkDelay)
 	l, turn, shed := f.enter(id)
--- a/internal/search/stale_test.go
+++ b/internal/search/stale_test.go
@@ -12,7 +12,7 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// beforeAnswers lets something happen before each leaf answers.
+// beforeAnswers calls do before each leaf answers.
 func (f *fakeFleet) beforeAnswers(do func()) {
 	for id := range f.leaves {
 		f.set(id, func(l *fakeLeaf) {
@@ -24,14 +24,14 @@
 	}
 }
 
-// A process that was frozen after a search was let in sends none of its calls when it wakes: what the search was
-// planned by is from before the pause.
+// TestNoCallWithoutFreshView guards against calls planned by an outdated view: a process that was frozen after it
+// admitted a search sends none of its calls when it resumes, because the view is from before the pause.
 func TestNoCallWithoutFreshView(t *testing.T) {
 	is := is.New(t)
 	service, fleet := groups(2)
 	r := newRig("az-a", service, fleet, anywhere)
 	r.feed.stale.Store(true)
-	_, err := r.ask("r-1", "dawn", "q", time.Second)
+	_, err := r.search("r-1", "dawn", "q", time.Second)
 	var o *outcome.Error
 	is.True(errors.As(err, &o))
 	is.Equal(o.Kind, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN)
@@ -39,31 +39,31 @@
 	is.Equal(fleet.runs("q"), 0)
 }
 
-// TestNoCallByAPlanOfBeforeAPause guards against answers from an outdated snapshot: the process was frozen between the
-// answer of the first run and the calls to other shards, and fresh news came before these are made. They would go by
-// the plan of before.
+// TestNoCallByAPlanOfBeforeAPause guards against answers from an outdated snapshot. The process is frozen between the
+// answer of the first run and the calls to the other shards, and fresh updates arrive before these are made. The calls
+// would follow the plan from before the pause.
 func TestNoCallByAPlanOfBeforeAPause(t *testing.T) {
 	is := is.New(t)
 	service, fleet := groups(2)
 	r := newRig("az-a", service, fleet, nil)
 	fleet.beforeAnswers(func() { r.feed.paused.Store(time.Now().UnixNano()) })
-	a, err := r.ask("r-1", "claim", "q", time.Second)
+	a, err := r.search("r-1", "claim", "q", time.Second)
 	is.NoErr(err)
 	is.Equal(a.GetCoverage().GetShardsCovered(), uint32(1))
 	is.Equal(fleet.runs("q"), 1)
-	a, err = r.ask("r-2", "claim", "q", time.Second) // one that was let in since
+	a, err = r.search("r-2", "claim", "q", time.Second) // admitted after the pause
 	is.NoErr(err)
 	is.True(a.GetCoverage().GetShardsCovered() > 0)
 }
 
-// The first run of a request is answered by one leaf, and the process was frozen meanwhile: the other shards
-// aren't asked, and the answer says what it lacks.
+// TestSecondShardNotAskedAfterPause guards against calls to the other shards after the process was frozen during the
+// first run. They are not called, and the coverage lists them as missing.
 func TestSecondShardNotAskedAfterPause(t *testing.T) {
 	is := is.New(t)
 	service, fleet := groups(2)
 	r := newRig("az-a", service, fleet, nil)
 	fleet.beforeAnswers(func() { r.feed.stale.Store(true) })
-	a, err := r.ask("r-1", "claim", "q", time.Second)
+	a, err := r.search("r-1", "claim", "q", time.Second)
 	is.NoErr(err)
 	is.Equal(a.GetCoverage().GetShardsCovered(), uint32(1))
 	is.Equal(fleet.runs("q"), 1)
