--- a/internal/search/check.go
+++ b/internal/search/check.go
@@ -6,10 +6,10 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// Mismatch names what of an answer differs from what was asked; it labels the metric.
+// Mismatch names the field in which an answer differs from its request. It is a label value of the metric.
 type Mismatch string
 
-// The ways in which an answer can differ from what was asked.
+// The ways in which an answer can differ from its request.
 const (
 	MismatchNone     Mismatch = ""
 	MismatchRequest  Mismatch = "request_id"
@@ -17,26 +17,26 @@
 	MismatchShard    Mismatch = "shard"
 	MismatchSnapshot Mismatch = "snapshot"
 	MismatchDigest   Mismatch = "query_digest"
-	// MismatchHit is a hit of another shard, or one whose score is not a number.
+	// MismatchHit means a hit of another shard, or one whose score is NaN.
 	MismatchHit Mismatch = "hit"
 )
 
-// check compares an answer with its question. Only an answer without mismatch is merged.
-func check(asked *pb.LeafSearchRequest, digest uint64, got *pb.LeafSearchResponse) Mismatch {
+// checkAnswer compares an answer with its request. Only an answer without a mismatch is merged.
+func checkAnswer(req *pb.LeafSearchRequest, digest uint64, got *pb.LeafSearchResponse) Mismatch {
 	switch {
-	case got.GetRequestId() != asked.GetRequestId():
+	case got.GetRequestId() != req.GetRequestId():
 		return MismatchRequest
-	case got.GetService() != asked.GetService():
+	case got.GetService() != req.GetService():
 		return MismatchService
-	case got.GetShard() != asked.GetShard():
+	case got.GetShard() != req.GetShard():
 		return MismatchShard
-	case got.GetSnapshot() != asked.GetSnapshot():
+	case got.GetSnapshot() != req.GetSnapshot():
 		return MismatchSnapshot
 	case got.GetQueryDigest() != digest:
 		return MismatchDigest
 	}
 	for _, h := range got.GetHits() {
-		if h.GetShard() != asked.GetShard() || math.IsNaN(h.GetScore()) {
+		if h.GetShard() != req.GetShard() || math.IsNaN(h.GetScore()) {
 			return MismatchHit
 		}
 	}
--- a/internal/search/coverage_test.go
+++ b/internal/search/coverage_test.go
@@ -19,17 +19,17 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// notSent is the place in behaviours of the only one of which no byte reaches the leaf.
+// notSent is the index in behaviours of the only one of which no byte reaches the leaf.
 const notSent = 0
 
-// behaviours are what a leaf may do to any one call.
+// behaviours are the possible reactions of a leaf to a call.
 var behaviours = []func(context.Context, *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error){
 	failWith(&upstream.CallError{Err: errRefused}),
 	answerAfter(serviceTime),
 	answerAfter(20 * serviceTime),
-	spoil(func(a *pb.LeafSearchResponse) { a.Hits = nil }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.Hits = nil }),
 	stall,
-	deaf,
+	ignoreCancellation,
 	refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED),
 	refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING),
 	refuseWith(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SNAPSHOT_GONE),
@@ -37,22 +37,22 @@
 	failWith(&upstream.CallError{Wrote: true, ConnectionSilent: true, Err: errLost}),
 	failWith(&upstream.CallError{Wrote: true, ConnectionLost: true, Err: errLost}),
 	failWith(&upstream.CallError{Wrote: true, Err: errLost}),
-	spoil(func(a *pb.LeafSearchResponse) { a.Shard++ }),
-	spoil(func(a *pb.LeafSearchResponse) { a.Snapshot++ }),
-	spoil(func(a *pb.LeafSearchResponse) { a.RequestId += "x" }),
-	spoil(func(a *pb.LeafSearchResponse) { a.QueryDigest++ }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.Shard++ }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.Snapshot++ }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.RequestId += "x" }),
+	corrupt(func(a *pb.LeafSearchResponse) { a.QueryDigest++ }),
 }
 
-// deaf answers late whatever becomes of its call.
-func deaf(_ context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
+// ignoreCancellation answers late, whether or not its call is cancelled.
+func ignoreCancellation(_ context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
 	time.Sleep(300 * time.Millisecond)
 	return goodAnswer(req), nil
 }
 
-// deliveries records which true answers were given, by request, snapshot and shard.
+// deliveries records which correct answers leaves gave, by request, snapshot and shard.
 type deliveries struct {
-	mu    sync.Mutex
-	given map[string]bool
+	mu        sync.Mutex
+	delivered map[string]bool
 	// written holds the requests of which a byte reached a leaf.
 	written map[string]bool
 }
@@ -71,7 +71,7 @@
 	a = proto.CloneOf(a)
 	want.Hits, a.Hits = nil, nil
 	if proto.Equal(a, want) {
-		d.given[deliveryKey(req.GetRequestId(), req.GetSnapshot(), req.GetShard())] = true
+		d.delivered[deliveryKey(req.GetRequestId(), req.GetSnapshot(), req.GetShard())] = true
 	}
 }
 
@@ -92,15 +92,15 @@
 func (d *deliveries) has(key string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.given[key]
+	return d.delivered[key]
 }
 
-// TestCoverageIsWhatWasDelivered lets each leaf do anything to any call, and compares each answer
-// with what the leaves gave: one snapshot, own hits only, every shard covered or missing, nothing
-// covered that wasn't delivered, and no call where the end says not run.
+// TestCoverageIsWhatWasDelivered guards against wrong coverage. Each leaf reacts arbitrarily to any call, and each
+// response is compared with the answers that the leaves gave: one snapshot, own hits only, every shard covered or
+// missing, nothing covered that was not delivered, and no byte at a leaf if the outcome is not_run.
 func TestCoverageIsWhatWasDelivered(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		choices := rapid.SliceOfN(rapid.IntRange(0, len(behaviours)-1), 40, 40).Draw(rt, "what leaves do")
+		choices := rapid.SliceOfN(rapid.IntRange(0, len(behaviours)-1), 40, 40).Draw(rt, "leaf behaviours")
 		healthy := rapid.IntRange(0, 10).Draw(rt, "healthy of ten calls")
 		slots := rapid.IntRange(0, 4).Draw(rt, "slots")
 		mode := rapid.SampledFrom([]string{"always", "never"}).Draw(rt, "first run")
@@ -111,21 +111,21 @@
 			service.Snapshots = append([]*bundle.Snapshot{repartitioned(service.Snapshots[0])}, service.Snapshots...)
 			r := newRig("az-b", service, fleet, modes[mode])
 			r.replicas.slots = slots
-			given := &deliveries{given: make(map[string]bool), written: make(map[string]bool)}
+			delivered := &deliveries{delivered: make(map[string]bool), written: make(map[string]bool)}
 			calls := 0
 			for _, l := range fleet.leaves {
 				l.answer = func(ctx context.Context, req *pb.LeafSearchRequest) (*pb.LeafSearchResponse, error) {
-					given.mu.Lock()
+					delivered.mu.Lock()
 					n := calls
 					calls++
-					given.mu.Unlock()
+					delivered.mu.Unlock()
 					choice := choices[n%len(choices)]
 					if n%10 < healthy {
 						choice = 1
 					}
-					given.write(req, choice)
+					delivered.write(req, choice)
 					a, err := behaviours[choice](ctx, req)
-					given.record(req, a, err)
+					delivered.record(req, a, err)
 					return a, err
 				}
 			}
@@ -134,11 +134,11 @@
 				wg.Go(func() {
 					id := fmt.Sprint("r", i)
 					text := fmt.Sprint("text ", i/2) // two searches share a text
-					a, err := r.ask(id, kind, text, 200*time.Millisecond)
-					found := append(verify(id, text, a, err, given.wasWritten(id)), notDelivered(id, a, given)...)
-					given.mu.Lock()
+					a, err := r.search(id, kind, text, 200*time.Millisecond)
+					found := append(verify(id, text, a, err, delivered.wasWritten(id)), notDelivered(id, a, delivered)...)
+					delivered.mu.Lock()
 					wrong = append(wrong, found...)
-					given.mu.Unlock()
+					delivered.mu.Unlock()
 				})
 			}
 			wg.Wait()
@@ -150,53 +150,53 @@
 	})
 }
 
-// repartitioned is a newer snapshot with fewer shards, one of them listed twice.
+// repartitioned returns a newer snapshot with fewer shards, one of them listed twice.
 func repartitioned(s *bundle.Snapshot) *bundle.Snapshot {
 	return &bundle.Snapshot{Version: s.Version + 1, Shards: []bundle.Shard{s.Shards[0], s.Shards[1], s.Shards[0]}}
 }
 
-// verify returns what is wrong with the end of a search by itself.
+// verify returns the faults of the end of a search that show without regard to what the leaves delivered.
 func verify(id, text string, a *pb.SearchResponse, err error, written bool) []string {
 	var wrong []string
 	if e, ok := outcome.As(err); err != nil {
 		if !ok || e.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN && written {
-			wrong = append(wrong, "not run, but it was sent")
+			wrong = append(wrong, "outcome is not_run, but a byte reached a leaf")
 		}
 		return wrong
 	}
 	c := a.GetCoverage()
 	shards := uint32(4 - a.GetSnapshot()) // 3 in the first, 2 in the second
 	if c.GetShardsTotal() != shards || c.GetDocumentsTotal() != uint64(shards)*100 || c.GetDocumentsCovered() != uint64(c.GetShardsCovered())*100 {
-		wrong = append(wrong, "coverage is not of the snapshot's shards")
+		wrong = append(wrong, "coverage does not match the shards of the snapshot")
 	}
 	if c.GetShardsCovered()+uint32(len(c.GetMissing())) != shards || c.GetShardsCovered() == 0 {
-		wrong = append(wrong, "shards are neither covered nor missing")
+		wrong = append(wrong, "no shard is covered, or some are neither covered nor missing")
 	}
 	whole := a.GetOutcome().GetKind() == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE
 	if whole != (len(c.GetMissing()) == 0) {
-		wrong = append(wrong, "outcome differs from coverage")
+		wrong = append(wrong, "outcome does not match coverage")
 	}
 	for _, h := range a.GetHits() {
 		if h.GetText() != hitText(id, a.GetSnapshot(), text) {
-			wrong = append(wrong, "a hit of another search or snapshot")
+			wrong = append(wrong, "hit of another search or snapshot")
 		}
 	}
 	return wrong
 }
 
-// notDelivered returns the shards claimed to be covered that no leaf gave an answer for.
-func notDelivered(id string, a *pb.SearchResponse, given *deliveries) []string {
+// notDelivered returns the shards reported as covered for which no leaf gave an answer.
+func notDelivered(id string, a *pb.SearchResponse, delivered *deliveries) []string {
 	var wrong []string
 	for shard := range a.GetCoverage().GetShardsTotal() {
 		missing := slices.ContainsFunc(a.GetCoverage().GetMissing(), func(m *pb.MissingShard) bool { return m.GetShard() == shard })
-		if !missing && !given.has(deliveryKey(id, a.GetSnapshot(), shard)) {
-			wrong = append(wrong, fmt.Sprintf("shard %d covered, not delivered", shard))
+		if !missing && !delivered.has(deliveryKey(id, a.GetSnapshot(), shard)) {
+			wrong = append(wrong, fmt.Sprintf("shard %d is covered, but no leaf delivered it", shard))
 		}
 	}
 	return wrong
 }
 
-func TestChoose(t *testing.T) {
+func TestChoosePlan(t *testing.T) {
 	is := is.New(t)
 	both := []uint64{1, 2}
 	service := &bundle.Service{Snapshots: []*bundle.Snapshot{
@@ -210,21 +210,21 @@
 		want   uint64
 	}{
 		"newest whole":                       {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": up(both)}, want: 2},
-		"not said counts as held":            {states: map[string]upstream.State{"a": up(nil), "b": up(nil), "c": up(nil), "d": up(nil)}, want: 2},
+		"unreported snapshots count as held": {states: map[string]upstream.State{"a": up(nil), "b": up(nil), "c": up(nil), "d": up(nil)}, want: 2},
 		"newest lacks a shard":               {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": up([]uint64{1})}, want: 1},
-		"found lacking by a refusal":         {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": up(both)}, lacks: "d", want: 1},
-		"leaving leaf doesn't count":         {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": {Connected: true, Leaving: true}}, want: 1},
+		"leaf refused the snapshot":          {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": up(both)}, lacks: "d", want: 1},
+		"leaving leaf does not count":        {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": {Connected: true, Leaving: true}}, want: 1},
 		"none whole, most documents":         {states: map[string]upstream.State{"c": up(both), "d": up(both)}, want: 1},
 		"none whole, newest on ties":         {states: map[string]upstream.State{"b": up([]uint64{1}), "c": {}, "d": up(both), "a": {}}, want: 2},
-		"nothing can be asked":               {states: map[string]upstream.State{"a": {Connected: false}}, want: 0},
-		"unconnected counts as out of reach": {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": {}}, want: 1},
+		"no leaf is connected":               {states: map[string]upstream.State{"a": {Connected: false}}, want: 0},
+		"unconnected leaf does not count":    {states: map[string]upstream.State{"a": up(both), "b": up(both), "c": up(both), "d": {}}, want: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := choose(service, fleet{
-				state: func(l string) (upstream.State, bool) { s, ok := tt.states[l]; return s, ok },
-				lacks: func(l string, v uint64) bool { return l == tt.lacks && v == 2 },
+			p := choosePlan(service, fleet{
+				state:         func(l string) (upstream.State, bool) { s, ok := tt.states[l]; return s, ok },
+				lacksSnapshot: func(l string, v uint64) bool { return l == tt.lacks && v == 2 },
 			})
 			if tt.want == 0 {
 				is.True(p == nil)
@@ -233,8 +233,8 @@
 			is.Equal(p.snapshot.Version, tt.want)
 		})
 	}
-	twice := makePlan(&bundle.Snapshot{Shards: []bundle.Shard{{ID: 3, Documents: 5, Leaves: []string{"a"}}, {ID: 3, Documents: 5, Leaves: []string{"a", "b"}}}},
-		fleet{state: func(string) (upstream.State, bool) { return up(nil), true }, lacks: func(string, uint64) bool { return false }})
+	twice := newPlan(&bundle.Snapshot{Shards: []bundle.Shard{{ID: 3, Documents: 5, Leaves: []string{"a"}}, {ID: 3, Documents: 5, Leaves: []string{"a", "b"}}}},
+		fleet{state: func(string) (upstream.State, bool) { return up(nil), true }, lacksSnapshot: func(string, uint64) bool { return false }})
 	is.Equal(len(twice.shards), 1)
 	is.Equal(twice.documents, uint64(5))
 	is.Equal(twice.shards[0].replicas, []string{"a", "b"})
@@ -249,7 +249,7 @@
 		k := rapid.IntRange(0, 8).Draw(rt, "k")
 		cut := rapid.IntRange(0, len(hits)).Draw(rt, "cut")
 		sorted := slices.Clone(hits)
-		slices.SortFunc(sorted, before)
+		slices.SortFunc(sorted, compareHits)
 		a, b := &pb.LeafSearchResponse{Hits: hits[:cut]}, &pb.LeafSearchResponse{Hits: hits[cut:]}
 		for _, answers := range [][]*pb.LeafSearchResponse{{a, b}, {b, a}} {
 			got := merge(answers, k)
@@ -257,7 +257,7 @@
 				rt.Fatal("wrong number of hits")
 			}
 			for i, h := range got {
-				if before(h, sorted[i]) != 0 {
+				if compareHits(h, sorted[i]) != 0 {
 					rt.Fatal("not the best hits in order")
 				}
 			}
--- a/internal/search/engine.go
+++ b/internal/search/engine.go
@@ -17,10 +17,10 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// Step names this duty in outcomes.
+// Step names this step of a request in outcomes.
 const Step = "gather.search"
 
-// Balancers gives the replica choice of a service.
+// Balancers provides the load balancer of a service.
 type Balancers interface {
 	For(service string) balance.Replicas
 }
@@ -36,34 +36,35 @@
 	calls     sync.WaitGroup
 
 	mu sync.Mutex
-	// services by name, and lacking, the snapshots that leaves refused; both guarded by mu.
-	services map[string]*serviceState
-	lacking  map[holding]time.Time
+	// services holds the state of each service by its name, missingSnapshots until when a leaf that refused a snapshot
+	// is taken to lack it. Both are guarded by mu.
+	services         map[string]*serviceState
+	missingSnapshots map[leafSnapshot]time.Time
 }
 
-// serviceState is what the engine learned of one service.
+// serviceState is what the engine has learned about one service.
 type serviceState struct {
-	usual   usual
-	waiting *waiting
-	gate    *gate
+	typical typicalTime
+	slots   *slotQueue
+	limiter *limiter
 }
 
-// holding names a snapshot at a leaf.
-type holding struct {
+// leafSnapshot identifies a snapshot at a leaf.
+type leafSnapshot struct {
 	leaf    string
 	version uint64
 }
 
-// New returns an engine that has learned nothing yet.
+// New returns an engine without any learned state.
 func New(s Settings, source feed.Source, caller upstream.Caller, b Balancers, guard *quarantine.Registry, m *Metrics) *Engine {
 	return &Engine{
 		settings: s, source: source, caller: caller, balancers: b, guard: guard, metrics: m,
-		services: make(map[string]*serviceState), lacking: make(map[holding]time.Time),
+		services: make(map[string]*serviceState), missingSnapshots: make(map[leafSnapshot]time.Time),
 	}
 }
 
-// question is what is fixed for one search from its arrival on.
-type question struct {
+// query holds what is fixed for one search when it arrives.
+type query struct {
 	identity *pb.Identity
 	bundle   *bundle.Bundle
 	service  *bundle.Service
@@ -74,63 +75,64 @@
 	replicas balance.Replicas
 	state    *serviceState
 	started  time.Time
-	// planned is a time before the view was taken by which the search goes.
-	planned time.Time
-	// deadline is when the answer must be made, the caller's one less the margin.
+	// plannedAt is a time just before the search took the view that it is planned by.
+	plannedAt time.Time
+	// deadline is when the answer must be ready: the caller's deadline less the margin.
 	deadline time.Time
-	// waited is how long the search waited for slots of leaves; set by its runs as they end.
-	waited time.Duration
-	// idle is how long it waited for leaves that it couldn't ask yet; set as waited is.
-	idle time.Duration
+	// slotWait is how long the search waited for slots of leaves. Each run adds to it when it ends.
+	slotWait time.Duration
+	// blockedTime is how long the search waited for leaves that it was not allowed to call yet. Each run adds to it when
+	// it ends.
+	blockedTime time.Duration
 }
 
-// Search answers a search of an identified caller. An error is an *outcome.Error. The answer holds
-// hits of one snapshot only, and its coverage counts only shards whose answer is merged.
+// Search answers a search of an identified caller. An error is an *outcome.Error. The answer holds hits of one
+// snapshot only, and its coverage counts only shards whose answer is merged.
 func (e *Engine) Search(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*pb.SearchResponse, error) {
-	q, err := e.question(ctx, identity, req)
+	q, err := e.newQuery(ctx, identity, req)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
-	a, err := e.gated(ctx, q)
-	e.metrics.ended(q, a, err)
+	a, err := e.answerWhenAdmitted(ctx, q)
+	e.metrics.recordSearch(q, a, err)
 	if err != nil {
 		return nil, err
 	}
 	return a, nil
 }
 
-// gated answers once the gate of the service lets the search in.
-func (e *Engine) gated(ctx context.Context, q *question) (*pb.SearchResponse, error) {
-	if q.state.gate == nil {
+// answerWhenAdmitted answers the search once the concurrency limiter of the service admits it.
+func (e *Engine) answerWhenAdmitted(ctx context.Context, q *query) (*pb.SearchResponse, error) {
+	if q.state.limiter == nil {
 		return e.answer(ctx, q)
 	}
-	if !q.state.gate.enter(ctx, q.kind.Weight, q.patience()) {
-		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "too many searches run").After(e.settings.RetryAfter.D())
+	if !q.state.limiter.enter(ctx, q.kind.Weight, q.queueWait()) {
+		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "concurrency limit of the service reached").After(e.settings.RetryAfter.D())
 	}
-	begun := time.Now()
+	started := time.Now()
 	defer func() {
 		now := time.Now()
-		q.state.gate.leave(now, now.Sub(begun)-q.idle, q.waited)
+		q.state.limiter.leave(now, now.Sub(started)-q.blockedTime, q.slotWait)
 	}()
 	return e.answer(ctx, q)
 }
 
-// patience is how long the search waits at the gate beyond the gate's own bound: a kind that weighs
-// coverage most has a part of its time to spare when the searches that run are held up, as by
-// connections gone silent. It finds no more places in the queue than run at once, so that overload
-// is refused at once as before.
-func (q *question) patience() time.Duration {
+// queueWait returns how long the search may wait at the limiter if that is longer than the limiter's own maximum. A
+// kind that prefers coverage can spend a part of its time waiting while the running searches are delayed, for instance
+// by connections that have gone silent. The queue still holds no more searches than run at once, so overload is refused
+// immediately.
+func (q *query) queueWait() time.Duration {
 	if q.kind.Partial != bundle.PartialCoverage {
 		return 0
 	}
-	return q.deadline.Sub(q.started) / patienceShare
+	return q.deadline.Sub(q.started) / queueWaitDivisor
 }
 
-// question checks a request against the bundle in force. Nothing has been sent when it refuses.
-func (e *Engine) question(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*question, error) {
-	planned := time.Now()
+// newQuery checks a request against the bundle in force. When it returns an error, nothing has been sent.
+func (e *Engine) newQuery(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*query, error) {
+	plannedAt := time.Now()
 	b := e.source.Current().Bundle
 	if b == nil {
 		return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "no bundle in force yet").After(e.settings.RetryAfter.D())
@@ -147,12 +149,12 @@
 		return nil, outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "query is not UTF-8 or top_k is negative")
 	}
 	if len(req.GetQuery()) > b.Limits.MaxQueryBytes || int(req.GetTopK()) > b.Limits.MaxTopK {
-		return nil, outcome.NotRun(pb.Reason_REASON_TOO_LARGE, Step, "query or top_k above the limit")
+		return nil, outcome.NotRun(pb.Reason_REASON_TOO_LARGE, Step, "query or top_k exceeds the limit")
 	}
-	q := &question{
+	q := &query{
 		identity: identity, bundle: b, service: s, kind: k, text: req.GetQuery(),
 		digest: xxhash.Sum64String(req.GetQuery()), topK: int(req.GetTopK()),
-		replicas: e.balancers.For(s.Name), state: e.service(s), started: time.Now(), planned: planned,
+		replicas: e.balancers.For(s.Name), state: e.service(s), started: time.Now(), plannedAt: plannedAt,
 	}
 	if q.topK == 0 {
 		q.topK = k.TopK
@@ -160,17 +162,17 @@
 	return q, e.setDeadline(ctx, q)
 }
 
-// setDeadline keeps a margin of the caller's time for the way back.
-func (e *Engine) setDeadline(ctx context.Context, q *question) error {
+// setDeadline reserves a margin of the caller's time for the return of the answer.
+func (e *Engine) setDeadline(ctx context.Context, q *query) error {
 	end, ok := ctx.Deadline()
 	if latest := q.started.Add(q.kind.Timeout); !ok {
 		end = latest
 	}
-	left := end.Sub(q.started)
-	if left <= 0 {
+	remaining := end.Sub(q.started)
+	if remaining <= 0 {
 		return outcome.NotRun(pb.Reason_REASON_DEADLINE, Step, "no time left")
 	}
-	q.deadline = end.Add(-min(max(e.settings.AnswerMargin.D(), left/marginShare), left/marginMost))
+	q.deadline = end.Add(-min(max(e.settings.AnswerMargin.D(), remaining/marginDivisor), remaining/marginCapDivisor))
 	return nil
 }
 
@@ -179,39 +181,40 @@
 	defer e.mu.Unlock()
 	s := e.services[b.Name]
 	if s == nil {
-		s = &serviceState{waiting: newWaiting()}
+		s = &serviceState{slots: newSlotQueue()}
 		if e.settings.Concurrency == ConcurrencyAdaptive {
-			s.gate = newGate(leastSlots(b), e.settings.QueueWait.D())
+			s.limiter = newLimiter(minGroupSlots(b), e.settings.QueueWait.D())
 		}
 		e.services[b.Name] = s
 	}
 	return s
 }
 
-// answer runs the query, a second time where a snapshot was dropped under it.
-func (e *Engine) answer(ctx context.Context, q *question) (*pb.SearchResponse, error) {
-	p := choose(q.service, e.fleet())
+// answer runs the query, and a second time if its snapshot was dropped during the first run.
+func (e *Engine) answer(ctx context.Context, q *query) (*pb.SearchResponse, error) {
+	p := choosePlan(q.service, e.fleet())
 	if p == nil {
-		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard can be asked").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard of any snapshot has a usable replica").After(e.settings.RetryAfter.D())
 	}
 	sent := false
 	for reruns := 0; ; reruns++ {
 		r := newRun(ctx, e, q, p, reruns)
-		if err := r.admit(); err != nil {
-			return nil, refusal(err, sent)
+		if err := r.checkQuarantine(); err != nil {
+			return nil, failedIfSent(err, sent)
 		}
 		r.loop()
 		sent = sent || r.sent
-		if r.again == nil {
-			return r.result(sent)
+		if r.rerunPlan == nil {
+			return r.response(sent)
 		}
 		e.metrics.reruns.WithLabelValues(q.service.Name, q.kind.Name).Inc()
-		p = r.again
+		p = r.rerunPlan
 	}
 }
 
-// refusal keeps not_run for requests of which nothing was sent.
-func refusal(err *outcome.Error, sent bool) error {
+// failedIfSent returns err with not_run turned into failed if anything was sent. The kind not_run is only for requests
+// of which nothing was sent.
+func failedIfSent(err *outcome.Error, sent bool) error {
 	if !sent {
 		return err
 	}
@@ -220,30 +223,30 @@
 	return &failed
 }
 
-// fleet returns what is known of the leaves now.
-func (e *Engine) fleet() fleet { return fleet{state: e.caller.State, lacks: e.lacks} }
+// fleet returns the current state of the leaves.
+func (e *Engine) fleet() fleet { return fleet{state: e.caller.State, lacksSnapshot: e.lacksSnapshot} }
 
-// lacks tells whether the leaf refused the version lately.
-func (e *Engine) lacks(leaf string, version uint64) bool {
+// lacksSnapshot reports whether the leaf refused the version within missingSnapshotTTL.
+func (e *Engine) lacksSnapshot(leaf string, version uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.lacking) == 0 {
+	if len(e.missingSnapshots) == 0 {
 		return false
 	}
-	h := holding{leaf, version}
-	until, ok := e.lacking[h]
+	key := leafSnapshot{leaf, version}
+	until, ok := e.missingSnapshots[key]
 	if ok && time.Now().After(until) {
-		delete(e.lacking, h)
+		delete(e.missingSnapshots, key)
 		return false
 	}
 	return ok
 }
 
-func (e *Engine) noteLacking(leaf string, version uint64) {
+func (e *Engine) recordMissingSnapshot(leaf string, version uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lacking[holding{leaf, version}] = time.Now().Add(lacksFor)
+	e.missingSnapshots[leafSnapshot{leaf, version}] = time.Now().Add(missingSnapshotTTL)
 }
 
-// Wait returns when no call to a leaf is in flight any more. No search may be started beside it.
+// Wait returns when no call to a leaf is in flight. No search may start concurrently with it.
 func (e *Engine) Wait() { e.calls.Wait() }
--- a/internal/search/gate_test.go
+++ b/internal/search/gate_test.go
@@ -15,19 +15,18 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// TestGateOrder shows who starts, waits and is refused at a gate for two searches with one running
-// of each weight in turn.
-func TestGateOrder(t *testing.T) {
+// TestLimiterOrder checks which searches start, wait and are refused at a limit of 2, with heavier kinds first.
+func TestLimiterOrder(t *testing.T) {
 	is := is.New(t)
-	g := newGate(2, time.Second)
+	l := newLimiter(2, time.Second)
 	now := time.Unix(0, 0)
-	start := func(weight int) *place {
-		p, ok := g.arrive(weight, time.Second)
-		is.Equal(p == nil, ok) // in at once, or a place
+	start := func(weight int) *queueEntry {
+		p, ok := l.admit(weight, time.Second)
+		is.Equal(p == nil, ok) // either started or queued
 		return p
 	}
 	refused := func(weight int) bool {
-		p, ok := g.arrive(weight, time.Second)
+		p, ok := l.admit(weight, time.Second)
 		return p == nil && !ok
 	}
 	is.True(start(1) == nil)
@@ -35,79 +34,79 @@
 	light, heavy := start(1), start(5)
 	is.True(refused(1)) // the queue is as long as the limit
 	heavier := start(10)
-	is.Equal(<-light.turn, false) // a heavier one took its place
-	g.leave(now, time.Millisecond, 0)
-	is.Equal(<-heavier.turn, true)
-	g.leave(now, time.Millisecond, 0)
-	is.Equal(<-heavy.turn, true)
+	is.Equal(<-light.decision, false) // displaced by a heavier search
+	l.leave(now, time.Millisecond, 0)
+	is.Equal(<-heavier.decision, true)
+	l.leave(now, time.Millisecond, 0)
+	is.Equal(<-heavy.decision, true)
 	last := start(1)
-	g.leave(now, time.Millisecond, 0)
-	is.Equal(g.withdraw(last), true) // its turn had come
-	is.Equal(g.running, 2)
+	l.leave(now, time.Millisecond, 0)
+	is.Equal(l.withdraw(last), true) // it had been admitted already
+	is.Equal(l.running, 2)
 	again := start(1)
-	is.Equal(g.withdraw(again), false)
-	is.Equal(len(g.queue), 0)
+	is.Equal(l.withdraw(again), false)
+	is.Equal(len(l.queue), 0)
 }
 
-// TestGateLimit shows what a window of searches does to a limit of 10.
-func TestGateLimit(t *testing.T) {
+// TestLimiterAdapts checks how a window of searches changes a limit of 10.
+func TestLimiterAdapts(t *testing.T) {
 	for name, tt := range map[string]struct {
-		running      int
-		took, waited time.Duration
-		want         float64
+		running         int
+		elapsed, waited time.Duration
+		want            float64
 	}{
-		"the limit was reached, no waiting":      {running: 10, took: 30 * time.Millisecond, want: 11},
-		"the limit was not reached":              {running: 5, took: 30 * time.Millisecond, want: 10},
-		"slow, but no waiting, as at stragglers": {running: 10, took: time.Second, want: 11},
-		"half the time besides is tolerated":     {running: 10, took: 30 * time.Millisecond, waited: 10 * time.Millisecond, want: 11},
-		"more than that isn't":                   {running: 10, took: 30 * time.Millisecond, waited: 11 * time.Millisecond, want: 8.5},
+		"the limit was reached, no waiting":        {running: 10, elapsed: 30 * time.Millisecond, want: 11},
+		"the limit was not reached":                {running: 5, elapsed: 30 * time.Millisecond, want: 10},
+		"slow, but no waiting, as with stragglers": {running: 10, elapsed: time.Second, want: 11},
+		"waiting for half of the other time":       {running: 10, elapsed: 30 * time.Millisecond, waited: 10 * time.Millisecond, want: 11},
+		"waiting for more than half of it":         {running: 10, elapsed: 30 * time.Millisecond, waited: 11 * time.Millisecond, want: 8.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newGate(10, time.Second)
+			l := newLimiter(10, time.Second)
 			now := time.Unix(0, 0)
 			for range tt.running {
-				g.arrive(1, time.Second)
+				l.admit(1, time.Second)
 			}
-			for i := range gateSamples {
-				now = now.Add(gateWindow / (gateSamples - 1))
-				if i == gateSamples-1 {
+			for i := range minWindowSearches {
+				now = now.Add(minWindow / (minWindowSearches - 1))
+				if i == minWindowSearches-1 {
 					now = now.Add(time.Millisecond)
 				}
-				g.leave(now, tt.took, tt.waited)
-				g.arrive(1, time.Second)
+				l.leave(now, tt.elapsed, tt.waited)
+				l.admit(1, time.Second)
 			}
-			is.Equal(g.limit, tt.want)
+			is.Equal(l.limit, tt.want)
 		})
 	}
 }
 
-// TestGateRoom shows how many may wait after a window in which 8 searches ended in 112 ms.
-func TestGateRoom(t *testing.T) {
+// TestLimiterQueueCapacity checks how many searches may wait after a window in which 8 searches ended in 112 ms.
+func TestLimiterQueueCapacity(t *testing.T) {
 	for name, tt := range map[string]struct {
 		running int
 		longest time.Duration
 		want    int
 	}{
-		"the limit was reached":    {10, 50 * time.Millisecond, 3},
-		"one at least":             {10, time.Millisecond, 1},
-		"the limit at most":        {10, time.Second, 11},
-		"the limit wasn't reached": {5, 50 * time.Millisecond, 10},
-		"one even without a wait":  {10, 0, 1},
+		"the limit was reached":       {10, 50 * time.Millisecond, 3},
+		"at least one":                {10, time.Millisecond, 1},
+		"at most the limit":           {10, time.Second, 11},
+		"the limit was not reached":   {5, 50 * time.Millisecond, 10},
+		"at least one without a wait": {10, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newGate(10, tt.longest)
+			l := newLimiter(10, tt.longest)
 			now := time.Unix(0, 0)
 			for range tt.running {
-				g.arrive(1, time.Second)
+				l.admit(1, time.Second)
 			}
-			for range gateSamples {
-				g.leave(now, time.Millisecond, 0)
-				g.arrive(1, time.Second)
+			for range minWindowSearches {
+				l.leave(now, time.Millisecond, 0)
+				l.admit(1, time.Second)
 				now = now.Add(16 * time.Millisecond)
 			}
-			is.Equal(g.room(g.longest), tt.want)
+			is.Equal(l.queueCapacity(l.maxWait), tt.want)
 		})
 	}
 }
@@ -127,23 +126,23 @@
 	}
 }
 
-// TestSearchesBeyondTheGateAreRefusedNotRun sends more searches at once than the gate lets in while
-// no leaf answers: what finds no place is refused at once, the rest after its wait, and reaches no
-// leaf. A kind that weighs coverage most waits for a part of its time.
-func TestSearchesBeyondTheGateAreRefusedNotRun(t *testing.T) {
-	const margin = time.Second / marginShare
+// TestSearchesBeyondTheLimitAreRefusedNotRun sends more searches at once than the limiter admits while no leaf answers.
+// Searches that do not fit in the queue are refused immediately, the queued ones after their wait. None of these
+// reaches a leaf. A kind that prefers coverage waits for a fixed share of its time.
+func TestSearchesBeyondTheLimitAreRefusedNotRun(t *testing.T) {
+	const margin = time.Second / marginDivisor
 	for kind, wait := range map[string]time.Duration{
 		"dawn":  DefaultSettings().QueueWait.D(),
-		"claim": (time.Second - margin) / patienceShare,
+		"claim": (time.Second - margin) / queueWaitDivisor,
 	} {
-		t.Run(kind, func(t *testing.T) { refusedBeyondTheGate(t, kind, wait) })
+		t.Run(kind, func(t *testing.T) { refusedBeyondTheLimit(t, kind, wait) })
 	}
 }
 
-func refusedBeyondTheGate(t *testing.T, kind string, wait time.Duration) {
+func refusedBeyondTheLimit(t *testing.T, kind string, wait time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		service, fleet := groups(1) // of 9 slots
+		service, fleet := groups(1) // 9 slots
 		r := newRig("az-a", service, fleet, anywhere)
 		for _, l := range fleet.leaves {
 			l.answer = stall
@@ -175,15 +174,15 @@
 	})
 }
 
-// TestSearchesThatWaitForHeldLeavesAreNoLoad guards against searches that are refused as too many while the leaves are
-// idle: first-seen texts wait until leaves that were lost just now may be asked, and known ones run meanwhile.
+// TestSearchesThatWaitForHeldLeavesAreNoLoad guards against refusals for load while the leaves are idle: new texts wait
+// until recently lost leaves may be called again, and known texts run meanwhile.
 func TestSearchesThatWaitForHeldLeavesAreNoLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service, fleet := groups(1)
 		r := newRig("az-a", service, fleet, nil)
 		fleet.restart = 50 * time.Millisecond
-		_, err := r.ask("first", "claim", "known", time.Second)
+		_, err := r.search("first", "claim", "known", time.Second)
 		is.NoErr(err)
 		for leaf := range service.Leaves {
 			s, _ := fleet.State(leaf)
@@ -193,17 +192,17 @@
 		time.Sleep(2 * fleet.restart)
 		r.guard.Look()
 		var wg sync.WaitGroup
-		for i := range 3 * leastSlots(service) {
+		for i := range 3 * minGroupSlots(service) {
 			wg.Go(func() {
-				begun := time.Now()
-				_, err := r.ask("waits", "claim", fmt.Sprint("new ", i), 4*time.Second)
+				start := time.Now()
+				_, err := r.search("waits", "claim", fmt.Sprint("new ", i), 4*time.Second)
 				is.NoErr(err)
-				is.True(time.Since(begun) >= time.Second)
+				is.True(time.Since(start) >= time.Second)
 			})
 			time.Sleep(time.Millisecond)
 		}
 		for range 100 {
-			_, err := r.ask("runs", "claim", "known", time.Second)
+			_, err := r.search("runs", "claim", "known", time.Second)
 			is.NoErr(err)
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/internal/search/merge.go
+++ b/internal/search/merge.go
@@ -8,9 +8,9 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// before orders hits: higher scores first, ties by document and then by shard, so that equal
-// answers give equal results whatever order they came in.
-func before(a, b *pb.Hit) int {
+// compareHits orders hits by descending score, ties by document and then by shard. Equal answers therefore give equal
+// results in whatever order they arrive.
+func compareHits(a, b *pb.Hit) int {
 	if c := cmp.Compare(b.GetScore(), a.GetScore()); c != 0 {
 		return c
 	}
@@ -20,11 +20,11 @@
 	return cmp.Compare(a.GetShard(), b.GetShard())
 }
 
-// worstFirst is a heap of hits with the worst at its top.
+// worstFirst is a heap of hits with the worst at the top.
 type worstFirst []*pb.Hit
 
 func (h worstFirst) Len() int           { return len(h) }
-func (h worstFirst) Less(i, j int) bool { return before(h[i], h[j]) > 0 }
+func (h worstFirst) Less(i, j int) bool { return compareHits(h[i], h[j]) > 0 }
 func (h worstFirst) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
@@ -46,17 +46,17 @@
 			best.offer(hit, topK)
 		}
 	}
-	slices.SortFunc(best, before)
+	slices.SortFunc(best, compareHits)
 	return best
 }
 
-// offer keeps the hit where it is among the best n.
+// offer keeps the hit if it is among the best n.
 func (h *worstFirst) offer(hit *pb.Hit, n int) {
 	if len(*h) < n {
 		heap.Push(h, hit)
 		return
 	}
-	if n > 0 && before(hit, (*h)[0]) < 0 {
+	if n > 0 && compareHits(hit, (*h)[0]) < 0 {
 		(*h)[0] = hit
 		heap.Fix(h, 0)
 	}
--- a/internal/search/trial.go
+++ b/internal/search/trial.go
@@ -10,185 +10,185 @@
 	"github.com/burdockplank/burdockplank/internal/quarantine"
 )
 
-// trial is the first run of a request that no leaf has answered yet: one leaf at a time, chosen by
-// rank among few, until one answers.
-type trial struct {
+// firstRun is the first run of a request that no leaf has answered yet. It calls one leaf at a time, chosen by rank
+// among a few, until one answers.
+type firstRun struct {
 	r       *run
 	ranking ranking
-	// fixed are the places by rank alone, whatever state the leaves are in. Only they may be asked
-	// beside a call in flight or by a suspect, so that the whole fleet asks no other leaf while the
-	// request may crash it, even where the gathers see different leaves.
-	fixed []ranked
-	// used are the leaves asked; silent those whose connection went silent then, after which they
-	// are asked once more.
-	used, silent map[string]bool
-	// solo is true for a suspect: it runs beside no other unproven request and isn't hedged.
-	solo bool
-	// answered is true where a leaf has answered the very request here before. It doesn't crash each leaf that
-	// runs it, so that it isn't bound to places: it passes over leaves that were lost just now. known is true where
-	// one has answered the text, for another number of hits maybe.
-	answered, known bool
-	active          int
-	hedgeAt         time.Time
-	// last is the end of the latest call that failed, peer its leaf.
-	last failure
-	peer string
+	// primaries are the leaves chosen by rank alone, whatever their state. Beside a call in flight, or for a suspect, no
+	// other leaf may be called. So the whole fleet calls no other leaf while the request may crash it, even if the
+	// gathers see different leaves.
+	primaries []ranked
+	// called holds the leaves called. silent holds those whose connection then went silent; they are called once more.
+	called, silent map[string]bool
+	// exclusive is true for a suspect: it runs beside no other unproven request at a leaf and is not hedged.
+	exclusive bool
+	// requestAnswered is true if a leaf has answered this very request here before. Such a request does not crash each
+	// leaf that runs it. It is therefore not bound to the primaries and skips leaves that were lost recently.
+	// textAnswered is true if a leaf has answered the text, possibly for another number of hits.
+	requestAnswered, textAnswered bool
+	inFlight                      int
+	hedgeAt                       time.Time
+	// lastFailure is the failure of the latest failed call, peer its leaf.
+	lastFailure failure
+	peer        string
 }
 
-func newTrial(r *run, solo bool) *trial {
-	t := &trial{
-		r: r, solo: solo, ranking: newRanking(r), used: make(map[string]bool), silent: make(map[string]bool),
+func newFirstRun(r *run, exclusive bool) *firstRun {
+	f := &firstRun{
+		r: r, exclusive: exclusive, ranking: newRanking(r), called: make(map[string]bool), silent: make(map[string]bool),
 	}
-	t.answered, t.known = r.e.guard.Answered(r.key)
-	t.fixed = t.ranking.fixed()
-	return t
+	f.requestAnswered, f.textAnswered = r.e.guard.Answered(r.key)
+	f.primaries = f.ranking.primaries()
+	return f
 }
 
-// advance asks the next leaf where it is time to, and ends the run where none is left.
-func (t *trial) advance() {
-	if t.active > 0 && (t.solo || time.Now().Before(t.hedgeAt)) || !t.allowed() {
+// advance calls the next leaf if one is due, and refuses the request if none remains.
+func (f *firstRun) advance() {
+	if f.inFlight > 0 && (f.exclusive || time.Now().Before(f.hedgeAt)) || !f.mayAdvance() {
 		return
 	}
-	open, waitFor := t.sort(t.candidates())
-	if t.ask(open) {
+	callable, waitFor := f.partition(f.candidates())
+	if f.tryLaunch(callable) {
 		return
 	}
-	t.r.idle(t.active == 0 && len(open) == 0 && len(waitFor) > 0)
-	for _, l := range open {
+	f.r.setBlocked(f.inFlight == 0 && len(callable) == 0 && len(waitFor) > 0)
+	for _, l := range callable {
 		waitFor = append(waitFor, l.leaf)
 	}
-	if t.active > 0 {
-		t.hedgeAt = time.Now().Add(t.r.q.replicas.HedgeAfter(t.leaves()))
+	if f.inFlight > 0 {
+		f.hedgeAt = time.Now().Add(f.r.q.replicas.HedgeAfter(f.primaryLeaves()))
 		return
 	}
-	if len(waitFor) == 0 || !t.r.wait(waitFor) {
-		t.fail(len(waitFor) > 0)
+	if len(waitFor) == 0 || !f.r.awaitSlot(waitFor) {
+		f.refuse(len(waitFor) > 0)
 	}
 }
 
-// allowed looks at how the request stands by now: what other searches with the same text met may
-// have proven it, made it a suspect or put it in quarantine since.
-func (t *trial) allowed() bool {
-	switch standing, after := t.r.e.guard.Standing(t.r.key); standing {
+// mayAdvance checks the status of the request again. Since the last check, other searches with the same text may have
+// proven it, made it a suspect or put it in quarantine.
+func (f *firstRun) mayAdvance() bool {
+	switch status, after := f.r.e.guard.Standing(f.r.key); status {
 	case quarantine.Quarantined:
-		t.r.refused = quarantined(after).At(t.peer)
+		f.r.refusal = quarantineRefusal(after).At(f.peer)
 		return false
 	case quarantine.Proven:
-		t.r.release()
+		f.r.startFanOut()
 		return false
 	case quarantine.Doubted:
-		t.r.idle(t.active == 0)
-		if t.active == 0 && !t.r.wait(t.leaves()) {
-			t.fail(true)
+		f.r.setBlocked(f.inFlight == 0)
+		if f.inFlight == 0 && !f.r.awaitSlot(f.primaryLeaves()) {
+			f.refuse(true)
 		}
 		return false
 	case quarantine.Suspect:
-		t.solo = true
-		return t.active == 0
+		f.exclusive = true
+		return f.inFlight == 0
 	}
 	return true
 }
 
-// candidates returns the leaves with a place, near ones first. A leaf that is out of use for long
-// leaves its place to the next in rank, but not beside a call in flight, nor where it crashed with the request. A
-// suspect that no leaf has answered keeps to the fixed ones: a leaf that crashes just now may pass for out of use.
-func (t *trial) candidates() []ranked {
-	own := t.r.e.source.Current().Zone
-	if t.answered {
-		if free := t.free(); len(free) > 0 {
-			return nearFirst(free, own)
+// candidates returns the leaves that the first run may use, those of the local zone first. A leaf that is out of use
+// for long is replaced by the next in rank, but not beside a call in flight, nor if it crashed with the request. A
+// suspect whose text no leaf has answered is bound to the primaries: a leaf that is crashing at this moment may look
+// out of use.
+func (f *firstRun) candidates() []ranked {
+	localZone := f.r.e.source.Current().Zone
+	if f.requestAnswered {
+		if available := f.available(); len(available) > 0 {
+			return localFirst(available, localZone)
 		}
 	}
-	crashed := t.r.e.guard.CrashedAt(t.r.key.Digest)
-	absent := func(l string) bool { return t.place(l) == quarantine.PlaceAbsent && !slices.Contains(crashed, l) }
-	places := slices.Clone(t.fixed)
-	if t.active == 0 && (t.known || !t.solo) {
-		places = t.ranking.places(absent)
+	crashed := f.r.e.guard.CrashedAt(f.r.key.Digest)
+	absent := func(l string) bool { return f.status(l) == quarantine.PlaceAbsent && !slices.Contains(crashed, l) }
+	leaves := slices.Clone(f.primaries)
+	if f.inFlight == 0 && (f.textAnswered || !f.exclusive) {
+		leaves = f.ranking.withSubstitutes(absent)
 	}
-	if t.solo {
-		return nearFirst(t.unharmed(places, crashed), own)
+	if f.exclusive {
+		return localFirst(f.withoutCrashed(leaves, crashed), localZone)
 	}
-	if len(places) == 0 {
-		places = t.ranking.nearest(own, absent)
+	if len(leaves) == 0 {
+		leaves = f.ranking.fallback(localZone, absent)
 	}
-	return nearFirst(places, own)
+	return localFirst(leaves, localZone)
 }
 
-// free returns the leaves with a place where all that can't be asked now leave theirs to the next in rank; none
-// beside a call in flight.
-func (t *trial) free() []ranked {
-	if t.active > 0 {
+// available returns the primaries with each one that was called or cannot be called now replaced by the next in rank.
+// It returns none beside a call in flight.
+func (f *firstRun) available() []ranked {
+	if f.inFlight > 0 {
 		return nil
 	}
-	return t.ranking.places(func(l string) bool { return t.used[l] || t.place(l) != quarantine.PlaceFree })
+	return f.ranking.withSubstitutes(func(l string) bool { return f.called[l] || f.status(l) != quarantine.PlaceFree })
 }
 
-// unharmed drops the leaves that crashed with the request in flight, unless all did that have a place by rank.
-func (t *trial) unharmed(places []ranked, crashed []string) []ranked {
-	harmed := func(p ranked) bool { return slices.Contains(crashed, p.leaf) }
-	if !slices.ContainsFunc(t.fixed, func(p ranked) bool { return !harmed(p) }) {
-		return places
+// withoutCrashed removes the leaves that crashed with the request in flight, unless all primaries did.
+func (f *firstRun) withoutCrashed(leaves []ranked, crashed []string) []ranked {
+	hasCrashed := func(p ranked) bool { return slices.Contains(crashed, p.leaf) }
+	if !slices.ContainsFunc(f.primaries, func(p ranked) bool { return !hasCrashed(p) }) {
+		return leaves
 	}
-	return slices.DeleteFunc(slices.Clone(places), harmed)
+	return slices.DeleteFunc(slices.Clone(leaves), hasCrashed)
 }
 
-// place says how a leaf stands for the first run. Whether it is of use is looked at first: a leaf that crashes
-// between the two looks is found lost by the second and keeps its place, where the other way round it passed for
-// out of use and the next in rank was asked, and crashed, in its stead.
-func (t *trial) place(leaf string) quarantine.Place {
-	usable := t.r.fleet.usable(leaf, t.r.plan.snapshot.Version)
-	p := t.r.e.guard.Place(leaf, t.r.key.Digest)
+// status returns whether the first run may use a leaf. It checks whether the leaf is usable before it asks the guard:
+// if the leaf crashes between the two checks, the guard reports it as lost and no other leaf replaces it. In the
+// opposite order such a leaf counted as out of use, and the next in rank was called, and crashed, instead.
+func (f *firstRun) status(leaf string) quarantine.Place {
+	usable := f.r.fleet.usable(leaf, f.r.plan.snapshot.Version)
+	p := f.r.e.guard.Place(leaf, f.r.key.Digest)
 	switch {
 	case p == quarantine.PlaceFree && !usable:
 		return quarantine.PlaceAbsent
-	case p == quarantine.PlaceAbsent && t.solo && t.r.e.guard.HeldFor(leaf, t.r.key.Digest) > 0:
-		return quarantine.PlaceHeld // no other may take its place, so it is waited for
+	case p == quarantine.PlaceAbsent && f.exclusive && f.r.e.guard.HeldFor(leaf, f.r.key.Digest) > 0:
+		return quarantine.PlaceHeld // no other leaf may replace it, so the run waits for it
 	}
 	return p
 }
 
-// sort returns the leaves that may be asked now, and those whose hold ends in time. Beside a call in
-// flight a leaf of another shard is one that the query needs anyway; one of the same shard is an extra
-// call, which the hedge budget has to allow, and is thought of only where there is no other.
-func (t *trial) sort(candidates []ranked) (open []ranked, held []string) {
+// partition returns the leaves that may be called now, and the withheld leaves that are released before the deadline.
+// Beside a call in flight, a leaf of another shard is one that the query needs anyway. One of the same shard is an
+// extra call, which the hedge budget has to allow, and is considered only if there is no other.
+func (f *firstRun) partition(candidates []ranked) (callable []ranked, withheld []string) {
 	var extra []ranked
 	for _, l := range candidates {
-		place := t.place(l.leaf)
+		status := f.status(l.leaf)
 		switch {
-		case t.used[l.leaf], place == quarantine.PlaceAbsent:
-		case place == quarantine.PlaceHeld:
-			if time.Until(t.r.q.deadline) > t.r.e.guard.HeldFor(l.leaf, t.r.key.Digest) {
-				held = append(held, l.leaf)
+		case f.called[l.leaf], status == quarantine.PlaceAbsent:
+		case status == quarantine.PlaceHeld:
+			if time.Until(f.r.q.deadline) > f.r.e.guard.HeldFor(l.leaf, f.r.key.Digest) {
+				withheld = append(withheld, l.leaf)
 			}
-		case t.r.shards[l.shard].active > 0:
+		case f.r.shards[l.shard].inFlight > 0:
 			extra = append(extra, l)
 		default:
-			open = append(open, l)
+			callable = append(callable, l)
 		}
 	}
-	if len(open) == 0 && len(extra) > 0 && t.r.q.replicas.AllowHedge(t.r.q.kind.HedgeBudget) {
-		return extra, held
+	if len(callable) == 0 && len(extra) > 0 && f.r.q.replicas.AllowHedge(f.r.q.kind.HedgeBudget) {
+		return extra, withheld
 	}
-	return open, held
+	return callable, withheld
 }
 
-// ask sends the first call to the leaf among those open that the balancer picks, so that a slow one
-// isn't asked first for its rank; false where there is no room for it now.
-func (t *trial) ask(open []ranked) bool {
-	byLeaf := make(map[string]ranked, len(open))
-	names := make([]string, 0, len(open))
-	for _, l := range open {
+// tryLaunch sends the next call to the callable leaf that the balancer picks, so that a slow leaf is not called first
+// because of its rank. It returns false if none of the leaves can take the call now.
+func (f *firstRun) tryLaunch(callable []ranked) bool {
+	byLeaf := make(map[string]ranked, len(callable))
+	names := make([]string, 0, len(callable))
+	for _, l := range callable {
 		byLeaf[l.leaf] = l
 		names = append(names, l.leaf)
 	}
 	for len(names) > 0 {
-		call, ok := t.r.q.replicas.Pick(names)
+		call, ok := f.r.q.replicas.Pick(names)
 		if !ok {
 			return false
 		}
 		leaf := call.Leaf()
-		if t.r.e.guard.Enter(leaf, t.solo) {
-			t.sent(byLeaf[leaf], call)
+		if f.r.e.guard.Enter(leaf, f.exclusive) {
+			f.launch(byLeaf[leaf], call)
 			return true
 		}
 		call.Done(balance.ResultNeutral)
@@ -197,62 +197,64 @@
 	return false
 }
 
-// sent notes the call. The next leaf is asked once this one takes longer than its group usually
-// does; its own usual time would say nothing where it is the slow one.
-func (t *trial) sent(l ranked, call balance.Call) {
-	t.used[l.leaf] = true
-	t.active++
-	t.r.idle(false)
-	t.hedgeAt = time.Now().Add(t.r.hedgeAfter(&t.r.shards[l.shard], call))
-	t.r.launch(l.shard, call, l.leaf)
+// launch sends the call. The next leaf is called once this call takes longer than is typical for its group. The typical
+// time of the leaf itself would say nothing if that leaf is the slow one.
+func (f *firstRun) launch(l ranked, call balance.Call) {
+	f.called[l.leaf] = true
+	f.inFlight++
+	f.r.setBlocked(false)
+	f.hedgeAt = time.Now().Add(f.r.hedgeDelay(&f.r.shards[l.shard], call))
+	f.r.launch(l.shard, call, l.leaf)
 }
 
-func (t *trial) leaves() []string {
-	list := make([]string, 0, len(t.fixed))
-	for _, l := range t.fixed {
+func (f *firstRun) primaryLeaves() []string {
+	list := make([]string, 0, len(f.primaries))
+	for _, l := range f.primaries {
 		list = append(list, l.leaf)
 	}
 	return list
 }
 
-// failed goes on after a call of the first run failed.
-func (t *trial) failed(ev event) {
-	t.active--
-	t.last, t.peer = ev.failure, ev.leaf
+// callFailed continues after a call of the first run failed.
+func (f *firstRun) callFailed(res callResult) {
+	f.inFlight--
+	f.lastFailure, f.peer = res.failure, res.leaf
 	switch {
-	case ev.failure == failLost:
-		t.solo = true
-	case ev.failure == failSilent && !t.silent[ev.leaf]:
-		t.silent[ev.leaf] = true
-		delete(t.used, ev.leaf)
+	case res.failure == failLost:
+		f.exclusive = true
+	case res.failure == failSilent && !f.silent[res.leaf]:
+		f.silent[res.leaf] = true
+		delete(f.called, res.leaf)
 	}
-	t.advance()
+	f.advance()
 }
 
-// fail ends the run where no leaf is left to be asked first.
-func (t *trial) fail(blocked bool) {
-	reason, after := pb.Reason_REASON_NO_UPSTREAM, t.r.e.settings.RetryAfter.D()
+// refuse ends the run without an answer because no leaf remains for the first run. blocked is true if there are leaves
+// to wait for but too many searches wait already.
+func (f *firstRun) refuse(blocked bool) {
+	reason, after := pb.Reason_REASON_NO_UPSTREAM, f.r.e.settings.RetryAfter.D()
 	switch {
 	case blocked:
 		reason = pb.Reason_REASON_OVERLOAD
-	case t.peer != "":
-		reason = failures[t.last].reason
-	case t.solo && !t.known:
+	case f.peer != "":
+		reason = failures[f.lastFailure].reason
+	case f.exclusive && !f.textAnswered:
 		reason = pb.Reason_REASON_QUARANTINED
 	}
 	if !blocked {
-		after = max(after, t.r.e.guard.Hold())
+		after = max(after, f.r.e.guard.Hold())
 	}
-	t.r.refused = outcome.NotRun(reason, Step, "no leaf answered the first run of the request").At(t.peer).After(after)
+	f.r.refusal = outcome.NotRun(reason, Step, "no leaf answered the first run of the request").At(f.peer).After(after)
 }
 
-func (t *trial) due(sooner func(time.Time)) {
-	if t.active > 0 && !t.solo {
-		sooner(t.hedgeAt)
+// due passes the time of the next hedge to addDue.
+func (f *firstRun) due(addDue func(time.Time)) {
+	if f.inFlight > 0 && !f.exclusive {
+		addDue(f.hedgeAt)
 	}
 }
 
-// quarantined is the refusal of a request that crashed leaves.
-func quarantined(after time.Duration) *outcome.Error {
-	return outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the request was in flight at several upstream crashes").After(after)
+// quarantineRefusal returns the refusal of a request that crashed leaves.
+func quarantineRefusal(after time.Duration) *outcome.Error {
+	return outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the request was in flight during several upstream crashes").After(after)
 }
