--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -40,7 +40,7 @@
 		l.set(id, func(int) reply { return reply{after: l.workTime()} })
 	}))
 	l.budgets = retrybudget.New(retrybudget.Limit{Ratio: 0.2, Slack: 162, Window: 10 * time.Second}, time.Now)
-	l.budgets.SetPart(func(string) float64 { return 0.1 })
+	l.budgets.SetShare(func(string) float64 { return 0.1 })
 	l.engine = New("z", l, l, replica.New(), l.budgets, l, l)
 	return l
 }
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -111,7 +111,7 @@
 	o.view = &directory.View{Config: catalog.New(3, routes, nil, catalog.Limits{}), Leaves: leaves, Revision: 9}
 	for range overloadVMs {
 		b := retrybudget.New(retrybudget.Limit{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}, time.Now)
-		b.SetPart(func(string) float64 { return 1. / overloadVMs })
+		b.SetShare(func(string) float64 { return 1. / overloadVMs })
 		o.engines = append(o.engines, New("z", o, o, replica.New(), b, o, o))
 	}
 	return o
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -199,7 +199,7 @@
 	dumps.Add("peers", d.peers)
 	dumps.Add("gatherers", d.delegate)
 	dumps.Add("connections", d.pool)
-	dumps.Add("budgets", operator.DumpFunc(func() any { return d.budgets.Left() }))
+	dumps.Add("budgets", operator.DumpFunc(func() any { return d.budgets.Remaining() }))
 	return operator.Handler(d.registry, dumps, func() (bool, string) { return d.ready(), "no configuration, no leaves or leaving" })
 }
 
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -72,7 +72,7 @@
 	s.plan = delegate.NewPlan(peers.VM{Address: d.settings.Peers, Zone: d.settings.Zone, Millicores: d.settings.Millicores}, fleet)
 	d.delegate.SetPlan(s.plan)
 	d.gatherer.SetPlan(s.plan)
-	d.budgets.SetPart(s.extra)
+	d.budgets.SetShare(s.extra)
 	d.pool.SetLeaves(callable(view), connectionLimits(view.Config), s.connections)
 	return s.vms
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -60,7 +60,7 @@
 	for service, leaves := range view.Leaves {
 		gauge(m.leaves, float64(len(leaves)), service)
 	}
-	for service, left := range m.d.budgets.Left() {
+	for service, left := range m.d.budgets.Remaining() {
 		gauge(m.extraLeft, left, service)
 	}
 }
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -211,6 +211,6 @@
 		})
 	}
 	if len(list) > 0 {
-		m.cfg.Evidence.Told(msg.GetSender().GetAddress(), list, now)
+		m.cfg.Evidence.RecordPeerTroubles(msg.GetSender().GetAddress(), list, now)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -56,7 +56,7 @@
 // Evidence is what VMs tell each other of leaves in trouble.
 type Evidence interface {
 	Troubles(now time.Time) []replica.Trouble
-	Told(vm string, list []replica.Trouble, now time.Time)
+	RecordPeerTroubles(vm string, list []replica.Trouble, now time.Time)
 }
 
 // Config is what the duty works on.
--- a/internal/replica/cost.go
+++ b/internal/replica/cost.go
@@ -81,8 +81,8 @@
 	if l.slowly.now(now) > mostlySlow {
 		pace = max(pace, l.slowPace)
 	}
-	if l.load.Noise > 0 {
-		pace *= toward(float64(l.load.Noise)/noiseUsual, 1, now.Sub(l.loadAt), loadForget)
+	if l.load.WorkTimePercent > 0 {
+		pace *= toward(float64(l.load.WorkTimePercent)/noiseUsual, 1, now.Sub(l.loadAt), loadForget)
 	}
 	return time.Duration(float64(usual) * pace * crowd)
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -36,8 +36,8 @@
 // Load is a leaf's own report.
 type Load struct {
 	Running, Waiting, Slots int
-	// Noise is how long work takes at the leaf at this moment, 100 for as usual; 0 where not reported.
-	Noise int
+	// WorkTimePercent is how long work takes at the leaf at this moment, 100 for as usual; 0 where not reported.
+	WorkTimePercent int
 }
 
 // Candidate is a leaf that may be chosen.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -166,7 +166,7 @@
 	later := now
 	is.True(share(other, &later, 20, "a", even) > 0.9)
 	for vm := range 5 {
-		other.Told(fmt.Sprint(vm), told, later)
+		other.RecordPeerTroubles(fmt.Sprint(vm), told, later)
 	}
 	is.True(share(other, &later, 20, "a", even) < 0.2)
 	later = later.Add(30 * time.Second)
@@ -193,7 +193,7 @@
 	now := time.Now()
 	answer(table, now, even)
 	for vm := range 3 * toldMost {
-		table.Told(fmt.Sprint(vm), []Trouble{{Leaf: leafID("a"), Calls: 1}, {Leaf: leafID("never called"), Calls: 1}}, now.Add(time.Duration(vm)))
+		table.RecordPeerTroubles(fmt.Sprint(vm), []Trouble{{Leaf: leafID("a"), Calls: 1}, {Leaf: leafID("never called"), Calls: 1}}, now.Add(time.Duration(vm)))
 	}
 	is.Equal(len(table.leaves[leafID("a")].told), toldMost)
 	is.Equal(len(table.leaves), 3)
@@ -205,7 +205,7 @@
 	table := New()
 	now := time.Now()
 	answer(table, now, even)
-	table.Report(leafID("a"), Load{Slots: 3, Noise: 400}, now)
+	table.Report(leafID("a"), Load{Slots: 3, WorkTimePercent: 400}, now)
 	from := group()
 	i, call := table.Choose(now.Add(10*time.Millisecond), "r", usual, from)
 	is.True(from[i].ID.Name != "a")
--- a/internal/replica/tally.go
+++ b/internal/replica/tally.go
@@ -125,8 +125,8 @@
 	return out[:min(reportMost, len(out))]
 }
 
-// Told takes what another VM saw, in place of what it told before.
-func (t *Table) Told(vm string, list []Trouble, now time.Time) {
+// RecordPeerTroubles takes what another VM saw, in place of what it told before.
+func (t *Table) RecordPeerTroubles(vm string, list []Trouble, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, tr := range list {
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -86,8 +86,8 @@
 	return &Budgets{limit: l, clock: clock, start: clock(), part: func(string) float64 { return 1 }, services: make(map[string]*counts)}
 }
 
-// SetPart tells which part of a service's slack this VM may use; the parts of all VMs are to be 1 together.
-func (b *Budgets) SetPart(part func(service string) float64) {
+// SetShare tells which part of a service's slack this VM may use; the parts of all VMs are to be 1 together.
+func (b *Budgets) SetShare(part func(service string) float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.part = part
@@ -195,8 +195,8 @@
 	return allowed, spent
 }
 
-// Left returns the extra calls left for each service.
-func (b *Budgets) Left() map[string]float64 {
+// Remaining returns the extra calls left for each service.
+func (b *Budgets) Remaining() map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string]float64, len(b.services))
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -28,7 +28,7 @@
 	c := newClock()
 	b := New(fleetLimit, c.read)
 	c.pass(10 * time.Second) // past the first window
-	b.SetPart(func(service string) float64 { return map[string]float64{"shard": 0.5, "x": 0.1}[service] })
+	b.SetShare(func(service string) float64 { return map[string]float64{"shard": 0.5, "x": 0.1}[service] })
 	count := func(service string) (n int) {
 		for b.Take(service, Needed) {
 			n++
@@ -44,7 +44,7 @@
 	c := newClock()
 	b := New(fleetLimit, c.read)
 	c.pass(10 * time.Second) // past the first window
-	b.SetPart(evenly(6))
+	b.SetShare(evenly(6))
 	for range 100 {
 		b.Request("x")
 	}
@@ -52,11 +52,11 @@
 	for b.Take("x", Needed) {
 		taken++
 	}
-	is.Equal(taken, 25)            // 0.95 * 0.2 * 100 and 0.7 * 52 / 6
-	is.True(b.Take("y", Needed))   // each service has its own
-	c.pass(11 * time.Second)       // the window has passed, with its requests
-	is.True(b.Take("x", Needed))   // the slack is back
-	is.True(b.Left()["x"] < 52./6) // and counted
+	is.Equal(taken, 25)                 // 0.95 * 0.2 * 100 and 0.7 * 52 / 6
+	is.True(b.Take("y", Needed))        // each service has its own
+	c.pass(11 * time.Second)            // the window has passed, with its requests
+	is.True(b.Take("x", Needed))        // the slack is back
+	is.True(b.Remaining()["x"] < 52./6) // and counted
 }
 
 // What can wait leaves a part to what can't: while leaves pause and fail at once, hedges must not
@@ -66,7 +66,7 @@
 	c := newClock()
 	b := New(fleetLimit, c.read)
 	c.pass(10 * time.Second) // past the first window
-	b.SetPart(evenly(1))
+	b.SetShare(evenly(1))
 	optional := 0
 	for b.Take("x", Optional) {
 		optional++
@@ -88,7 +88,7 @@
 func TestOneIsAlwaysAllowed(t *testing.T) {
 	is := is.New(t)
 	b := New(fleetLimit, newClock().read)
-	b.SetPart(evenly(500))
+	b.SetShare(evenly(500))
 	is.True(b.Take("x", Needed))
 	is.True(!b.Take("x", Needed))
 }
@@ -102,7 +102,7 @@
 		budgets := make([]*Budgets, vms)
 		for i := range budgets {
 			budgets[i] = New(fleetLimit, c.read)
-			budgets[i].SetPart(evenly(vms))
+			budgets[i].SetShare(evenly(vms))
 		}
 		type event struct {
 			at    time.Time
@@ -144,7 +144,7 @@
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
-	b.SetPart(evenly(500)) // one extra call in a window
+	b.SetShare(evenly(500)) // one extra call in a window
 	c.pass(10 * time.Second)
 	is.True(b.Comes("x", Needed, 0))
 	is.True(b.Take("x", Needed))
@@ -166,11 +166,11 @@
 	b.Request("old")
 	c.pass(15 * time.Second)
 	b.Request("new")
-	b.SetPart(evenly(3))
-	is.Equal(len(b.Left()), 2)
+	b.SetShare(evenly(3))
+	is.Equal(len(b.Remaining()), 2)
 	c.pass(6 * time.Second)
-	b.SetPart(evenly(3))
-	left := b.Left()
+	b.SetShare(evenly(3))
+	left := b.Remaining()
 	is.Equal(len(left), 1)
 	is.True(left["new"] > 0)
 }
@@ -185,7 +185,7 @@
 		var fleet []*Budgets
 		for range vms {
 			b := New(fleetLimit, c.read)
-			b.SetPart(evenly(vms))
+			b.SetShare(evenly(vms))
 			fleet = append(fleet, b)
 		}
 		return fleet
