--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -130,7 +130,7 @@
 		zap.Uint64("config_version", t.Version), zap.Uint64("store_revision", t.Revision),
 		zap.Int("calls", t.Calls), zap.Int("hedges", t.Hedges), zap.Int("repeats", t.Repeats),
 		zap.Int("refusals", t.Refusals), zap.Int("failures", t.Failures), zap.Int("denied", t.Denied), zap.Int("missing", a.Missing), zap.Int("given_up", t.GivenUp),
-		zap.Duration("retry_after", a.RetryAfter), zap.Array(FieldBadCalls, badCalls(t.Bad)))
+		zap.Duration("retry_after", a.RetryAfter), zap.Array(FieldBadCalls, badCalls(t.BadCalls)))
 }
 
 // targetOf is the target of a route; 0 where there is none.
@@ -160,7 +160,7 @@
 func (b badCall) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	enc.AddString(FieldService, b.Service)
 	enc.AddString(FieldLeaf, b.Leaf.String())
-	enc.AddString(FieldWhat, b.What)
+	enc.AddString(FieldWhat, b.Problem)
 	enc.AddDuration("after", b.After)
 	return nil
 }
--- a/internal/decision/record_test.go
+++ b/internal/decision/record_test.go
@@ -22,7 +22,7 @@
 	core, logs := observer.New(zap.InfoLevel)
 	r := New(zap.New(core), noDrops{}, DefaultLimits(), prometheus.NewRegistry())
 	r.Ended(&dispatch.Request{ID: "id-1", Arrived: time.Now()}, &dispatch.Answer{Outcome: dispatch.Served, Missing: 1, Route: route},
-		&dispatch.Trace{Bad: []dispatch.BadCall{{Service: "shard-4", Leaf: catalog.LeafID{Name: "i-1"}, What: "no answer yet", After: 140 * time.Millisecond}}})
+		&dispatch.Trace{BadCalls: []dispatch.BadCall{{Service: "shard-4", Leaf: catalog.LeafID{Name: "i-1"}, Problem: "no answer yet", After: 140 * time.Millisecond}}})
 	is.Equal(logs.All()[0].ContextMap()["bad_calls"], []any{map[string]any{
 		"service": "shard-4", "leaf": "i-1", "what": "no answer yet", "after": 140 * time.Millisecond,
 	}})
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -24,14 +24,14 @@
 			w := newWorld()
 			names := shardNames(shards)
 			w.view = wideView(names, replicasOf(names, 4, func(shard int, id string) { w.set(id, ok(time.Duration(shard)*50*time.Microsecond)) }))
-			begun := processorTime(b)
+			start := processorTime(b)
 			for b.Loop() {
 				if a, _ := w.ask(b.Context(), "/s/q"); a.Outcome != Served {
 					b.Fatal(a)
 				}
-				w.asked, w.traces = nil, nil
+				w.requests, w.traces = nil, nil
 			}
-			b.ReportMetric(float64((processorTime(b)-begun).Microseconds())/float64(b.N), "cpu-us/op")
+			b.ReportMetric(float64((processorTime(b)-start).Microseconds())/float64(b.N), "cpu-us/op")
 		})
 	}
 }
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -28,7 +28,7 @@
 
 // A single request that leaves refused, and that no extra call will come for in time, is told so at once: its caller
 // may still be served in time by another VM. One for which an extra call comes soon waits for it.
-func TestSingleRequestDoesNotWaitForABudgetInVain(t *testing.T) {
+func TestSingleRequestWithoutBudgetIsRefusedAtOnce(t *testing.T) {
 	for _, path := range []string{"/i/q", "/o/q"} {
 		play(t, func(t *testing.T, w *world) {
 			is := is.New(t)
@@ -37,16 +37,16 @@
 			for _, leaf := range []string{"x-a", "x-b", "x-c"} {
 				w.set(leaf, refuses())
 			}
-			a, took := w.ask(t.Context(), path)
+			a, elapsed := w.ask(t.Context(), path)
 			is.Equal(a.Outcome, NotRun)
 			is.Equal(a.Reason, ReasonNoBudget)
 			is.True(a.RetryAfter > 0)
-			is.True(took < 10*ms)
+			is.True(elapsed < 10*ms)
 		})
 	}
 }
 
-func TestSingleRequestWaitsForABudgetThatComes(t *testing.T) {
+func TestSingleRequestWaitsForBudget(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		time.Sleep(20 * time.Second)                  // past the first window
@@ -54,15 +54,15 @@
 		}
 		time.Sleep(10400 * ms) // the next span begins in 100 ms
 		w.oddFirst("x", reply{after: ms, refuse: true})
-		a, took := w.ask(t.Context(), "/i/q")
+		a, elapsed := w.ask(t.Context(), "/i/q")
 		is.Equal(a.Outcome, Served)
-		is.True(took > 50*ms && took < 150*ms)
+		is.True(elapsed > 50*ms && elapsed < 150*ms)
 	})
 }
 
 // Under refusals everywhere the budget goes to the repeats that decide: a search that covers enough
 // shards does without, and one that lacks two too many gets just those two.
-func TestScarceRepeatsGoWhereTheyDecide(t *testing.T) {
+func TestScarceRepeatsGoToDecidingSearches(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for i := range shards {
@@ -78,9 +78,9 @@
 		w.oddFirst("s1", refusal)
 		w.oddFirst("s2", refusal)
 		w.oddFirst("s3", refusal)
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 1)
-		is.True(took <= 140*ms)
+		is.True(elapsed <= 140*ms)
 		is.Equal(w.traces[1].Repeats, 2)
 	})
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -85,17 +85,17 @@
 	// ReasonNoLeaf: no leaf is known, or none of those known took a connection.
 	ReasonNoLeaf Reason = "no_leaf"
 	// ReasonMuteLeaves: no leaf of too many shards has given a sign of life for a while.
-	ReasonMuteLeaves Reason = "mute_leaves"
-	ReasonRefused    Reason = "refused_by_leaves"
+	ReasonUnresponsiveLeaves Reason = "mute_leaves"
+	ReasonRefused            Reason = "refused_by_leaves"
 	// ReasonNoBudget: leaves refused or lost it, and no extra call is allowed in time.
 	ReasonNoBudget Reason = "no_budget"
 	// ReasonBusyLeaves: the queues at the leaves are too long for an answer in time.
-	ReasonBusyLeaves Reason = "busy_leaves"
-	ReasonFewShards  Reason = "too_few_shards"
-	ReasonDeadline   Reason = "deadline"
-	ReasonLost       Reason = "connection_lost"
-	ReasonCrashing   Reason = "crashed_leaves"
-	ReasonCallerGone Reason = "caller_gone"
+	ReasonBusyLeaves     Reason = "busy_leaves"
+	ReasonTooFewShards   Reason = "too_few_shards"
+	ReasonDeadline       Reason = "deadline"
+	ReasonConnectionLost Reason = "connection_lost"
+	ReasonCrashedLeaves  Reason = "crashed_leaves"
+	ReasonCallerGone     Reason = "caller_gone"
 	// ReasonGathererLost: the VM that was to answer a search for this one was lost.
 	ReasonGathererLost Reason = "gatherer_lost"
 	// ReasonPartial: served without some of the shards.
@@ -150,20 +150,20 @@
 
 // Engine answers requests. It is safe for concurrent use.
 type Engine struct {
-	zone      string
-	directory StartingDirectory
-	leaves    Leaves
-	table     *replica.Table
-	budgets   *retrybudget.Budgets
-	crashes   Crashes
-	observer  Observer
-	flights   sync.WaitGroup
-	moved     movedSet
-	splits    splits
-	probes    probes
-	odds      odds
-	kinds     kinds
-	lag       lag
+	zone         string
+	directory    StartingDirectory
+	leaves       Leaves
+	table        *replica.Table
+	budgets      *retrybudget.Budgets
+	crashes      Crashes
+	observer     Observer
+	calls        sync.WaitGroup
+	movedLeaves  movedSet
+	splits       splits
+	probes       probes
+	lateArrivals lateArrivals
+	sharedShards sharedShards
+	lag          lag
 	// started is when the engine was made.
 	started time.Time
 }
@@ -190,7 +190,7 @@
 	view := e.view(ctx, req)
 	trace.Revision = view.Revision
 	if view.Config == nil {
-		return &Answer{Outcome: NotRun, Reason: ReasonNoConfig, RetryAfter: comeBack(e.retryNoConfig())}
+		return &Answer{Outcome: NotRun, Reason: ReasonNoConfig, RetryAfter: withJitter(e.retryNoConfig())}
 	}
 	trace.Version = view.Config.Version
 	route := Match(view.Config, req)
@@ -199,7 +199,7 @@
 	}
 	digest := digestOf(req)
 	if e.crashes.Blocked(digest) {
-		return &Answer{Outcome: NotRun, Reason: ReasonCrashing, Route: route, RetryAfter: retryCrashing}
+		return &Answer{Outcome: NotRun, Reason: ReasonCrashedLeaves, Route: route, RetryAfter: retryCrashing}
 	}
 	r := newRun(ctx, e, req, route, view, digest, trace)
 	return r.serve()
@@ -230,7 +230,7 @@
 }
 
 // Wait returns when no call to a leaf is in flight any more. No request may be served beside it.
-func (e *Engine) Wait() { e.flights.Wait() }
+func (e *Engine) Wait() { e.calls.Wait() }
 
 // Trace is what decided a request, for the records of decisions.
 type Trace struct {
@@ -244,26 +244,26 @@
 	Refusals, Failures, Denied int
 	// GivenUp parts were late and unlikely to come, and not waited for.
 	GivenUp int
-	// Bad holds what went wrong at which leaves, the first badMost of them.
-	Bad []BadCall
+	// BadCalls holds what went wrong at which leaves, the first badMost of them.
+	BadCalls []BadCall
 }
 
-// badMost bounds the bad calls of a request that its record names: a line stays under a kilobyte.
-const badMost = 6
+// maxBadCalls bounds the bad calls of a request that its record names: a line stays under a kilobyte.
+const maxBadCalls = 6
 
 // BadCall is a call that brought no part.
 type BadCall struct {
 	// Service is the shard, or the service of a single request; Leaf is zero where none was found.
 	Service string
 	Leaf    catalog.LeafID
-	// What happened, and how long after the request's arrival.
-	What  string
-	After time.Duration
+	// Problem happened, and how long after the request's arrival.
+	Problem string
+	After   time.Duration
 }
 
-// bad keeps a bad call, if there is room.
-func (t *Trace) bad(b BadCall) {
-	if len(t.Bad) < badMost {
-		t.Bad = append(t.Bad, b)
+// addBadCall keeps a bad call, if there is room.
+func (t *Trace) addBadCall(b BadCall) {
+	if len(t.BadCalls) < maxBadCalls {
+		t.BadCalls = append(t.BadCalls, b)
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -16,15 +16,15 @@
 	"github.com/burdockplank/burdockplank/internal/leafcall"
 )
 
-func TestWholeSearch(t *testing.T) {
+func TestCompleteSearch(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Outcome, Served)
 		is.Equal(len(a.Signatures), shards)
 		is.Equal(a.Missing, 0)
 		is.Equal(string(a.Records), "s9-a            s8-a            s7-a            ")
-		is.Equal(took, 10*ms)
+		is.Equal(elapsed, 10*ms)
 		is.Equal(w.callsTo("s0-a", "s0-b", "s0-c"), 1)
 	})
 }
@@ -37,9 +37,9 @@
 			w.ask(t.Context(), "/s/q")
 		}
 		w.oddFirst("s4", reply{after: 200 * ms})
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 0)
-		is.True(took < 80*ms)
+		is.True(elapsed < 80*ms)
 		is.Equal(w.traces[20].Hedges, 1)
 	})
 }
@@ -51,17 +51,17 @@
 		for _, id := range []string{"s4-a", "s4-b", "s4-c"} {
 			w.set(id, ok(time.Second))
 		}
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Outcome, Served)
 		is.Equal(a.Reason, ReasonPartial)
 		is.Equal(a.Missing, 1)
 		is.Equal(len(a.Signatures), shards-1)
-		is.True(took <= 140*ms)
-		bad := w.traces[0].Bad
+		is.True(elapsed <= 140*ms)
+		bad := w.traces[0].BadCalls
 		is.Equal(len(bad), 1)
 		is.Equal(bad[0].Service, "s4")
 		is.True(strings.HasPrefix(bad[0].Leaf.Name, "s4-"))
-		is.Equal(bad[0].What, "no answer yet")
+		is.Equal(bad[0].Problem, "no answer yet")
 		is.True(!slices.ContainsFunc(a.Signatures, func(s string) bool { return strings.Contains(s, "s4") }))
 	})
 }
@@ -75,9 +75,9 @@
 				w.set(s+r, fail(leafcall.ConnectionLost))
 			}
 		}
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Outcome, Unknown) // parts of it have run
-		is.True(took < 10*ms)
+		is.True(elapsed < 10*ms)
 	})
 }
 
@@ -88,13 +88,13 @@
 		a, _ := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 1) // one may be missing
 		delete(w.view.Leaves, "s5")
-		before := len(w.asked)
-		a, took := w.ask(t.Context(), "/s/q")
+		before := len(w.requests)
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Outcome, NotRun)
 		is.Equal(a.Reason, ReasonNoLeaf)
 		is.True(a.RetryAfter > 0)
-		is.Equal(took, time.Duration(0))
-		is.Equal(len(w.asked), before)
+		is.Equal(elapsed, time.Duration(0))
+		is.Equal(len(w.requests), before)
 	})
 }
 
@@ -118,17 +118,17 @@
 		}
 		mute("s4", "s5")
 		var tried, refused atomic.Int64
-		for begun := time.Now(); time.Since(begun) < 6*time.Second; time.Sleep(20 * ms) {
+		for start := time.Now(); time.Since(start) < 6*time.Second; time.Sleep(20 * ms) {
 			go func() {
-				a, took := w.ask(t.Context(), "/s/q")
+				a, elapsed := w.ask(t.Context(), "/s/q")
 				if a.Outcome != NotRun {
 					tried.Add(1)
 					return
 				}
 				refused.Add(1)
-				is.Equal(a.Reason, ReasonMuteLeaves)
+				is.Equal(a.Reason, ReasonUnresponsiveLeaves)
 				is.True(a.RetryAfter > 0)
-				is.Equal(took, time.Duration(0))
+				is.Equal(elapsed, time.Duration(0))
 			}()
 		}
 		time.Sleep(2 * time.Second)
@@ -151,10 +151,10 @@
 		w.set("s1-a", refuses())
 		w.set("s2-a", always(reply{after: ms, status: 500}))
 		w.set("s3-a", fail(leafcall.Spoiled))
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 0)
 		is.True(!slices.ContainsFunc(a.Signatures, func(s string) bool { return strings.HasPrefix(s, "bad") }))
-		is.True(took < 20*ms)
+		is.True(elapsed < 20*ms)
 		is.Equal(w.traces[0].Repeats, 3)
 	})
 }
@@ -194,26 +194,26 @@
 			play(t, func(t *testing.T, w *world) {
 				is := is.New(t)
 				w.set("x-a", tt.first)
-				a, took := w.ask(t.Context(), "/o/1")
+				a, elapsed := w.ask(t.Context(), "/o/1")
 				is.Equal(a.Outcome, tt.outcome)
 				is.Equal(w.callsTo("x-a", "x-b", "x-c"), tt.calls)
-				is.True(took <= 2*time.Second)
+				is.True(elapsed <= 2*time.Second)
 			})
 		})
 	}
 }
 
 // not_run is said only where no leaf has run the request, and with a time to come back.
-func TestNotRunIsTrue(t *testing.T) {
+func TestNotRunOnlyIfNoLeafRan(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for _, id := range []string{"x-a", "x-b", "x-c"} {
 			w.set(id, refuses())
 		}
-		a, took := w.ask(t.Context(), "/o/1")
+		a, elapsed := w.ask(t.Context(), "/o/1")
 		is.Equal(a.Outcome, NotRun)
 		is.True(a.RetryAfter > 0)
-		is.True(took < 20*ms)
+		is.True(elapsed < 20*ms)
 		w.set("x-a", fail(leafcall.ConnectionLost))
 		a, _ = w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, Unknown) // refused by two, but one may have run it
@@ -228,34 +228,34 @@
 		for id := range w.leaves {
 			w.set(id, ok(time.Hour))
 		}
-		a, took := w.ask(t.Context(), "/i/1")
+		a, elapsed := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, TimedOut)
-		is.True(took > 1900*ms && took < 2*time.Second)
-		a, took = w.ask(t.Context(), "/s/1")
+		is.True(elapsed > 1900*ms && elapsed < 2*time.Second)
+		a, elapsed = w.ask(t.Context(), "/s/1")
 		is.Equal(a.Outcome, TimedOut)
-		is.True(took < 800*ms) // the route's own timeout
+		is.True(elapsed < 800*ms) // the route's own timeout
 	})
 }
 
 // Leaves get no more time than is left, also with the second call.
-func TestTimeLeftIsPassedOn(t *testing.T) {
+func TestRemainingTimeIsPassedOn(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.set("x-a", fail(leafcall.ConnectionLost))
 		w.set("x-a", always(reply{after: 300 * ms, cause: leafcall.ConnectionLost}))
 		w.set("x-b", ok(10*ms))
-		begun := time.Now()
-		w.engine.Serve(t.Context(), &Request{ID: "r", Method: "GET", Host: "h", Path: "/i/1", Target: "/i/1", Remaining: time.Second, Arrived: begun})
-		is.True(len(w.asked) >= 2)
-		is.Equal(w.asked[0].Remaining, time.Second)
-		for _, r := range w.asked[1:] {
+		start := time.Now()
+		w.engine.Serve(t.Context(), &Request{ID: "r", Method: "GET", Host: "h", Path: "/i/1", Target: "/i/1", Remaining: time.Second, Arrived: start})
+		is.True(len(w.requests) >= 2)
+		is.Equal(w.requests[0].Remaining, time.Second)
+		for _, r := range w.requests[1:] {
 			is.True(r.Remaining < time.Second)
 		}
 	})
 }
 
 // When the caller goes, so do its calls, and at once.
-func TestCallerThatLeaves(t *testing.T) {
+func TestCallerLeaves(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for id := range w.leaves {
@@ -263,29 +263,29 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*ms, cancel)
-		begun := time.Now()
-		a, took := w.ask(ctx, "/s/q")
+		start := time.Now()
+		a, elapsed := w.ask(ctx, "/s/q")
 		is.Equal(a.Outcome, CallerGone)
-		is.Equal(took, 20*ms)
+		is.Equal(elapsed, 20*ms)
 		w.engine.Wait()
-		is.Equal(time.Since(begun), 20*ms)
-		is.True(w.gone >= shards)
+		is.Equal(time.Since(start), 20*ms)
+		is.True(w.abandoned >= shards)
 	})
 }
 
 // Calls that nobody waits for any more end within half a second.
-func TestLosersEnd(t *testing.T) {
+func TestLateCallsEndAfterGracePeriod(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for range 10 {
 			w.ask(t.Context(), "/s/q")
 		}
 		w.oddFirst("s4", reply{after: time.Hour})
-		_, took := w.ask(t.Context(), "/s/q")
-		begun := time.Now()
+		_, elapsed := w.ask(t.Context(), "/s/q")
+		start := time.Now()
 		w.engine.Wait()
-		is.True(took < 100*ms)
-		is.Equal(time.Since(begun), linger)
+		is.True(elapsed < 100*ms)
+		is.Equal(time.Since(start), lateCallGrace)
 	})
 }
 
@@ -301,7 +301,7 @@
 }
 
 // What one part of a split has no room for is refused, not moved to the other.
-func TestSplitPartWithoutRoom(t *testing.T) {
+func TestSplitShareWithoutCapacity(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for _, id := range []string{"y-a", "y-b", "y-c"} {
@@ -333,11 +333,11 @@
 func TestCrashingRequestIsBlocked(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		w.block = true
+		w.blocked = true
 		a, _ := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, NotRun)
-		is.Equal(a.Reason, ReasonCrashing)
-		is.Equal(len(w.asked), 0)
+		is.Equal(a.Reason, ReasonCrashedLeaves)
+		is.Equal(len(w.requests), 0)
 	})
 }
 
@@ -355,17 +355,17 @@
 }
 
 // A leaf that leaves while a request waits gets nothing of it.
-func TestLeafThatLeavesMeanwhile(t *testing.T) {
+func TestLeafLeavesDuringRequest(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.set("x-a", always(reply{after: 100 * ms, cause: leafcall.ConnectionLost}))
 		w.set("x-b", always(reply{after: 100 * ms, cause: leafcall.ConnectionLost}))
 		time.AfterFunc(50*ms, func() {
-			left := *w.view
-			left.Leaves = map[string][]catalog.Leaf{"x": {w.view.Leaves["x"][0], w.view.Leaves["x"][2]}}
+			next := *w.view
+			next.Leaves = map[string][]catalog.Leaf{"x": {w.view.Leaves["x"][0], w.view.Leaves["x"][2]}}
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.view = &left
+			w.view = &next
 		})
 		a, _ := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, Served)
@@ -374,7 +374,7 @@
 }
 
 // Leaves whose entries lapsed are asked only where there is no other.
-func TestLapsedLeavesAreTheLastResort(t *testing.T) {
+func TestExpiredLeavesAreUsedLast(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.view.Lapsed = map[string][]catalog.Leaf{"x": w.view.Leaves["x"][:1]}
@@ -401,23 +401,23 @@
 			defer w.mu.Unlock()
 			w.full["s1-b"] = false
 		})
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 0)
-		is.True(took >= 40*ms && took < 50*ms)
+		is.True(elapsed >= 40*ms && elapsed < 50*ms)
 		is.Equal(w.traces[0].Repeats, 0)
 	})
 }
 
-func TestGreatest(t *testing.T) {
+func TestTopRecords(t *testing.T) {
 	is := is.New(t)
 	pad := func(s string) string { return s + strings.Repeat(".", recordBytes-len(s)) }
 	bodies := [][]byte{[]byte(pad("b") + pad("a") + "rest"), []byte(pad("c") + pad("b")), nil}
-	is.Equal(string(greatest(bodies, 3)), pad("c")+pad("b")+pad("b"))
-	is.Equal(string(greatest(bodies, 9)), pad("c")+pad("b")+pad("b")+pad("a"))
-	is.Equal(len(greatest(nil, 3)), 0)
+	is.Equal(string(topRecords(bodies, 3)), pad("c")+pad("b")+pad("b"))
+	is.Equal(string(topRecords(bodies, 9)), pad("c")+pad("b")+pad("b")+pad("a"))
+	is.Equal(len(topRecords(nil, 3)), 0)
 }
 
-func TestDigestNamesWhatIsRepeated(t *testing.T) {
+func TestDigestOfRepetitions(t *testing.T) {
 	is := is.New(t)
 	one := &Request{ID: "1", Method: "GET", Host: "h", Target: "/a", Body: []byte("x")}
 	again := *one
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -11,74 +11,74 @@
 	"github.com/burdockplank/burdockplank/internal/retrybudget"
 )
 
-// take goes on after a call has ended.
-func (r *run) take(ev event) {
+// handle goes on after a call has ended.
+func (r *run) handle(ev event) {
 	g := &r.groups[ev.group]
 	g.inFlight--
 	if ev.err != nil {
-		r.takeError(ev, g)
+		r.handleError(ev, g)
 		return
 	}
 	resp := ev.resp
 	switch {
 	case resp.NotRun:
-		r.note(ev, "refused")
+		r.noteBadCall(ev, "refused")
 		r.trace.Refusals++
 		g.runs--
 		g.refusals++
 		r.repeat(ev.group, ReasonRefused)
 	case !resp.Success():
-		r.note(ev, http.StatusText(resp.Status))
+		r.noteBadCall(ev, http.StatusText(resp.Status))
 		r.trace.Failures++
 		r.ran = true
-		r.takeFailure(ev, g)
+		r.handleFailure(ev, g)
 	default:
 		r.ran = true
-		r.takePart(ev, g)
+		r.handlePart(ev, g)
 	}
 }
 
-// note keeps a bad call for the record of the request.
-func (r *run) note(ev event, what string) {
-	r.trace.bad(BadCall{Service: r.groups[ev.group].service, Leaf: ev.leaf, What: what, After: time.Since(r.req.Arrived)})
+// noteBadCall keeps a bad call for the record of the request.
+func (r *run) noteBadCall(ev event, problem string) {
+	r.trace.addBadCall(BadCall{Service: r.groups[ev.group].service, Leaf: ev.leaf, Problem: problem, After: time.Since(r.req.Arrived)})
 }
 
-// noteOpen keeps the groups that the answer doesn't wait for any longer.
-func (r *run) noteOpen() {
+// noteOpenGroups keeps the groups that the answer doesn't wait for any longer.
+func (r *run) noteOpenGroups() {
 	after := time.Since(r.req.Arrived)
 	for i := range r.groups {
 		g := &r.groups[i]
-		if g.part != nil || g.dead {
+		if g.part != nil || g.failed {
 			continue
 		}
-		what := "no answer yet"
+		problem := "no answer yet"
 		switch {
 		case g.inFlight == 0 && g.denied:
-			what = "no budget for a repeat"
+			problem = "no budget for a repeat"
 		case g.inFlight == 0:
-			what = "no connection free"
+			problem = "no connection free"
 		}
-		r.trace.bad(BadCall{Service: g.service, Leaf: g.last, What: what, After: after})
+		r.trace.addBadCall(BadCall{Service: g.service, Leaf: g.lastLeaf, Problem: problem, After: after})
 	}
 }
 
-// takePart keeps a success; a second one of the same group is dropped.
-func (r *run) takePart(ev event, g *group) {
-	r.noteLate(g, true, time.Now())
+// handlePart keeps a success; a second one of the same group is dropped.
+func (r *run) handlePart(ev event, g *group) {
+	r.recordLatePart(g, true, time.Now())
 	if g.part != nil {
 		return
 	}
-	r.sizes.add(ev.took, ev.call.Expected())
+	r.ratios.add(ev.elapsed, ev.call.Expected())
 	g.part, g.pending = ev.resp, false
-	r.done++
-	if g.dead {
-		g.dead = false
-		r.dead--
+	r.answeredGroups++
+	if g.failed {
+		g.failed = false
+		r.failedGroups--
 	}
 }
 
-// takeFailure handles a leaf's own failure, which counts as run.
-func (r *run) takeFailure(ev event, g *group) {
+// handleFailure handles a leaf's own failure, which counts as run.
+func (r *run) handleFailure(ev event, g *group) {
 	r.failure = ev.resp
 	if !r.route.Idempotent {
 		g.part = ev.resp // the one answer that there will be
@@ -88,24 +88,24 @@
 		g.part = ev.resp // another leaf would say the same
 		return
 	}
-	r.repeat(ev.group, ReasonLost)
+	r.repeat(ev.group, ReasonConnectionLost)
 }
 
-// takeError handles a call without an answer.
-func (r *run) takeError(ev event, g *group) {
+// handleError handles a call without an answer.
+func (r *run) handleError(ev event, g *group) {
 	var e *leafcall.Error
 	if !errors.As(ev.err, &e) || e.Sent {
-		r.note(ev, ev.err.Error())
+		r.noteBadCall(ev, ev.err.Error())
 		r.trace.Failures++
 		r.ran = true
-		r.repeat(ev.group, ReasonLost)
+		r.repeat(ev.group, ReasonConnectionLost)
 		return
 	}
 	g.runs--
 	if e.Cause == leafcall.ConnectionFull {
 		g.tried = slices.DeleteFunc(g.tried, func(id catalog.LeafID) bool { return id == ev.leaf })
 	} else {
-		r.note(ev, string(e.Cause))
+		r.noteBadCall(ev, string(e.Cause))
 	}
 	r.send(ev.group)
 }
@@ -117,41 +117,41 @@
 	if g.part != nil || g.inFlight > 0 {
 		return
 	}
-	from := r.candidates(g)
-	if len(from) == 0 {
-		r.kill(g, ReasonNoLeaf)
+	candidates := r.candidates(g)
+	if len(candidates) == 0 {
+		r.failGroup(g, ReasonNoLeaf)
 		return
 	}
-	r.launch(i, r.free(from))
+	r.launch(i, r.withFreeConnection(candidates))
 }
 
 // repeat sends a group's call to another leaf where the request, its attempts and the budget allow it.
-func (r *run) repeat(i int, why Reason) {
+func (r *run) repeat(i int, reason Reason) {
 	g := &r.groups[i]
 	if g.part != nil || g.inFlight > 0 {
 		return
 	}
-	if !r.mayRepeat(g) || len(r.candidates(g)) == 0 {
-		r.kill(g, why)
+	if !r.canRepeat(g) || len(r.candidates(g)) == 0 {
+		r.failGroup(g, reason)
 		return
 	}
 	r.tryRepeat(i)
 }
 
-// mayRepeat tells whether another leaf may get the request: one that isn't idempotent only where it has
+// canRepeat tells whether another leaf may get the request: one that isn't idempotent only where it has
 // surely not run anywhere.
-func (r *run) mayRepeat(g *group) bool {
+func (r *run) canRepeat(g *group) bool {
 	if !r.route.Idempotent && g.runs > 0 {
 		return false
 	}
-	return g.runs < r.route.MaxAttempts && g.refusals < refusedMost
+	return g.runs < r.route.MaxAttempts && g.refusals < maxRefusals
 }
 
 // tryRepeat sends the repeat, or leaves it pending until there is a connection and budget for it.
 func (r *run) tryRepeat(i int) {
 	g := &r.groups[i]
-	from := r.free(r.candidates(g))
-	if len(from) == 0 {
+	candidates := r.withFreeConnection(r.candidates(g))
+	if len(candidates) == 0 {
 		g.pending = true
 		return
 	}
@@ -159,16 +159,16 @@
 	g.pending = true
 	urgency := r.repeatUrgency(now)
 	switch {
-	case r.takeExtra(g, urgency):
+	case r.takeExtraCall(g, urgency):
 		r.trace.Repeats++
-		r.launch(i, from)
-	case !r.route.Search() && !r.e.budgets.Comes(g.service, urgency, r.soft.Sub(now)):
-		r.kill(g, ReasonNoBudget)
+		r.launch(i, candidates)
+	case !r.route.Search() && !r.e.budgets.Comes(g.service, urgency, r.softDeadline.Sub(now)):
+		r.failGroup(g, ReasonNoBudget)
 	}
 }
 
-// takeExtra takes an extra call of the group from its service's budget.
-func (r *run) takeExtra(g *group, u retrybudget.Urgency) bool {
+// takeExtraCall takes an extra call of the group from its service's budget.
+func (r *run) takeExtraCall(g *group, u retrybudget.Urgency) bool {
 	if r.e.budgets.Take(g.service, u) {
 		return true
 	}
@@ -186,38 +186,38 @@
 	if !r.route.Search() {
 		return retrybudget.Needed
 	}
-	short := r.lacking(now) - (len(r.groups) - r.needed)
-	if short <= 0 || short > shortMost || !now.Before(r.soft) {
+	shortfall := r.countLacking(now) - (len(r.groups) - r.needed)
+	if shortfall <= 0 || shortfall > maxShortfall || !now.Before(r.softDeadline) {
 		return retrybudget.Optional
 	}
 	return retrybudget.Needed
 }
 
-// lacking counts the groups without a part and without a call that is likely to bring one in time.
-func (r *run) lacking(now time.Time) int {
+// countLacking counts the groups without a part and without a call that is likely to bring one in time.
+func (r *run) countLacking(now time.Time) int {
 	n := 0
 	for i := range r.groups {
 		g := &r.groups[i]
-		if g.part == nil && (g.dead || g.pending || !g.hedged && !now.Before(r.lateAt(g))) {
+		if g.part == nil && (g.failed || g.pending || !g.hedged && !now.Before(r.lateAt(g))) {
 			n++
 		}
 	}
 	return n
 }
 
-// tick does what is due: calls that wait, and hedges, unless it comes late itself.
-func (r *run) tick(now time.Time, late time.Duration) {
+// runDue does what is due: calls that wait, and hedges, unless it comes late itself.
+func (r *run) runDue(now time.Time, late time.Duration) {
 	for i := range r.groups {
 		g := &r.groups[i]
 		switch {
-		case g.part != nil || g.dead:
+		case g.part != nil || g.failed:
 		case g.pending && g.refusals+g.runs > 0:
 			r.tryRepeat(i)
 		case g.pending:
 			r.send(i)
-		case !r.mayHedge(g) || now.Before(r.hedgeDue(g)):
-		case late > stoodStill:
-			g.retryAt = now.Add(poll)
+		case !r.canHedge(g) || now.Before(r.hedgeDue(g)):
+		case late > hedgeMaxLag:
+			g.retryAt = now.Add(retryPoll)
 		default:
 			r.hedge(i, now)
 		}
@@ -229,22 +229,22 @@
 	due := r.deadline
 	switch {
 	case !r.route.Search():
-	case now.Before(r.soft):
-		due = r.soft
-	case r.done < r.needed:
-		due = earlier(due, now.Add(settlePoll))
+	case now.Before(r.softDeadline):
+		due = r.softDeadline
+	case r.answeredGroups < r.needed:
+		due = earlier(due, now.Add(unresponsivePoll))
 	}
 	for i := range r.groups {
 		g := &r.groups[i]
 		switch {
-		case g.part != nil || g.dead:
+		case g.part != nil || g.failed:
 		case g.pending:
-			due = earlier(due, now.Add(poll))
-		case r.mayHedge(g):
+			due = earlier(due, now.Add(retryPoll))
+		case r.canHedge(g):
 			due = earlier(due, r.hedgeDue(g))
 		}
-		if g.part == nil && !g.dead && !g.late && r.mayAnswer() {
-			due = earlier(due, r.doubtAt(g))
+		if g.part == nil && !g.failed && !g.late && r.coversEnough() {
+			due = earlier(due, r.overdueAt(g))
 		}
 	}
 	return max(0, due.Sub(now))
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -46,11 +46,11 @@
 
 // oddFirst lets whichever leaf of the shard is asked first from now on answer so, and the others as usual.
 func (w *world) oddFirst(shard string, odd reply) {
-	asked := 0 // Do calls behaviours with mu held
+	calls := 0 // Do calls behaviours with mu held
 	for _, r := range []string{"-a", "-b", "-c"} {
 		w.set(shard+r, func(int) reply {
-			asked++
-			return pick(asked == 1, odd, reply{after: 10 * ms})
+			calls++
+			return pick(calls == 1, odd, reply{after: 10 * ms})
 		})
 	}
 }
@@ -65,14 +65,14 @@
 
 	mu sync.Mutex
 	// leaves by id; calls and full (leaves without a free connection) are guarded by mu.
-	leaves map[string]behaviour
-	calls  map[string]int
-	asked  []leafcall.Request
-	full   map[string]bool
-	gone   int
-	lost   map[string]int
-	block  bool
-	traces []Trace
+	leaves    map[string]behaviour
+	calls     map[string]int
+	requests  []leafcall.Request
+	full      map[string]bool
+	abandoned int
+	lost      map[string]int
+	blocked   bool
+	traces    []Trace
 }
 
 func (w *world) Current() *directory.View {
@@ -100,12 +100,12 @@
 	w.mu.Lock()
 	b := w.leaves[id](w.calls[id])
 	w.calls[id]++
-	w.asked = append(w.asked, *r)
+	w.requests = append(w.requests, *r)
 	w.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		w.mu.Lock()
-		w.gone++
+		w.abandoned++
 		w.mu.Unlock()
 		return nil, &leafcall.Error{Cause: leafcall.Abandoned, Sent: true, Err: ctx.Err()}
 	case <-time.After(b.after):
@@ -128,7 +128,7 @@
 	return &leafcall.Response{Status: http.StatusOK, Signature: "sig-" + id, Body: []byte(body)}, nil
 }
 
-func (w *world) Blocked(uint64) bool { return w.block }
+func (w *world) Blocked(uint64) bool { return w.blocked }
 func (w *world) Lost(_ uint64, leaf catalog.LeafID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -225,7 +225,7 @@
 
 // ask serves a request of the route and returns the answer and how long it took.
 func (w *world) ask(ctx context.Context, path string) (*Answer, time.Duration) {
-	begun := time.Now()
-	a := w.engine.Serve(ctx, &Request{ID: "r1", Method: "GET", Host: "h", Path: path, Target: path, Remaining: 2 * time.Second, Arrived: begun})
-	return a, time.Since(begun)
+	start := time.Now()
+	a := w.engine.Serve(ctx, &Request{ID: "r1", Method: "GET", Host: "h", Path: path, Target: path, Remaining: 2 * time.Second, Arrived: start})
+	return a, time.Since(start)
 }
--- a/internal/dispatch/hopeless_test.go
+++ b/internal/dispatch/hopeless_test.go
@@ -21,22 +21,22 @@
 		for _, id := range all {
 			w.set(id, always(reply{after: 250 * ms, cause: leafcall.NoConnection}))
 		}
-		var held, refused atomic.Int64
-		for begun := time.Now(); time.Since(begun) < 6*time.Second; time.Sleep(20 * ms) {
+		var delayed, refused atomic.Int64
+		for start := time.Now(); time.Since(start) < 6*time.Second; time.Sleep(20 * ms) {
 			go func() {
-				a, took := w.ask(t.Context(), "/i/1")
+				a, elapsed := w.ask(t.Context(), "/i/1")
 				is.Equal(a.Outcome, NotRun)
-				if took > 0 {
-					held.Add(1)
+				if elapsed > 0 {
+					delayed.Add(1)
 					return
 				}
 				refused.Add(1)
-				is.Equal(a.Reason, ReasonMuteLeaves)
+				is.Equal(a.Reason, ReasonUnresponsiveLeaves)
 				is.True(a.RetryAfter > 0)
 			}()
 		}
 		time.Sleep(time.Second)
-		is.True(refused.Load() > 2*held.Load())
+		is.True(refused.Load() > 2*delayed.Load())
 		for _, id := range all {
 			w.set(id, ok(10*ms))
 		}
@@ -50,7 +50,7 @@
 
 // Two of ten shards fall silent, one more than may be missing. A search that waits for them hears once its target is
 // over and their leaves have been mute for long enough, not at the end of its time.
-func TestSearchThatWaitsForMuteShardsEndsAtItsTarget(t *testing.T) {
+func TestSearchWaitingForUnresponsiveShardsEndsAtTarget(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.warm(t)
@@ -60,23 +60,23 @@
 			}
 		}
 		var longest, refused atomic.Int64
-		begun := time.Now()
-		for ; time.Since(begun) < 4*time.Second; time.Sleep(20 * ms) {
-			known := time.Since(begun) > time.Second
+		start := time.Now()
+		for ; time.Since(start) < 4*time.Second; time.Sleep(20 * ms) {
+			known := time.Since(start) > time.Second
 			go func() {
-				a, took := w.ask(t.Context(), "/s/q")
+				a, elapsed := w.ask(t.Context(), "/s/q")
 				is.True(a.Outcome != Served)
 				if a.Outcome == NotRun {
 					refused.Add(1)
 				}
 				if known {
-					longest.Store(max(longest.Load(), int64(took)))
+					longest.Store(max(longest.Load(), int64(elapsed)))
 				}
 			}()
 		}
 		time.Sleep(2 * time.Second)
-		is.True(refused.Load() > 100)                                 // most hear at once
-		is.True(time.Duration(longest.Load()) <= 150*ms+2*settlePoll) // those that look for the end of it, at their target
+		is.True(refused.Load() > 100)                                       // most hear at once
+		is.True(time.Duration(longest.Load()) <= 150*ms+2*unresponsivePoll) // those that look for the end of it, at their target
 	})
 }
 
@@ -91,9 +91,9 @@
 			}
 		}
 		for range 20 {
-			a, took := w.ask(t.Context(), "/s/q")
+			a, elapsed := w.ask(t.Context(), "/s/q")
 			is.Equal(a.Outcome, Served)
-			is.True(took > 150*ms)
+			is.True(elapsed > 150*ms)
 		}
 	})
 }
@@ -102,7 +102,7 @@
 // leaves there, where one may be missing. After half a second searches are refused at once, as not run, where each one
 // made calls to the seven other shards and to all leaves beyond the cut before; half a second after the cut all are
 // served.
-func TestSearchOfShardsThatNothingListensForIsRefusedAtOnce(t *testing.T) {
+func TestSearchOfShardsRefusingConnectionsIsRefusedAtOnce(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.warm(t)
@@ -114,13 +114,13 @@
 			w.set(id, always(reply{after: ms, cause: leafcall.NoConnection, closed: true}))
 		}
 		var tried, refused atomic.Int64
-		for begun := time.Now(); time.Since(begun) < 5*time.Second; time.Sleep(20 * ms) {
-			if time.Since(begun) < 500*ms {
+		for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(20 * ms) {
+			if time.Since(start) < 500*ms {
 				w.ask(t.Context(), "/s/q")
 				continue
 			}
-			a, took := w.ask(t.Context(), "/s/q")
-			if a.Reason != ReasonMuteLeaves || took > 0 {
+			a, elapsed := w.ask(t.Context(), "/s/q")
+			if a.Reason != ReasonUnresponsiveLeaves || elapsed > 0 {
 				tried.Add(1)
 				continue
 			}
--- a/internal/dispatch/lag_test.go
+++ b/internal/dispatch/lag_test.go
@@ -12,16 +12,16 @@
 func TestPartialAnswerReachesItsCallerInTime(t *testing.T) {
 	const target = 150 * ms
 	for name, tt := range map[string]struct {
-		trip, lag     time.Duration
-		newConnection bool
-		unused        time.Duration
+		roundTrip, lag time.Duration
+		newConnection  bool
+		unused         time.Duration
 	}{
-		"near":                   {trip: 2 * ms, unused: 11 * ms},
-		"far":                    {trip: 16 * ms, unused: 11 * ms},
-		"far, on a new one":      {trip: 16 * ms, newConnection: true, unused: 11 * ms},
-		"by a VM that lags":      {trip: 2 * ms, lag: 3 * ms, unused: 20 * ms},
+		"near":                   {roundTrip: 2 * ms, unused: 11 * ms},
+		"far":                    {roundTrip: 16 * ms, unused: 11 * ms},
+		"far, new connection":    {roundTrip: 16 * ms, newConnection: true, unused: 11 * ms},
+		"VM with lag":            {roundTrip: 2 * ms, lag: 3 * ms, unused: 20 * ms},
 		"not known":              {unused: 17 * ms}, // 6 of them for the way
-		"much too far to answer": {trip: 400 * ms, unused: target / 4},
+		"much too far to answer": {roundTrip: 400 * ms, unused: target / 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, func(t *testing.T, w *world) {
@@ -29,18 +29,18 @@
 				for _, r := range []string{"-a", "-b", "-c"} {
 					w.set("s3"+r, ok(time.Hour))
 				}
-				begun := time.Now()
+				start := time.Now()
 				a := w.engine.Serve(t.Context(), &Request{
-					ID: "r", Method: "GET", Host: "h", Path: "/s/q", Target: "/s/q", Remaining: time.Second, Arrived: begun,
-					RoundTrip: tt.trip, Lag: tt.lag, NewConnection: tt.newConnection,
+					ID: "r", Method: "GET", Host: "h", Path: "/s/q", Target: "/s/q", Remaining: time.Second, Arrived: start,
+					RoundTrip: tt.roundTrip, Lag: tt.lag, NewConnection: tt.newConnection,
 				})
 				is.Equal(a.Missing, 1)
-				passed := tt.trip + time.Since(begun)
+				passed := tt.roundTrip + time.Since(start)
 				if tt.newConnection {
-					passed += tt.trip
+					passed += tt.roundTrip
 				}
-				if tt.trip > target/4 {
-					passed -= tt.trip
+				if tt.roundTrip > target/4 {
+					passed -= tt.roundTrip
 				}
 				is.Equal(target-passed, tt.unused)
 			})
--- a/internal/dispatch/learn.go
+++ b/internal/dispatch/learn.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/replica"
 )
 
-// learn takes what the end of a call tells of its leaf.
-func (r *run) learn(leaf catalog.Leaf, call *replica.Call, resp *leafcall.Response, err error) {
+// recordCallEnd takes what the end of a call tells of its leaf.
+func (r *run) recordCallEnd(leaf catalog.Leaf, call *replica.Call, resp *leafcall.Response, err error) {
 	now := time.Now()
 	if resp != nil && resp.Load != nil {
 		r.e.table.Report(leaf.ID, *resp.Load, now)
@@ -20,7 +20,7 @@
 	var failure *leafcall.Error
 	switch {
 	case resp != nil && resp.Moved:
-		r.e.moved.add(leaf, now)
+		r.e.movedLeaves.add(leaf, now)
 	case resp != nil && !resp.NotRun:
 		r.answered.Store(true)
 		r.e.crashes.Answered(r.digest)
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -51,8 +51,8 @@
 	n := int(d.Seconds() * loadRate)
 	for range n {
 		go func() {
-			a, took := l.ask(t.Context(), "/s/q")
-			inTime <- a.Outcome == Served && took < 134*ms
+			a, elapsed := l.ask(t.Context(), "/s/q")
+			inTime <- a.Outcome == Served && elapsed < 134*ms
 		}()
 		time.Sleep(time.Second / loadRate)
 	}
@@ -74,13 +74,13 @@
 		play(t, func(t *testing.T, w *world) {
 			l := newGatherLoad(seed)
 			calm := l.play(t, 12*time.Second)
-			for id, usual := range l.leaves {
+			for id, normal := range l.leaves {
 				if l.rng.Float64() < 0.5 {
 					l.set(id, func(n int) reply {
 						if l.rng.Float64() < 0.45 {
 							return reply{after: ms, refuse: true}
 						}
-						return usual(n)
+						return normal(n)
 					})
 				}
 			}
--- a/internal/dispatch/merge.go
+++ b/internal/dispatch/merge.go
@@ -8,8 +8,8 @@
 // recordBytes is the length of one record of a part.
 const recordBytes = 16
 
-// merged is the answer of a search: the greatest records of the parts that are in, greatest first.
-func (r *run) merged() *Answer {
+// mergedAnswer is the answer of a search: the greatest records of the parts that are in, greatest first.
+func (r *run) mergedAnswer() *Answer {
 	a := &Answer{Outcome: Served}
 	var bodies [][]byte
 	for i := range r.groups {
@@ -21,15 +21,15 @@
 	a.Missing = len(r.groups) - len(a.Signatures)
 	if a.Missing > 0 {
 		a.Reason = ReasonPartial
-		r.noteOpen()
+		r.noteOpenGroups()
 	}
-	a.Records = greatest(bodies, r.route.TopK)
+	a.Records = topRecords(bodies, r.route.TopK)
 	return r.answer(a)
 }
 
-// greatest returns the k greatest records of the bodies, greatest first, compared byte by byte. Equal
+// topRecords returns the k greatest records of the bodies, greatest first, compared byte by byte. Equal
 // records all count. A remainder shorter than a record is none.
-func greatest(bodies [][]byte, k int) []byte {
+func topRecords(bodies [][]byte, k int) []byte {
 	var records [][]byte
 	for _, b := range bodies {
 		for ; len(b) >= recordBytes; b = b[recordBytes:] {
--- a/internal/dispatch/moved.go
+++ b/internal/dispatch/moved.go
@@ -7,18 +7,18 @@
 	"github.com/burdockplank/burdockplank/internal/catalog"
 )
 
-// movedKeep is how long a leaf that is gone from its address is left out: its entry lapses in less.
-const movedKeep = 10 * time.Second
+// movedExpiry is how long a leaf that is gone from its address is left out: its entry lapses in less.
+const movedExpiry = 10 * time.Second
 
 // movedSet remembers leaves whose address another one has. It is safe for concurrent use.
 type movedSet struct {
 	mu sync.Mutex
-	// at is when that was last found; guarded by mu.
-	at map[leafAt]time.Time
+	// foundAt is when that was last found; guarded by mu.
+	foundAt map[leafAddress]time.Time
 }
 
-// leafAt is a leaf at an address: one that registers at another one may be found there.
-type leafAt struct {
+// leafAddress is a leaf at an address: one that registers at another one may be found there.
+type leafAddress struct {
 	id      catalog.LeafID
 	address string
 }
@@ -26,13 +26,13 @@
 func (m *movedSet) add(l catalog.Leaf, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.at == nil {
-		m.at = make(map[leafAt]time.Time)
+	if m.foundAt == nil {
+		m.foundAt = make(map[leafAddress]time.Time)
 	}
-	m.at[leafAt{l.ID, l.Address}] = now
-	for k, at := range m.at {
-		if now.Sub(at) > movedKeep {
-			delete(m.at, k)
+	m.foundAt[leafAddress{l.ID, l.Address}] = now
+	for k, at := range m.foundAt {
+		if now.Sub(at) > movedExpiry {
+			delete(m.foundAt, k)
 		}
 	}
 }
@@ -40,6 +40,6 @@
 func (m *movedSet) has(l catalog.Leaf) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at, ok := m.at[leafAt{l.ID, l.Address}]
-	return ok && time.Since(at) < movedKeep
+	at, ok := m.foundAt[leafAddress{l.ID, l.Address}]
+	return ok && time.Since(at) < movedExpiry
 }
--- a/internal/dispatch/odds_test.go
+++ b/internal/dispatch/odds_test.go
@@ -22,11 +22,11 @@
 		var longest time.Duration
 		const learned = 16
 		for i := range 60 {
-			a, took := w.ask(t.Context(), "/s/q")
+			a, elapsed := w.ask(t.Context(), "/s/q")
 			is.Equal(a.Outcome, Served)
 			is.Equal(a.Missing, 1)
 			if i >= learned {
-				longest = max(longest, took)
+				longest = max(longest, elapsed)
 			}
 			time.Sleep(10 * ms)
 		}
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -120,22 +120,22 @@
 // tally is what became of the requests of one kind.
 type tally struct {
 	sent, inTime, late, refused, other int
-	// held is the longest time that a refusal took.
-	held time.Duration
+	// refusalTime is the longest time that a refusal took.
+	refusalTime time.Duration
 }
 
-// servedPart is the part of requests that were answered with success, inTimePart that of those let in which were in
+// servedShare is the part of requests that were answered with success, inTimePart that of those let in which were in
 // time.
-func (t *tally) servedPart() float64 { return float64(t.inTime+t.late) / float64(max(t.sent, 1)) }
-func (t *tally) inTimePart() float64 {
+func (t *tally) servedShare() float64 { return float64(t.inTime+t.late) / float64(max(t.sent, 1)) }
+func (t *tally) inTimeShare() float64 {
 	return float64(t.inTime) / float64(max(t.inTime+t.late+t.other, 1))
 }
 
 // press sends searches of both kinds at the multiple of 180 a second for the time, three quarters of them full ones.
-func (o *overload) press(t *testing.T, times float64, d time.Duration) (full, quick tally) {
+func (o *overload) press(t *testing.T, multiple float64, d time.Duration) (full, quick tally) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	const usualRate = 180.
+	const typicalRate = 180.
 	for i, end := 0, time.Now().Add(d); time.Now().Before(end); i++ {
 		route, work, sum := fullSearch, 20., &full
 		if o.float() < 0.25 {
@@ -143,27 +143,27 @@
 		}
 		o.mu.Lock()
 		size := math.Exp(0.35 * o.rng.NormFloat64())
-		gap := o.rng.ExpFloat64() / (times * usualRate)
+		gap := o.rng.ExpFloat64() / (multiple * typicalRate)
 		o.mu.Unlock()
 		id := fmt.Sprint(route.Name, i, time.Now().UnixNano())
 		o.work.Store(id, time.Duration(work*size*float64(ms)))
 		all.Go(func() {
-			begun := time.Now()
+			start := time.Now()
 			a := o.engines[i%overloadVMs].Serve(t.Context(), &Request{
-				ID: id, Method: "GET", Host: "h", Path: route.Prefix, Target: route.Prefix, Remaining: route.Timeout, Arrived: begun,
+				ID: id, Method: "GET", Host: "h", Path: route.Prefix, Target: route.Prefix, Remaining: route.Timeout, Arrived: start,
 			})
-			took := time.Since(begun)
+			elapsed := time.Since(start)
 			mu.Lock()
 			defer mu.Unlock()
 			sum.sent++
 			switch {
-			case a.Outcome == Served && took < route.Target:
+			case a.Outcome == Served && elapsed < route.Target:
 				sum.inTime++
 			case a.Outcome == Served:
 				sum.late++
 			case a.Outcome == NotRun && a.Reason == ReasonBusyLeaves:
 				sum.refused++
-				sum.held = max(sum.held, took)
+				sum.refusalTime = max(sum.refusalTime, elapsed)
 				is.New(t).True(a.RetryAfter > 0)
 			default:
 				sum.other++
@@ -181,13 +181,13 @@
 // in.
 func TestOverload(t *testing.T) {
 	for name, tt := range map[string]struct {
-		times, shed            float64
-		least, inTime, refused float64
+		multiple, shed             float64
+		minServed, inTime, refused float64
 	}{
-		"usual":           {times: 1, least: 0.99, inTime: 0.99},
-		"half as much":    {times: 1.5, least: 0.99, inTime: 0.99},
-		"twice, shedding": {times: 2.2, shed: 0.45, least: 0.6, inTime: 0.8, refused: 0.4},
-		"three times":     {times: 3, least: 0.5, inTime: 0.8, refused: 0.5},
+		"usual":           {multiple: 1, minServed: 0.99, inTime: 0.99},
+		"half as much":    {multiple: 1.5, minServed: 0.99, inTime: 0.99},
+		"twice, shedding": {multiple: 2.2, shed: 0.45, minServed: 0.6, inTime: 0.8, refused: 0.4},
+		"three times":     {multiple: 3, minServed: 0.5, inTime: 0.8, refused: 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -199,14 +199,14 @@
 						s.shed = tt.shed
 					}
 				}
-				full, quick := o.press(t, tt.times, 6*time.Second)
+				full, quick := o.press(t, tt.multiple, 6*time.Second)
 				t.Logf("full %+v quick %+v", full, quick)
 				sum := tally{sent: full.sent + quick.sent, inTime: full.inTime + quick.inTime, late: full.late + quick.late, other: full.other + quick.other}
-				is.True(sum.servedPart() >= tt.least)
-				is.True(sum.inTimePart() >= tt.inTime)
+				is.True(sum.servedShare() >= tt.minServed)
+				is.True(sum.inTimeShare() >= tt.inTime)
 				is.True(float64(full.refused+quick.refused) <= tt.refused*float64(sum.sent))
-				is.True(full.servedPart() >= quick.servedPart()-0.05)
-				is.Equal(full.held+quick.held, time.Duration(0))
+				is.True(full.servedShare() >= quick.servedShare()-0.05)
+				is.Equal(full.refusalTime+quick.refusalTime, time.Duration(0))
 				for _, e := range o.engines {
 					e.Wait()
 				}
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -32,7 +32,7 @@
 
 // A leaf that starts again in the middle of a request is another leaf: an idempotent request may go to it, within
 // its attempts; one that may have run at the earlier start goes nowhere; one that was surely not sent goes on.
-func TestLeafStartsAgainDuringARequest(t *testing.T) {
+func TestLeafRestartsDuringRequest(t *testing.T) {
 	for name, tt := range map[string]struct {
 		path    string
 		cause   leafcall.Cause
@@ -59,7 +59,7 @@
 }
 
 // A leaf whose address has another one now is left out, and is back as soon as it has started again.
-func TestMovedLeafIsBackWithItsNextStart(t *testing.T) {
+func TestMovedLeafReturnsAfterRestart(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.start(1, always(reply{after: ms, moved: true}))
@@ -72,7 +72,7 @@
 }
 
 // What was learned of a mute leaf says nothing of its next start.
-func TestNextStartOfAMuteLeafIsAsked(t *testing.T) {
+func TestUnresponsiveLeafIsCalledAfterRestart(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.start(1, fail(leafcall.Abandoned))
@@ -80,15 +80,15 @@
 			w.ask(t.Context(), "/i/1")
 		}
 		w.start(2, ok(ms))
-		a, took := w.ask(t.Context(), "/i/1")
+		a, elapsed := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, Served)
-		is.True(took < 10*ms)
+		is.True(elapsed < 10*ms)
 	})
 }
 
 // A search of which a part is in has been run by a leaf that lives: the connections that it loses then count against
 // nobody.
-func TestLossAfterAPartIsNoSuspicion(t *testing.T) {
+func TestConnectionLostAfterPartIsNoCrash(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for _, s := range []string{"s4", "s5", "s6"} {
--- a/internal/dispatch/splits.go
+++ b/internal/dispatch/splits.go
@@ -10,8 +10,8 @@
 // that is furthest behind its part. Unlike a draw at random this keeps the parts even in short spans.
 type splits struct {
 	mu sync.Mutex
-	// behind is how far each service is behind its part, by route and service; guarded by mu.
-	behind map[string]map[string]float64
+	// deficits is how far each service is behind its part, by route and service; guarded by mu.
+	deficits map[string]map[string]float64
 }
 
 // choose returns the service of the next request.
@@ -21,10 +21,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.behind == nil {
-		s.behind = make(map[string]map[string]float64)
+	if s.deficits == nil {
+		s.deficits = make(map[string]map[string]float64)
 	}
-	known := s.behind[route.Name]
+	known := s.deficits[route.Name]
 	next := make(map[string]float64, len(route.Split))
 	total, best := 0.0, ""
 	for _, w := range route.Split {
@@ -37,6 +37,6 @@
 		}
 	}
 	next[best]--
-	s.behind[route.Name] = next
+	s.deficits[route.Name] = next
 	return best
 }
--- a/internal/dispatch/start_test.go
+++ b/internal/dispatch/start_test.go
@@ -13,34 +13,34 @@
 // long as that is likely to come soon, and are refused at once later on, with a time to come back that grows.
 func TestRequestsRightAfterTheStart(t *testing.T) {
 	for name, tt := range map[string]struct {
-		age     time.Duration
-		comes   bool
-		outcome Outcome
-		held    time.Duration
-		least   time.Duration
+		age      time.Duration
+		arrives  bool
+		outcome  Outcome
+		waited   time.Duration
+		minRetry time.Duration
 	}{
-		"configuration is near": {comes: true, outcome: Served, held: 40 * ms},
-		"none comes":            {outcome: NotRun, held: 200 * ms, least: 200 * ms},
-		"none for a while":      {age: 300 * ms, outcome: NotRun, least: 300 * ms},
-		"none for a long time":  {age: time.Minute, outcome: NotRun, least: retryNoConfigMost},
+		"configuration is near": {arrives: true, outcome: Served, waited: 40 * ms},
+		"none comes":            {outcome: NotRun, waited: 200 * ms, minRetry: 200 * ms},
+		"none for a while":      {age: 300 * ms, outcome: NotRun, minRetry: 300 * ms},
+		"none for a long time":  {age: time.Minute, outcome: NotRun, minRetry: maxRetryNoConfig},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, func(t *testing.T, w *world) {
 				is := is.New(t)
-				there := w.view
+				configured := w.view
 				w.view = &directory.View{}
 				time.Sleep(tt.age)
-				if tt.comes {
+				if tt.arrives {
 					time.AfterFunc(30*ms-ms/2, func() {
 						w.mu.Lock()
 						defer w.mu.Unlock()
-						w.view = there
+						w.view = configured
 					})
 				}
-				a, took := w.ask(t.Context(), "/i/1")
+				a, elapsed := w.ask(t.Context(), "/i/1")
 				is.Equal(a.Outcome, tt.outcome)
-				is.Equal(took, tt.held)
-				is.True(a.RetryAfter >= tt.least && a.RetryAfter <= 2*tt.least)
+				is.Equal(elapsed, tt.waited)
+				is.True(a.RetryAfter >= tt.minRetry && a.RetryAfter <= 2*tt.minRetry)
 			})
 		})
 	}
