--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -49,17 +49,17 @@
 // limit records a search of the route and returns the largest multiple of the typical call time that its calls may
 // be expected to take. The limit is that of the route with the least headroom on the same shards, because all
 // routes wait in the same queues. More urgent routes get a somewhat higher limit.
-func (k *sharedShards) limit(route *catalog.Route, headroom float64, now time.Time) float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.byShard == nil {
-		k.byShard = make(map[string]map[string]routeHeadroom)
+func (s *sharedShards) limit(route *catalog.Route, headroom float64, now time.Time) float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byShard == nil {
+		s.byShard = make(map[string]map[string]routeHeadroom)
 	}
-	routes := k.byShard[route.Shards[0]]
+	routes := s.byShard[route.Shards[0]]
 	if routes == nil {
-		k.dropOld(now)
+		s.dropOld(now)
 		routes = make(map[string]routeHeadroom)
-		k.byShard[route.Shards[0]] = routes
+		s.byShard[route.Shards[0]] = routes
 	}
 	routes[route.Name] = routeHeadroom{headroom, route.Priority, now}
 	minHeadroom, leastUrgent := headroom, route.Priority
@@ -74,15 +74,15 @@
 }
 
 // dropOld drops shards that no route searches any more. Requires mu.
-func (k *sharedShards) dropOld(now time.Time) {
-	for shard, routes := range k.byShard {
+func (s *sharedShards) dropOld(now time.Time) {
+	for shard, routes := range s.byShard {
 		for name, other := range routes {
 			if now.Sub(other.at) > routeExpiry {
 				delete(routes, name)
 			}
 		}
 		if len(routes) == 0 {
-			delete(k.byShard, shard)
+			delete(s.byShard, shard)
 		}
 	}
 }
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -208,7 +208,7 @@
 }
 
 // runDue sends the pending calls and the hedges that are due. It sends no hedges if it runs late itself.
-func (r *run) runDue(now time.Time, late time.Duration) {
+func (r *run) runDue(now time.Time, delay time.Duration) {
 	for i := range r.groups {
 		g := &r.groups[i]
 		switch {
@@ -218,7 +218,7 @@
 		case g.pending:
 			r.send(i)
 		case !r.canHedge(g) || now.Before(r.hedgeDue(g)):
-		case late > hedgeMaxLag:
+		case delay > hedgeMaxLag:
 			g.retryAt = now.Add(retryPoll)
 		default:
 			r.hedge(i, now)
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -31,14 +31,14 @@
 }
 
 // observe updates the estimate with the delay of one timer.
-func (l *lag) observe(late time.Duration) {
+func (l *lag) observe(delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	weight := lagFallWeight
-	if late > l.estimate {
+	if delay > l.estimate {
 		weight = lagRiseWeight
 	}
-	l.estimate += time.Duration(weight * float64(late-l.estimate))
+	l.estimate += time.Duration(weight * float64(delay-l.estimate))
 }
 
 func (l *lag) now() time.Duration {
--- a/internal/dispatch/odds.go
+++ b/internal/dispatch/odds.go
@@ -43,40 +43,40 @@
 }
 
 // record updates the rate of the service with the outcome of one late part.
-func (o *lateArrivals) record(service string, came bool, now time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.byService == nil {
-		o.byService = make(map[string]arrivalRate)
+func (a *lateArrivals) record(service string, arrived bool, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.byService == nil {
+		a.byService = make(map[string]arrivalRate)
 	}
-	if len(o.byService) >= maxTrackedShards {
-		o.dropOld(now)
+	if len(a.byService) >= maxTrackedShards {
+		a.dropOld(now)
 	}
-	c, known := o.byService[service]
+	c, known := a.byService[service]
 	previous := initialArrivalRate
 	if known {
 		previous = c.now(now)
 	}
 	observed := 0.0
-	if came {
+	if arrived {
 		observed = 1
 	}
-	o.byService[service] = arrivalRate{previous + arrivalWeight*(observed-previous), now}
+	a.byService[service] = arrivalRate{previous + arrivalWeight*(observed-previous), now}
 }
 
 // unlikely reports whether a part of the shard that is already late is unlikely to arrive in time.
-func (o *lateArrivals) unlikely(service string, now time.Time) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	c, known := o.byService[service]
+func (a *lateArrivals) unlikely(service string, now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	c, known := a.byService[service]
 	return known && c.now(now) < minArrivalRate
 }
 
 // dropOld drops shards that have had no late part for a while, such as those of an older shard set. Requires mu.
-func (o *lateArrivals) dropOld(now time.Time) {
-	for service, c := range o.byService {
+func (a *lateArrivals) dropOld(now time.Time) {
+	for service, c := range a.byService {
 		if now.Sub(c.at) > 5*arrivalDecay {
-			delete(o.byService, service)
+			delete(a.byService, service)
 		}
 	}
 }
@@ -95,32 +95,32 @@
 // stopWaiting reports whether a search that covers enough shards is answered without the open ones. That is the
 // case when its target has passed, or when all open shards are late and unlikely to arrive in time.
 func (r *run) stopWaiting(now time.Time) bool {
-	over, open, givenUp := !now.Before(r.softDeadline), 0, 0
+	pastTarget, open, givenUp := !now.Before(r.softDeadline), 0, 0
 	for i := range r.groups {
 		g := &r.groups[i]
 		if g.part != nil || g.failed {
 			continue
 		}
 		open++
-		g.late = g.late || over || !now.Before(r.overdueAt(g))
-		if over {
+		g.late = g.late || pastTarget || !now.Before(r.overdueAt(g))
+		if pastTarget {
 			r.recordLatePart(g, false, now)
 		}
 		if g.late && r.e.lateArrivals.unlikely(g.service, now) {
 			givenUp++
 		}
 	}
-	if !over && givenUp == open {
+	if !pastTarget && givenUp == open {
 		r.trace.GivenUp = givenUp
 	}
-	return over || givenUp == open
+	return pastTarget || givenUp == open
 }
 
 // recordLatePart records the outcome of a late part, once.
-func (r *run) recordLatePart(g *group, came bool, now time.Time) {
+func (r *run) recordLatePart(g *group, arrived bool, now time.Time) {
 	if g.late && !g.recorded {
 		g.recorded = true
-		r.e.lateArrivals.record(g.service, came && now.Before(r.softDeadline), now)
+		r.e.lateArrivals.record(g.service, arrived && now.Before(r.softDeadline), now)
 	}
 }
 
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -185,9 +185,9 @@
 			r.handle(ev)
 		case <-timer.C:
 			now := time.Now()
-			late := now.Sub(waitStart) - wait
-			r.e.lag.observe(late)
-			r.runDue(now, late+sending)
+			delay := now.Sub(waitStart) - wait
+			r.e.lag.observe(delay)
+			r.runDue(now, delay+sending)
 			sending = 0
 		case <-r.caller.Done():
 			r.cancel()
