--- a/internal/dispatch/calls.go
+++ b/internal/dispatch/calls.go
@@ -62,7 +62,7 @@
 	out := make([]replica.Candidate, 0, len(candidates))
 	for _, l := range candidates {
 		_, open := r.e.leaves.Free(l.ID)
-		out = append(out, replica.Candidate{ID: l.ID, Slots: l.Slots, Cold: l.Warmup > 0, Near: l.Zone == r.e.zone, Open: open})
+		out = append(out, replica.Candidate{ID: l.ID, Slots: l.Slots, WarmingUp: l.Warmup > 0, SameZone: l.Zone == r.e.zone, Connected: open})
 	}
 	return out
 }
@@ -76,7 +76,7 @@
 	})
 	r.recordCallEnd(leaf, call, resp, err)
 	select {
-	case r.events <- event{group: i, leaf: leaf.ID, call: call, elapsed: call.Took(time.Now()), resp: resp, err: err}:
+	case r.events <- event{group: i, leaf: leaf.ID, call: call, elapsed: call.Elapsed(time.Now()), resp: resp, err: err}:
 	case <-r.ended:
 		r.recordUnawaitedPart(i, resp)
 	}
--- a/internal/dispatch/hopeless.go
+++ b/internal/dispatch/hopeless.go
@@ -81,7 +81,7 @@
 	shortest := time.Duration(math.MaxInt64)
 	for _, leaves := range lists {
 		for _, l := range leaves {
-			unresponsive := r.e.table.Mute(l.ID, now)
+			unresponsive := r.e.table.UnresponsiveFor(l.ID, now)
 			if unresponsive == 0 {
 				return 0
 			}
--- a/internal/dispatch/learn.go
+++ b/internal/dispatch/learn.go
@@ -55,9 +55,9 @@
 		return replica.Neutral
 	case leafcall.NoConnection:
 		if failure.Refused {
-			return replica.Closed
+			return replica.ConnectRefused
 		}
-		return replica.Unreached
+		return replica.Unreachable
 	}
 	return replica.Failed
 }
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -149,7 +149,7 @@
 }
 
 // refreshTypical updates the typical call time of the route.
-func (r *run) refreshTypical() { r.typical = r.e.table.Usual(r.route.Name, r.estimate) }
+func (r *run) refreshTypical() { r.typical = r.e.table.TypicalTime(r.route.Name, r.estimate) }
 
 // serve runs the request until it is answered.
 func (r *run) serve() *Answer {
--- a/internal/replica/looks_test.go
+++ b/internal/replica/looks_test.go
@@ -7,13 +7,13 @@
 )
 
 // Costs returns the cost of each candidate.
-func (t *Table) Costs(now time.Time, route string, guess time.Duration, from []Candidate) []float64 {
+func (t *Table) Costs(now time.Time, route string, estimate time.Duration, candidates []Candidate) []float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	usual := t.usualOf(route, guess)
-	out := make([]float64, 0, len(from))
-	for _, c := range from {
-		out = append(out, t.cost(t.leaf(c, now), now, usual, c))
+	typical := t.typicalOf(route, estimate)
+	out := make([]float64, 0, len(candidates))
+	for _, c := range candidates {
+		out = append(out, t.cost(t.leaf(c, now), now, typical, c))
 	}
 	return out
 }
--- a/internal/replica/mute_test.go
+++ b/internal/replica/mute_test.go
@@ -9,16 +9,16 @@
 
 // A leaf is mute once two calls or more have waited for longer than a pause lasts and nothing came back, and for
 // half a second after the latest call; any sign of life ends that.
-func TestMute(t *testing.T) {
+func TestUnresponsive(t *testing.T) {
 	const late = 433 * time.Millisecond // when an abandoned call ends
-	type end func(c []*Call, begun time.Time)
+	type end func(c []*Call, start time.Time)
 	one := func(r Result, after time.Duration) end {
-		return func(c []*Call, begun time.Time) { c[0].End(r, begun.Add(after)) }
+		return func(c []*Call, start time.Time) { c[0].End(r, start.Add(after)) }
 	}
 	all := func(r Result, after time.Duration) end {
-		return func(c []*Call, begun time.Time) {
+		return func(c []*Call, start time.Time) {
 			for _, call := range c {
-				call.End(r, begun.Add(after))
+				call.End(r, start.Add(after))
 			}
 		}
 	}
@@ -29,21 +29,21 @@
 		at   time.Duration
 		want bool
 	}{
-		"waits for long":         {2, nil, muteAfter, true},
-		"one call":               {1, nil, muteAfter, false},
-		"a pause":                {2, nil, muteAfter - 1, false},
-		"all connections wait":   {2, nil, muteKeep + muteAfter, true},
-		"nothing asked since":    {3, all(Late, late), late + muteKeep, false},
+		"waits for long":         {2, nil, unresponsiveAfter, true},
+		"one call":               {1, nil, unresponsiveAfter, false},
+		"a pause":                {2, nil, unresponsiveAfter - 1, false},
+		"all connections wait":   {2, nil, unresponsiveKeep + unresponsiveAfter, true},
+		"nothing asked since":    {3, all(Late, late), late + unresponsiveKeep, false},
 		"given up":               {3, one(Late, late), late, true},
-		"an answer":              {3, one(OK, usual), muteAfter, false},
-		"a refusal":              {3, one(Refused, usual), muteAfter, false},
-		"a reset":                {3, one(Failed, usual), muteAfter, false},
-		"no way there":           {3, one(Unreached, usual), muteAfter, true},
-		"nothing listens":        {3, all(Closed, usual), muteAfter, true},
-		"nothing listened once":  {1, all(Closed, usual), muteAfter, false},
+		"an answer":              {3, one(OK, typical), unresponsiveAfter, false},
+		"a refusal":              {3, one(Refused, typical), unresponsiveAfter, false},
+		"a reset":                {3, one(Failed, typical), unresponsiveAfter, false},
+		"no way there":           {3, one(Unreachable, typical), unresponsiveAfter, true},
+		"nothing listens":        {3, all(ConnectRefused, typical), unresponsiveAfter, true},
+		"nothing listened once":  {1, all(ConnectRefused, typical), unresponsiveAfter, false},
 		"a silent connection":    {3, one(Failed, late), late, true},
-		"never sent, one waits":  {2, one(Neutral, 0), muteAfter, false},
-		"never sent, two do too": {3, one(Neutral, 0), muteAfter, true},
+		"never sent, one waits":  {2, one(Neutral, 0), unresponsiveAfter, false},
+		"never sent, two do too": {3, one(Neutral, 0), unresponsiveAfter, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -52,14 +52,14 @@
 			only := group()[:1]
 			var calls []*Call
 			for range tt.calls {
-				_, c := table.Choose(now, "r", usual, only)
+				_, c := table.Choose(now, "r", typical, only)
 				calls = append(calls, c)
 			}
 			if tt.end != nil {
 				tt.end(calls, now)
 			}
-			is.Equal(table.Mute(leafID("a"), now.Add(tt.at)) > 0, tt.want)
+			is.Equal(table.UnresponsiveFor(leafID("a"), now.Add(tt.at)) > 0, tt.want)
 		})
 	}
-	is.New(t).Equal(New().Mute(leafID("unknown"), time.Now()), time.Duration(0))
+	is.New(t).Equal(New().UnresponsiveFor(leafID("unknown"), time.Now()), time.Duration(0))
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -9,8 +9,8 @@
 	"github.com/burdockplank/burdockplank/internal/catalog"
 )
 
-// coldPace is the pace of a leaf in its warm-up before it has answered.
-const coldPace = 1.6
+// warmUpFactor is the pace of a leaf in its warm-up before it has answered.
+const warmUpFactor = 1.6
 
 // Result says how a call ended.
 type Result int
@@ -25,10 +25,10 @@
 	Failed
 	// Late is a call that was given up after it took far longer than usual.
 	Late
-	// Unreached is a call for which no connection could be opened, and nobody refused it either.
-	Unreached
-	// Closed is a call for which the leaf's address refused a connection, as after a crash or beyond a cut.
-	Closed
+	// Unreachable is a call for which no connection could be opened, and nobody refused it either.
+	Unreachable
+	// ConnectRefused is a call for which the leaf's address refused a connection, as after a crash or beyond a cut.
+	ConnectRefused
 	// Neutral says nothing of the leaf, such as a call that its caller gave up.
 	Neutral
 )
@@ -44,12 +44,12 @@
 type Candidate struct {
 	ID    catalog.LeafID
 	Slots int
-	// Cold is set while the leaf is in its warm-up.
-	Cold bool
-	// Near is set where the leaf is in the availability zone of this VM.
-	Near bool
-	// Open is set where a connection to the leaf is open.
-	Open bool
+	// WarmingUp is set while the leaf is in its warm-up.
+	WarmingUp bool
+	// SameZone is set where the leaf is in the availability zone of this VM.
+	SameZone bool
+	// Connected is set where a connection to the leaf is open.
+	Connected bool
 }
 
 // Table keeps what was learned. It is safe for concurrent use.
@@ -62,29 +62,29 @@
 
 // routeTime is the usual time of a call of a route.
 type routeTime struct {
-	usual time.Duration
+	typical time.Duration
 	// answers counts those that it was moved by; seen is when the latest of them came.
-	answers int
-	seen    time.Time
+	answers    int
+	lastUpdate time.Time
 }
 
 type leaf struct {
-	pace   float64
-	paceAt time.Time
-	// own counts this VM's calls, lately follows the latest of them, told counts those of others by VM.
-	own    tally
-	lately lately
-	// slowly follows the part of slow ones, and slowPace how slow these are, as a multiple of the usual time.
-	slowly   lately
-	slowPace float64
-	told     map[string]tally
-	load     Load
-	loadAt   time.Time
-	// mute follows calls that stay without an answer.
-	mute mute
-	// begun are the starts of the calls in flight, with the time expected of each.
-	begun map[*Call]struct{}
-	seen  time.Time
+	timeFactor   float64
+	timeFactorAt time.Time
+	// ownTally counts this VM's calls, lately follows the latest of them, told counts those of others by VM.
+	ownTally     tally
+	recentFailed recentShare
+	// recentSlow follows the part of slow ones, and slowPace how slow these are, as a multiple of the usual time.
+	recentSlow  recentShare
+	slowFactor  float64
+	peerTallies map[string]tally
+	load        Load
+	loadAt      time.Time
+	// silence follows calls that stay without an answer.
+	silence silence
+	// inFlight are the starts of the calls in flight, with the time expected of each.
+	inFlight      map[*Call]struct{}
+	lastCandidate time.Time
 }
 
 // Call is a call in flight.
@@ -92,11 +92,11 @@
 	t        *Table
 	id       catalog.LeafID
 	route    string
-	begun    time.Time
+	sentAt   time.Time
 	expected time.Duration
-	// crowd is how many times as long as on an idle leaf the call was expected to take for want of a slot.
-	crowd float64
-	ended bool
+	// queueFactor is how many times as long as on an idle leaf the call was expected to take for want of a slot.
+	queueFactor float64
+	ended       bool
 }
 
 // New returns a table that has learned nothing.
@@ -104,48 +104,48 @@
 	return &Table{leaves: make(map[catalog.LeafID]*leaf), routes: make(map[string]*routeTime)}
 }
 
-// Usual returns the usual time of a call of the route, first guessed as the given time.
-func (t *Table) Usual(route string, guess time.Duration) time.Duration {
+// TypicalTime returns the usual time of a call of the route, first guessed as the given time.
+func (t *Table) TypicalTime(route string, estimate time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.usualOf(route, guess)
+	return t.typicalOf(route, estimate)
 }
 
-func (t *Table) usualOf(route string, guess time.Duration) time.Duration {
+func (t *Table) typicalOf(route string, estimate time.Duration) time.Duration {
 	if r := t.routes[route]; r != nil {
-		return r.usual
+		return r.typical
 	}
-	return guess
+	return estimate
 }
 
 // leaf requires mu.
 func (t *Table) leaf(c Candidate, now time.Time) *leaf {
 	l := t.leaves[c.ID]
 	if l == nil {
-		l = &leaf{pace: 1, begun: make(map[*Call]struct{}), paceAt: now}
-		if c.Cold {
-			l.pace = coldPace
+		l = &leaf{timeFactor: 1, inFlight: make(map[*Call]struct{}), timeFactorAt: now}
+		if c.WarmingUp {
+			l.timeFactor = warmUpFactor
 		}
 		t.leaves[c.ID] = l
 	}
-	l.seen = now
+	l.lastCandidate = now
 	return l
 }
 
 // Choose returns the index of the cheapest candidate and begins a call to it; -1 where there is none.
-func (t *Table) Choose(now time.Time, route string, guess time.Duration, from []Candidate) (int, *Call) {
-	if len(from) == 0 {
+func (t *Table) Choose(now time.Time, route string, estimate time.Duration, candidates []Candidate) (int, *Call) {
+	if len(candidates) == 0 {
 		return -1, nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	usual := t.usualOf(route, guess)
-	best := t.cheapest(now, usual, from)
-	l := t.leaves[from[best].ID]
-	crowd := l.crowd(l.queue(now), from[best])
-	call := &Call{t: t, id: from[best].ID, route: route, begun: now, expected: l.expected(now, usual, crowd), crowd: crowd}
-	l.begun[call] = struct{}{}
-	l.mute.begin(now)
+	typical := t.typicalOf(route, estimate)
+	best := t.cheapest(now, typical, candidates)
+	l := t.leaves[candidates[best].ID]
+	queueFactor := l.queueFactor(l.queue(now), candidates[best])
+	call := &Call{t: t, id: candidates[best].ID, route: route, sentAt: now, expected: l.expected(now, typical, queueFactor), queueFactor: queueFactor}
+	l.inFlight[call] = struct{}{}
+	l.silence.begin(now)
 	return best, call
 }
 
@@ -155,7 +155,7 @@
 	defer t.mu.Unlock()
 	n := 0
 	for _, l := range t.leaves {
-		n += len(l.begun)
+		n += len(l.inFlight)
 	}
 	return n
 }
@@ -169,8 +169,8 @@
 	}
 }
 
-// Took returns for how long the call has gone on.
-func (c *Call) Took(now time.Time) time.Duration { return now.Sub(c.begun) }
+// Elapsed returns for how long the call has gone on.
+func (c *Call) Elapsed(now time.Time) time.Duration { return now.Sub(c.sentAt) }
 
 // Expected returns the time that the call was expected to take.
 func (c *Call) Expected() time.Duration { return c.expected }
@@ -183,12 +183,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, l := range t.leaves {
-		if len(l.begun) == 0 && now.Sub(l.seen) > forgetAfter {
+		if len(l.inFlight) == 0 && now.Sub(l.lastCandidate) > forgetAfter {
 			delete(t.leaves, id)
 		}
 	}
 	for name, r := range t.routes {
-		if now.Sub(r.seen) > forgetAfter {
+		if now.Sub(r.lastUpdate) > forgetAfter {
 			delete(t.routes, name)
 		}
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -11,29 +11,29 @@
 	"github.com/burdockplank/burdockplank/internal/catalog"
 )
 
-const usual = 20 * time.Millisecond
+const typical = 20 * time.Millisecond
 
 func leafID(name string) catalog.LeafID { return catalog.LeafID{Name: name} }
 
 // group is three replicas of a shard, of 3 slots each.
 func group() []Candidate {
-	return []Candidate{{ID: leafID("a"), Slots: 3, Near: true, Open: true}, {ID: leafID("b"), Slots: 3, Open: true}, {ID: leafID("c"), Slots: 3, Open: true}}
+	return []Candidate{{ID: leafID("a"), Slots: 3, SameZone: true, Connected: true}, {ID: leafID("b"), Slots: 3, Connected: true}, {ID: leafID("c"), Slots: 3, Connected: true}}
 }
 
 // answer makes a call to the chosen leaf that takes as long as given for it.
-func answer(t *Table, now time.Time, took func(id string) (time.Duration, Result)) string {
-	from := group()
-	i, call := t.Choose(now, "r", usual, from)
-	d, r := took(from[i].ID.Name)
+func answer(t *Table, now time.Time, elapsed func(id string) (time.Duration, Result)) string {
+	candidates := group()
+	i, call := t.Choose(now, "r", typical, candidates)
+	d, r := elapsed(candidates[i].ID.Name)
 	call.End(r, now.Add(d))
-	return from[i].ID.Name
+	return candidates[i].ID.Name
 }
 
 // share returns the part of n calls, 20 ms apart, that goes to the leaf.
-func share(t *Table, now *time.Time, n int, id string, took func(id string) (time.Duration, Result)) float64 {
+func share(t *Table, now *time.Time, n int, id string, elapsed func(id string) (time.Duration, Result)) float64 {
 	hits := 0
 	for range n {
-		if answer(t, *now, took) == id {
+		if answer(t, *now, elapsed) == id {
 			hits++
 		}
 		*now = now.Add(20 * time.Millisecond)
@@ -41,50 +41,50 @@
 	return float64(hits) / float64(n)
 }
 
-func even(string) (time.Duration, Result) { return usual, OK }
+func typicalAnswer(string) (time.Duration, Result) { return typical, OK }
 
-func TestNearLeafGoesFirst(t *testing.T) {
+func TestSameZoneLeafIsPreferred(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	is.True(share(New(), &now, 50, "a", even) > 0.9)
+	is.True(share(New(), &now, 50, "a", typicalAnswer) > 0.9)
 }
 
 // A leaf of the own zone that is a third slower than usual goes before one elsewhere that is a fifth faster: the
 // search waits for pauses and queues longer than for that, and its bytes stay in the zone. One twice as slow doesn't.
-func TestSlowerNearLeafGoesFirst(t *testing.T) {
+func TestSlowerSameZoneLeafIsPreferred(t *testing.T) {
 	for name, tt := range map[string]struct {
-		near float64
-		want bool
+		factor float64
+		want   bool
 	}{"a third slower": {1.3, true}, "twice as slow": {2, false}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now, table := time.Now(), New()
 			for range 200 { // each is called in turn, so that its pace is known
 				for _, c := range group() {
-					_, call := table.Choose(now, "r", usual, []Candidate{c})
-					took := time.Duration(0.8 * float64(usual))
-					if c.Near {
-						took = time.Duration(tt.near * float64(usual))
+					_, call := table.Choose(now, "r", typical, []Candidate{c})
+					elapsed := time.Duration(0.8 * float64(typical))
+					if c.SameZone {
+						elapsed = time.Duration(tt.factor * float64(typical))
 					}
-					call.End(OK, now.Add(took))
+					call.End(OK, now.Add(elapsed))
 					now = now.Add(20 * time.Millisecond)
 				}
 			}
-			i, _ := table.Choose(now, "r", usual, group())
-			is.Equal(group()[i].Near, tt.want)
+			i, _ := table.Choose(now, "r", typical, group())
+			is.Equal(group()[i].SameZone, tt.want)
 		})
 	}
 }
 
-func TestBusyLeafIsGoneAround(t *testing.T) {
+func TestBusyLeafIsAvoided(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	now := time.Now()
 	seen := make(map[string]int)
 	for range 9 { // all in flight at once, as many as there are slots
-		from := group()
-		i, _ := table.Choose(now, "r", usual, from)
-		seen[from[i].ID.Name]++
+		candidates := group()
+		i, _ := table.Choose(now, "r", typical, candidates)
+		seen[candidates[i].ID.Name]++
 	}
 	is.Equal(seen["a"], 3)
 	is.Equal(seen["b"], 3)
@@ -92,24 +92,24 @@
 }
 
 // A leaf that works several times slower, such as one short of memory, loses its calls after a few.
-func TestSlowLeafIsGoneAround(t *testing.T) {
+func TestSlowLeafIsAvoided(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	now := time.Now()
-	share(table, &now, 20, "a", even)
+	share(table, &now, 20, "a", typicalAnswer)
 	slow := func(id string) (time.Duration, Result) {
 		if id == "a" {
-			return 12 * usual, OK
+			return 12 * typical, OK
 		}
-		return usual, OK
+		return typical, OK
 	}
 	is.True(share(table, &now, 100, "a", slow) < 0.1)
 	now = now.Add(20 * time.Second)
-	is.True(share(table, &now, 100, "a", even) > 0.5) // and is back once it is well again
+	is.True(share(table, &now, 100, "a", typicalAnswer) > 0.5) // and is back once it is well again
 }
 
 // Where most leaves refuse part of their calls, the one that doesn't gets nearly all.
-func TestRefusingLeavesAreGoneAround(t *testing.T) {
+func TestRefusingLeavesAreAvoided(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	now := time.Now()
@@ -118,7 +118,7 @@
 		if id != "c" && random.Float64() < 0.6 {
 			return time.Millisecond, Refused
 		}
-		return usual, OK
+		return typical, OK
 	}
 	share(table, &now, 50, "c", refusing)
 	is.True(share(table, &now, 200, "c", refusing) > 0.8)
@@ -129,24 +129,24 @@
 	is := is.New(t)
 	table := New()
 	now := time.Now()
-	share(table, &now, 50, "a", even)
-	_, call := table.Choose(now, "r", usual, group()[:1])
-	is.True(!table.Overdue(leafID("a"), now.Add(2*usual)))
-	during := now.Add(5 * usual)
+	share(table, &now, 50, "a", typicalAnswer)
+	_, call := table.Choose(now, "r", typical, group()[:1])
+	is.True(!table.Overdue(leafID("a"), now.Add(2*typical)))
+	during := now.Add(5 * typical)
 	is.True(table.Overdue(leafID("a"), during))
-	from := group()
-	i, other := table.Choose(during, "r", usual, from)
-	is.True(from[i].ID.Name != "a") // while it stands still the others are asked
-	other.End(OK, during.Add(usual))
+	candidates := group()
+	i, other := table.Choose(during, "r", typical, candidates)
+	is.True(candidates[i].ID.Name != "a") // while it stands still the others are asked
+	other.End(OK, during.Add(typical))
 	now = now.Add(200 * time.Millisecond)
 	call.End(OK, now)
 	is.True(!table.Overdue(leafID("a"), now))
-	costs := table.Costs(now, "r", usual, group())
+	costs := table.Costs(now, "r", typical, group())
 	is.True(costs[0] < 1.3*costs[1]) // it is only little behind, as all leaves pause at times
 }
 
 // A VM that has not met the trouble of a leaf itself goes around it by what the others say.
-func TestTroublesOfOthers(t *testing.T) {
+func TestPeerTroubles(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	met := New()
@@ -154,83 +154,83 @@
 		if id == "a" {
 			return time.Millisecond, Refused
 		}
-		return usual, OK
+		return typical, OK
 	}
 	share(met, &now, 40, "a", refused)
-	told := met.Troubles(now)
-	is.Equal(len(told), 1)
-	is.Equal(told[0].Leaf.Name, "a")
-	is.True(told[0].Failed > 0.9*told[0].Calls)
+	troubles := met.Troubles(now)
+	is.Equal(len(troubles), 1)
+	is.Equal(troubles[0].Leaf.Name, "a")
+	is.True(troubles[0].Failed > 0.9*troubles[0].Calls)
 
 	other := New()
 	later := now
-	is.True(share(other, &later, 20, "a", even) > 0.9)
+	is.True(share(other, &later, 20, "a", typicalAnswer) > 0.9)
 	for vm := range 5 {
-		other.RecordPeerTroubles(fmt.Sprint(vm), told, later)
+		other.RecordPeerTroubles(fmt.Sprint(vm), troubles, later)
 	}
-	is.True(share(other, &later, 20, "a", even) < 0.2)
+	is.True(share(other, &later, 20, "a", typicalAnswer) < 0.2)
 	later = later.Add(30 * time.Second)
-	is.True(share(other, &later, 20, "a", even) > 0.9)
+	is.True(share(other, &later, 20, "a", typicalAnswer) > 0.9)
 }
 
-func TestOneBadCallDoesNotCondemn(t *testing.T) {
+func TestOneBadCallDoesNotRuleOutLeaf(t *testing.T) {
 	is := is.New(t)
 	table, l := New(), new(leaf)
 	now := time.Now()
-	l.own.add(now, 1, 0)
+	l.ownTally.add(now, 1, 0)
 	failed, _ := table.rates(l, now)
 	is.Equal(failed, 0.5)
 	for range 20 {
-		l.own.add(now, 0, 0)
+		l.ownTally.add(now, 0, 0)
 	}
 	failed, _ = table.rates(l, now)
 	is.True(failed < 0.05)
 }
 
-func TestToldIsBounded(t *testing.T) {
+func TestPeerTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	now := time.Now()
-	answer(table, now, even)
-	for vm := range 3 * toldMost {
+	answer(table, now, typicalAnswer)
+	for vm := range 3 * maxPeerTallies {
 		table.RecordPeerTroubles(fmt.Sprint(vm), []Trouble{{Leaf: leafID("a"), Calls: 1}, {Leaf: leafID("never called"), Calls: 1}}, now.Add(time.Duration(vm)))
 	}
-	is.Equal(len(table.leaves[leafID("a")].told), toldMost)
+	is.Equal(len(table.leaves[leafID("a")].peerTallies), maxPeerTallies)
 	is.Equal(len(table.leaves), 3)
 }
 
 // A leaf that reports a neighbour's load is passed over while the report is fresh.
-func TestNoiseOfTheMachine(t *testing.T) {
+func TestReportedNeighbourLoad(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	now := time.Now()
-	answer(table, now, even)
+	answer(table, now, typicalAnswer)
 	table.Report(leafID("a"), Load{Slots: 3, WorkTimePercent: 400}, now)
-	from := group()
-	i, call := table.Choose(now.Add(10*time.Millisecond), "r", usual, from)
-	is.True(from[i].ID.Name != "a")
+	candidates := group()
+	i, call := table.Choose(now.Add(10*time.Millisecond), "r", typical, candidates)
+	is.True(candidates[i].ID.Name != "a")
 	call.End(Neutral, now)
 	now = now.Add(3 * time.Second)
-	i, _ = table.Choose(now, "r", usual, from)
-	is.Equal(from[i].ID.Name, "a")
+	i, _ = table.Choose(now, "r", typical, candidates)
+	is.Equal(candidates[i].ID.Name, "a")
 }
 
 func TestEndCountsOnce(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	now := time.Now()
-	_, call := table.Choose(now, "r", usual, group()[:1])
+	_, call := table.Choose(now, "r", typical, group()[:1])
 	call.End(Refused, now)
 	call.End(Refused, now)
-	is.Equal(table.leaves[leafID("a")].own.calls, 1.0)
+	is.Equal(table.leaves[leafID("a")].ownTally.calls, 1.0)
 }
 
 func TestForget(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	now := time.Now()
-	answer(table, now, even)
-	_, call := table.Choose(now, "r", usual, []Candidate{{ID: leafID("busy"), Slots: 1}})
+	answer(table, now, typicalAnswer)
+	_, call := table.Choose(now, "r", typical, []Candidate{{ID: leafID("busy"), Slots: 1}})
 	table.Forget(now.Add(forgetAfter + time.Second))
 	is.Equal(len(table.leaves), 1) // a call is in flight there
 	call.End(OK, now)
@@ -238,23 +238,23 @@
 	is.Equal(len(table.leaves), 0)
 }
 
-// TestSlowLeavesDoNotMoveTheUsualTime sends each search to four shards of which one has only slow leaves
+// TestSlowLeavesDoNotMoveTheTypicalTime sends each search to four shards of which one has only slow leaves
 // left. The usual time stays that of the others, and the slow shard's leaf goes on counting as slow.
-func TestSlowLeavesDoNotMoveTheUsualTime(t *testing.T) {
+func TestSlowLeavesDoNotMoveTheTypicalTime(t *testing.T) {
 	is := is.New(t)
 	table, now := New(), time.Now()
 	for range 500 {
 		for _, id := range []string{"a", "b", "c", "slow"} {
-			_, call := table.Choose(now, "r", usual, []Candidate{{ID: leafID(id), Slots: 4, Near: true, Open: true}})
-			took := usual
+			_, call := table.Choose(now, "r", typical, []Candidate{{ID: leafID(id), Slots: 4, SameZone: true, Connected: true}})
+			elapsed := typical
 			if id == "slow" {
-				took = 9 * usual
+				elapsed = 9 * typical
 			}
-			call.End(OK, now.Add(took))
+			call.End(OK, now.Add(elapsed))
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
-	is.True(table.Usual("r", usual) < usual*13/10)
+	is.True(table.TypicalTime("r", typical) < typical*13/10)
 	troubles := table.Troubles(now)
 	is.Equal(len(troubles), 1)
 	is.Equal(troubles[0].Leaf.Name, "slow")
@@ -265,22 +265,22 @@
 func TestHangingCallsAreToldBeforeTheyEnd(t *testing.T) {
 	is := is.New(t)
 	table, now := New(), time.Now()
-	for range 100 { // the usual time is known
-		_, call := table.Choose(now, "r", usual, []Candidate{{ID: leafID("well"), Slots: 4, Near: true, Open: true}})
-		call.End(OK, now.Add(usual))
+	for range 100 { // the typical time is known
+		_, call := table.Choose(now, "r", typical, []Candidate{{ID: leafID("well"), Slots: 4, SameZone: true, Connected: true}})
+		call.End(OK, now.Add(typical))
 	}
-	hung := []Candidate{{ID: leafID("hung"), Slots: 4, Near: true, Open: true}}
+	hung := []Candidate{{ID: leafID("hung"), Slots: 4, SameZone: true, Connected: true}}
 	var calls []*Call
 	for range 3 {
-		_, call := table.Choose(now, "r", usual, hung)
+		_, call := table.Choose(now, "r", typical, hung)
 		calls = append(calls, call)
 	}
-	is.Equal(len(table.Troubles(now.Add(2*usual))), 0)
-	is.Equal(table.Troubles(now.Add(4*usual)), []Trouble{{Leaf: leafID("hung"), Calls: 3, Slow: 3}})
+	is.Equal(len(table.Troubles(now.Add(2*typical))), 0)
+	is.Equal(table.Troubles(now.Add(4*typical)), []Trouble{{Leaf: leafID("hung"), Calls: 3, Slow: 3}})
 	for _, c := range calls { // they count once
-		c.End(Late, now.Add(20*usual))
+		c.End(Late, now.Add(20*typical))
 	}
-	after := table.Troubles(now.Add(20 * usual))
+	after := table.Troubles(now.Add(20 * typical))
 	is.Equal(len(after), 1)
 	is.True(after[0].Slow > 2.9 && after[0].Slow <= 3)
 }
@@ -295,12 +295,12 @@
 	for range runs {
 		table := New()
 		now := time.Now()
-		share(table, &now, 200, "a", even)
+		share(table, &now, 200, "a", typicalAnswer)
 		losing := func(id string) (time.Duration, Result) {
 			if id == "a" && rand.Float64() < 0.4 {
-				return usual, Failed
+				return typical, Failed
 			}
-			return usual, OK
+			return typical, OK
 		}
 		calls += int(50 * share(table, &now, 50, "a", losing))
 	}
@@ -310,28 +310,28 @@
 
 // In a burst each call waits for four others, and takes five times as long. That is the queue's doing: what a call
 // takes by itself stays known, so that with the queue's end the expected time is the real one again.
-func TestQueuesDontCountTwice(t *testing.T) {
+func TestQueuesAreNotCountedTwice(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	now := time.Now()
-	only := []Candidate{{ID: leafID("a"), Slots: 3, Near: true, Open: true}}
-	call := func(load Load, took time.Duration) time.Duration {
-		_, c := table.Choose(now, "r", usual, only)
-		now = now.Add(took)
+	only := []Candidate{{ID: leafID("a"), Slots: 3, SameZone: true, Connected: true}}
+	call := func(load Load, elapsed time.Duration) time.Duration {
+		_, c := table.Choose(now, "r", typical, only)
+		now = now.Add(elapsed)
 		table.Report(leafID("a"), load, now)
 		c.End(OK, now)
 		return c.Expected()
 	}
 	for range 20 {
-		call(Load{Running: 1, Slots: 3}, usual)
+		call(Load{Running: 1, Slots: 3}, typical)
 	}
 	for i := range 200 {
-		expected := call(Load{Running: 3, Waiting: 12, Slots: 3}, 5*usual)
-		is.True(i == 0 || expected > 3*usual && expected < 7*usual) // 20 times after a while, where both count
+		expected := call(Load{Running: 3, Waiting: 12, Slots: 3}, 5*typical)
+		is.True(i == 0 || expected > 3*typical && expected < 7*typical) // 20 times after a while, where both count
 	}
-	is.True(table.Usual("r", 0) < usual*3/2)
+	is.True(table.TypicalTime("r", 0) < typical*3/2)
 	now = now.Add(time.Second)
-	is.True(call(Load{Running: 1, Slots: 3}, usual) < 2*usual)
+	is.True(call(Load{Running: 1, Slots: 3}, typical) < 2*typical)
 }
 
 // A leaf all of whose calls are slow is expected to be slow, and one that has paused isn't.
@@ -339,46 +339,46 @@
 	is := is.New(t)
 	table := New()
 	now := time.Now()
-	only := []Candidate{{ID: leafID("a"), Slots: 3, Near: true, Open: true}}
-	call := func(took time.Duration) {
-		_, c := table.Choose(now, "r", usual, only)
-		now = now.Add(took)
+	only := []Candidate{{ID: leafID("a"), Slots: 3, SameZone: true, Connected: true}}
+	call := func(elapsed time.Duration) {
+		_, c := table.Choose(now, "r", typical, only)
+		now = now.Add(elapsed)
 		c.End(OK, now)
 	}
 	for range 50 {
-		call(usual)
+		call(typical)
 	}
-	call(8 * usual)
-	takes, _ := table.Expect(now, "r", usual, only)
-	is.True(takes < 2*usual)
+	call(8 * typical)
+	duration, _ := table.Expect(now, "r", typical, only)
+	is.True(duration < 2*typical)
 	for range 6 {
-		call(8 * usual)
+		call(8 * typical)
 	}
-	takes, _ = table.Expect(now, "r", usual, only)
-	is.True(takes > 6*usual)
+	duration, _ = table.Expect(now, "r", typical, only)
+	is.True(duration > 6*typical)
 	for range 6 {
-		call(usual)
+		call(typical)
 	}
-	takes, _ = table.Expect(now, "r", usual, only)
-	is.True(takes < 2*usual)
+	duration, _ = table.Expect(now, "r", typical, only)
+	is.True(duration < 2*typical)
 }
 
 // The first answer may be of a request ten times as large, or as small, as the usual one.
-func TestUsualTimeIsKnownAfterAFewAnswers(t *testing.T) {
-	for _, first := range []time.Duration{usual / 6, 6 * usual} {
+func TestTypicalTimeIsKnownAfterAFewAnswers(t *testing.T) {
+	for _, first := range []time.Duration{typical / 6, 6 * typical} {
 		is := is.New(t)
 		table := New()
 		now := time.Now()
 		for i := range 30 {
-			_, c := table.Choose(now, "r", usual, []Candidate{{ID: leafID("a"), Slots: 3, Near: true, Open: true}})
-			took := usual
+			_, c := table.Choose(now, "r", typical, []Candidate{{ID: leafID("a"), Slots: 3, SameZone: true, Connected: true}})
+			elapsed := typical
 			if i == 0 {
-				took = first
+				elapsed = first
 			}
-			now = now.Add(took)
+			now = now.Add(elapsed)
 			c.End(OK, now)
 		}
-		is.True(table.Usual("r", 0) > usual/3 && table.Usual("r", 0) < 3*usual)
+		is.True(table.TypicalTime("r", 0) > typical/3 && table.TypicalTime("r", 0) < 3*typical)
 	}
 }
 
@@ -388,7 +388,7 @@
 	table := New()
 	now := time.Now()
 	for _, route := range []string{"old", "new"} {
-		_, c := table.Choose(now, route, usual, group())
+		_, c := table.Choose(now, route, typical, group())
 		now = now.Add(forgetAfter)
 		c.End(OK, now)
 	}
--- a/internal/replica/tally.go
+++ b/internal/replica/tally.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// tallyForget is the time constant by which calls are forgotten.
-	tallyForget = 4 * time.Second
-	// latelyWeight is the weight of one call in the part that failed lately. A VM that makes the calls of others
+	// tallyDecay is the time constant by which calls are forgotten.
+	tallyDecay = 4 * time.Second
+	// recentWeight is the weight of one call in the part that failed lately. A VM that makes the calls of others
 	// sees a dozen a second of each leaf; in the tally alone the good ones of the last 4 s weigh against a new
 	// failure, and a leaf that begins to lose 4 of 10 answers keeps its share of the calls for a second or more.
-	latelyWeight = 0.2
-	// tallyMost bounds the calls that rates are drawn from, so that a leaf of which many VMs told bad is
+	recentWeight = 0.2
+	// maxTallyCalls bounds the calls that rates are drawn from, so that a leaf of which many VMs told bad is
 	// tried again once nobody has called it for some 8 s.
-	tallyMost = 8
-	// toldKeep is how long what another VM told is kept, toldMost how many of them.
-	toldKeep = 10 * time.Second
-	toldMost = 64
-	// reportLeast is the least of failed and slow calls for which a leaf is told of.
-	reportLeast = 0.3
-	// reportMost bounds the leaves told of at once, the worst first.
-	reportMost = 64
+	maxTallyCalls = 8
+	// peerTallyExpiry is how long what another VM told is kept, toldMost how many of them.
+	peerTallyExpiry = 10 * time.Second
+	maxPeerTallies  = 64
+	// minTroubleCalls is the least of failed and slow calls for which a leaf is told of.
+	minTroubleCalls = 0.3
+	// maxTroubles bounds the leaves told of at once, the worst first.
+	maxTroubles = 64
 )
 
 // tally counts calls, weighted by their age.
@@ -34,24 +34,24 @@
 	at                  time.Time
 }
 
-// lately follows the part of failed, or of slow, calls over the latest few.
-type lately struct {
-	part float64
-	at   time.Time
+// recentShare follows the part of failed, or of slow, calls over the latest few.
+type recentShare struct {
+	share float64
+	at    time.Time
 }
 
 // now returns the part as it counts now.
-func (l lately) now(now time.Time) float64 { return toward(l.part, 0, now.Sub(l.at), tallyForget) }
+func (r recentShare) now(now time.Time) float64 { return decay(r.share, 0, now.Sub(r.at), tallyDecay) }
 
 // add counts one call.
-func (l *lately) add(now time.Time, bad float64) {
-	was := l.now(now)
-	*l = lately{was + latelyWeight*(bad-was), now}
+func (r *recentShare) add(now time.Time, bad float64) {
+	previous := r.now(now)
+	*r = recentShare{previous + recentWeight*(bad-previous), now}
 }
 
 // aged returns the tally as it counts now.
 func (t tally) aged(now time.Time) tally {
-	f := math.Exp(-float64(now.Sub(t.at)) / float64(tallyForget))
+	f := math.Exp(-float64(now.Sub(t.at)) / float64(tallyDecay))
 	return tally{t.calls * f, t.failed * f, t.slow * f, now}
 }
 
@@ -63,14 +63,14 @@
 	t.slow += slow
 }
 
-// seen returns what this VM itself saw of the leaf: the calls that ended, and as slow ones those in flight
+// observed returns what this VM itself saw of the leaf: the calls that ended, and as slow ones those in flight
 // that are slow already. A leaf that hangs is known from them some 400 ms before its calls are given up.
 // Requires mu.
-func (t *Table) seen(l *leaf, now time.Time) tally {
-	sum := l.own.aged(now)
-	sum.failed = max(sum.failed, l.lately.now(now)*sum.calls)
-	for c := range l.begun {
-		if r := t.routes[c.route]; r != nil && float64(now.Sub(c.begun)) > slowFrom*c.crowd*float64(r.usual) {
+func (t *Table) observed(l *leaf, now time.Time) tally {
+	sum := l.ownTally.aged(now)
+	sum.failed = max(sum.failed, l.recentFailed.now(now)*sum.calls)
+	for c := range l.inFlight {
+		if r := t.routes[c.route]; r != nil && float64(now.Sub(c.sentAt)) > slowThreshold*c.queueFactor*float64(r.typical) {
 			sum.calls++
 			sum.slow++
 		}
@@ -81,9 +81,9 @@
 // rates returns the parts of failed and of slow calls by what this VM and the others saw. One good call
 // more is assumed, so that a single bad one doesn't condemn a leaf. Requires mu.
 func (t *Table) rates(l *leaf, now time.Time) (failed, slow float64) {
-	sum := t.seen(l, now)
-	for _, t := range l.told {
-		if now.Sub(t.at) > toldKeep {
+	sum := t.observed(l, now)
+	for _, t := range l.peerTallies {
+		if now.Sub(t.at) > peerTallyExpiry {
 			continue
 		}
 		a := t.aged(now)
@@ -94,7 +94,7 @@
 	if sum.calls == 0 {
 		return 0, 0
 	}
-	weight := min(sum.calls, tallyMost) / (min(sum.calls, tallyMost) + 1)
+	weight := min(sum.calls, maxTallyCalls) / (min(sum.calls, maxTallyCalls) + 1)
 	return weight * sum.failed / sum.calls, weight * sum.slow / sum.calls
 }
 
@@ -112,7 +112,7 @@
 	defer t.mu.Unlock()
 	var out []Trouble
 	for id, l := range t.leaves {
-		if a := t.seen(l, now); a.failed+a.slow >= reportLeast {
+		if a := t.observed(l, now); a.failed+a.slow >= minTroubleCalls {
 			out = append(out, Trouble{id, a.calls, a.failed, a.slow})
 		}
 	}
@@ -122,7 +122,7 @@
 		}
 		return strings.Compare(a.Leaf.String(), b.Leaf.String())
 	})
-	return out[:min(reportMost, len(out))]
+	return out[:min(maxTroubles, len(out))]
 }
 
 // RecordPeerTroubles takes what another VM saw, in place of what it told before.
@@ -134,23 +134,23 @@
 		if l == nil {
 			continue // of no leaf that this VM has called
 		}
-		if l.told == nil {
-			l.told = make(map[string]tally)
+		if l.peerTallies == nil {
+			l.peerTallies = make(map[string]tally)
 		}
-		if _, known := l.told[vm]; !known && len(l.told) >= toldMost {
+		if _, known := l.peerTallies[vm]; !known && len(l.peerTallies) >= maxPeerTallies {
 			l.dropOldest()
 		}
-		l.told[vm] = tally{tr.Calls, tr.Failed, tr.Slow, now}
+		l.peerTallies[vm] = tally{tr.Calls, tr.Failed, tr.Slow, now}
 	}
 }
 
 // dropOldest drops what was told longest ago.
 func (l *leaf) dropOldest() {
 	oldest := ""
-	for vm, t := range l.told {
-		if oldest == "" || t.at.Before(l.told[oldest].at) {
+	for vm, t := range l.peerTallies {
+		if oldest == "" || t.at.Before(l.peerTallies[oldest].at) {
 			oldest = vm
 		}
 	}
-	delete(l.told, oldest)
+	delete(l.peerTallies, oldest)
 }
