--- a/internal/replica/cost.go
+++ b/internal/replica/cost.go
@@ -6,38 +6,39 @@
 )
 
 const (
-	// timeFactorDecay is the time constant by which a pace goes back to 1.
+	// timeFactorDecay is the time constant by which a time factor returns to 1.
 	timeFactorDecay = 4 * time.Second
-	// slowShareThreshold is the part of slow calls among the latest from which a leaf is expected to be slow again: five in
-	// a row, more than a pause strikes of one VM.
+	// slowShareThreshold is the share of slow calls among the latest from which a leaf is expected to be slow
+	// again: five in a row, more than one pause affects at one VM.
 	slowShareThreshold = 0.6
-	// slowCost is what a slow call costs in usual times: most are hedged after two to three, and what the
-	// hedge takes from the budget is missing elsewhere.
+	// slowCost is the cost of a slow call as a multiple of the typical call time. Most are hedged after two to
+	// three typical times, and the budget that a hedge uses is missing elsewhere.
 	slowCost = 6
-	// failCost is what a failed call costs in usual times: the wait for its end and for the call after
-	// it, and the extra call that is missing elsewhere then.
+	// failCost is the cost of a failed call as a multiple of the typical call time: the wait for its end and for
+	// the call after it, and the extra call that is then missing elsewhere.
 	failCost = 6
-	// maxFailRate bounds the rate of failure in a cost, which would be endless for a leaf that always fails.
+	// maxFailRate bounds the failure rate in a cost, which would be infinite for a leaf that always fails.
 	maxFailRate = 0.9
-	// loadDecay is the time constant by which a leaf's own report of its load ages.
+	// loadDecay is the time constant by which a leaf's load report ages.
 	loadDecay = 150 * time.Millisecond
-	// overdueFactor is how many times the expected time a call is in flight before its leaf is taken
-	// to be paused.
+	// overdueFactor is the multiple of the expected time after which the leaf of a call in flight is assumed to be
+	// paused.
 	overdueFactor = 2.5
-	// busyCost is the cost of a used slot, in parts of a usual time, so that an idle leaf goes first.
+	// busyCost is the cost of a used slot as a fraction of the typical call time, so that an idle leaf is
+	// preferred.
 	busyCost = 0.15
-	// otherZoneFactor is the factor of a leaf in another zone, where bytes are dear and a round trip takes a
-	// millisecond more. Leaves of a shard differ in speed by up to 1.6: one of the own zone with a
-	// free slot goes before a faster one elsewhere. One without is worth no more than the others, so that no leaf fills
-	// up while others idle.
+	// otherZoneFactor is the cost factor of a leaf in another zone, where traffic is expensive and a round trip
+	// takes a millisecond more. Leaves of a shard differ in speed by up to 1.6, so a leaf in the own zone with a
+	// free slot goes before a faster one elsewhere. A leaf in the own zone without a free slot gets the same
+	// factor as the others, so that no leaf fills up while others idle.
 	otherZoneFactor = 1.7
-	// connectCost is what opening a connection takes: a round trip, and 6 ms in which it holds a slot.
+	// connectCost is the cost of opening a connection: a round trip, and 6 ms in which it occupies a slot.
 	connectCost = 7 * time.Millisecond
-	// typicalWorkPercent is the figure by which a leaf reports that its work takes as long as usual.
+	// typicalWorkPercent is the WorkTimePercent of a leaf whose work takes the typical time.
 	typicalWorkPercent = 100
 )
 
-// cheapest returns the index of the cheapest of some candidates. Requires mu.
+// cheapest returns the index of the candidate with the lowest cost. Requires mu.
 func (t *Table) cheapest(now time.Time, typical time.Duration, candidates []Candidate) int {
 	best, lowest := 0, math.Inf(1)
 	for i, c := range candidates {
@@ -48,8 +49,8 @@
 	return best
 }
 
-// Expect returns how long a call to the cheapest of some candidates is expected to take, and by what factor that
-// is for want of a slot there.
+// Expect returns how long a call to the cheapest candidate is expected to take, and the queue factor included in
+// that time.
 func (t *Table) Expect(now time.Time, route string, estimate time.Duration, candidates []Candidate) (duration time.Duration, queueFactor float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,12 +61,13 @@
 	return l.expected(now, typical, queueFactor), queueFactor
 }
 
-// decay moves a value to its rest by the time passed.
+// decay moves a value exponentially toward its resting value according to its age.
 func decay(value, rest float64, age, constant time.Duration) float64 {
 	return rest + (value-rest)*math.Exp(-float64(age)/float64(constant))
 }
 
-// queue estimates the requests at the leaf now: the report, which ages, and our own.
+// queue estimates the number of requests at the leaf from its load report, which ages, and this VM's calls in
+// flight.
 func (l *leaf) queue(now time.Time) float64 {
 	own := float64(len(l.inFlight))
 	if l.loadAt.IsZero() {
@@ -75,7 +77,7 @@
 	return max(own, decay(reported, own, now.Sub(l.loadAt), loadDecay))
 }
 
-// expected is the time that a call to the leaf would take where it is crowded by the given factor.
+// expected returns how long a call to the leaf is expected to take with the given queue factor.
 func (l *leaf) expected(now time.Time, typical time.Duration, queueFactor float64) time.Duration {
 	factor := decay(l.timeFactor, 1, now.Sub(l.timeFactorAt), timeFactorDecay)
 	if l.recentSlow.now(now) > slowShareThreshold {
@@ -87,14 +89,14 @@
 	return time.Duration(float64(typical) * factor * queueFactor)
 }
 
-// queueFactor is how many times as long as on an idle leaf a call takes that finds the queue.
+// queueFactor returns how many times as long as on an idle leaf a call takes that finds the given queue.
 func (l *leaf) queueFactor(queue float64, c Candidate) float64 {
 	slots := float64(max(c.Slots, 1))
 	return 1 + max(0, queue+1-slots)/slots
 }
 
-// cost is the expected time, with what failures cost and how long a leaf that stands still already has.
-// Requires mu.
+// cost returns the expected time of a call, plus the cost of failures and slow calls and the time for which a
+// stalled leaf has not answered. Requires mu.
 func (t *Table) cost(l *leaf, now time.Time, typical time.Duration, c Candidate) float64 {
 	queue := l.queue(now)
 	queueFactor := l.queueFactor(queue, c)
@@ -103,7 +105,7 @@
 	fail, slow := t.rates(l, now)
 	cost += float64(typical) * (failCost*fail/(1-min(fail, maxFailRate)) + slowCost*slow)
 	if stalled := l.overdue(now); stalled > 0 {
-		cost += float64(stalled) // a leaf that stood still for so long is likely to do so as long again
+		cost += float64(stalled) // a leaf that has stalled for this long is likely to stall as long again
 	}
 	if !c.SameZone || queueFactor > 1 {
 		cost *= otherZoneFactor
@@ -114,7 +116,7 @@
 	return cost
 }
 
-// overdue is how long the oldest call has been in flight beyond its due time; 0 where none is.
+// overdue returns how long the oldest overdue call has been in flight; 0 if no call is overdue.
 func (l *leaf) overdue(now time.Time) time.Duration {
 	var longest time.Duration
 	for c := range l.inFlight {
--- a/internal/replica/learn.go
+++ b/internal/replica/learn.go
@@ -3,23 +3,25 @@
 import "time"
 
 const (
-	// timeFactorWeight is the weight of a new answer in a leaf's pace; at 12 calls a second to a leaf it follows
-	// a neighbour's load within half a second.
+	// timeFactorWeight is the weight of a new answer in a leaf's time factor. At 12 calls a second to a leaf the
+	// factor follows the load of a neighbour on the same machine within half a second.
 	timeFactorWeight = 0.2
-	// slowThreshold is the multiple of the usual time from which an answer counts as slow, and tells of its
-	// leaf's pause or trouble and not of its pace: about 1 in 1,000 answers of sound leaves takes as long.
+	// slowThreshold is the multiple of the typical time from which an answer counts as slow. A slow answer
+	// indicates a pause or fault of its leaf and does not enter the time factor. About 1 in 1,000 answers of
+	// healthy leaves takes as long.
 	slowThreshold = 3
-	// typicalStep is the part by which an answer moves the usual time of its route, up where it took longer
-	// and down where not: a search of 36 shards brings it from twice the median to it. The median, and not
-	// a mean: where one leaf in seven was nine times slower, a mean with answers counted up to slowFrom
-	// ran away to three times the median, and slow leaves no longer counted as slow.
+	// typicalStep is the fraction by which an answer moves the typical time of its route, up if it took longer and
+	// down if not. The answers to one search of 36 shards bring it from twice the median to the median. The
+	// estimate follows the median and not a mean: where one leaf in seven was nine times slower, a mean that
+	// counted answers up to slowThreshold rose to three times the median, and slow leaves no longer counted as
+	// slow.
 	typicalStep = 0.02
-	// maxTypicalStep bounds the steps of the first answers, which are larger: the very first one may be of a small
-	// request, or of one that found a pause.
+	// maxTypicalStep bounds the steps of the first answers, which are larger, because the very first answer may be
+	// that of a small request or of one that met a pause.
 	maxTypicalStep = 0.2
 )
 
-// End ends the call; only the first result counts.
+// End ends the call. Only the first result counts.
 func (c *Call) End(r Result, now time.Time) {
 	c.t.mu.Lock()
 	defer c.t.mu.Unlock()
@@ -55,7 +57,7 @@
 	l.recentSlow.add(now, slow)
 }
 
-// countSlow counts a call that took so many times as long as usual.
+// countSlow counts a call that took ratio times the typical time.
 func (l *leaf) countSlow(now time.Time, ratio float64) {
 	if l.slowFactor == 0 {
 		l.slowFactor = ratio
@@ -64,8 +66,8 @@
 	l.count(now, 0, 1)
 }
 
-// learn takes the time of an answer into the leaf's pace and the route's usual time, less what the wait for a slot
-// took: a usual time that grows with the queues counted them twice, and after a burst the time expected was ten
+// learn updates the leaf's time factor and the route's typical time with the time of an answer, less the wait for
+// a slot. A typical time that included the wait counted queues twice: after a burst the expected time was ten
 // times the real one. Requires mu.
 func (t *Table) learn(l *leaf, c *Call, elapsed time.Duration, now time.Time) {
 	elapsed = time.Duration(float64(elapsed) / c.queueFactor)
@@ -87,8 +89,8 @@
 	l.timeFactor, l.timeFactorAt = previous+timeFactorWeight*(ratio-previous), now
 }
 
-// step moves the usual time toward the median of the times that calls take. A route without an answer so far has
-// none to move.
+// step moves the typical time toward the median of the call times. It does nothing for a route without an answer
+// so far.
 func (r *routeTime) step(elapsed time.Duration, now time.Time) {
 	if r == nil {
 		return
--- a/internal/replica/looks_test.go
+++ b/internal/replica/looks_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-// Overdue tells whether the leaf seems to stand still.
+// Overdue reports whether the leaf has an overdue call.
 func (t *Table) Overdue(id catalog.LeafID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replica/mute.go
+++ b/internal/replica/mute.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// unresponsiveAfter is for how long a leaf gives no answer to any call until it counts as mute: twice its usual
+	// unresponsiveAfter is how long a leaf answers no call before it counts as unresponsive: twice its typical
 	// pause of 200 ms.
 	unresponsiveAfter = 400 * time.Millisecond
-	// unresponsiveMinCalls is how many calls at least have stayed without an answer then, so that a single lost one isn't
-	// taken for a mute leaf.
+	// unresponsiveMinCalls is the minimum number of unanswered calls, so that a single lost call does not make a
+	// leaf unresponsive.
 	unresponsiveMinCalls = 2
-	// unresponsiveKeep is how long after its latest call a leaf counts as mute where none is in flight any more. Calls go
-	// to one leaf of a shard after the other by their cost, and come back to it after a second or two.
+	// unresponsiveKeep is how long after its latest call a leaf without calls in flight still counts as
+	// unresponsive. Calls go to the leaves of a shard in turn by cost and return to a leaf after a second or two.
 	unresponsiveKeep = 3 * time.Second
 )
 
-// silence follows how long a leaf, and the way to it, has been without a sign of life while calls wait.
+// silence tracks how long a leaf, or the network path to it, has not responded while calls wait.
 type silence struct {
-	// calls begun since its latest answer, the first of them at since, the latest at latest.
+	// calls counts the calls sent since the latest response; the first was sent at since, the latest at latest.
 	calls         int
 	since, latest time.Time
 }
@@ -33,9 +33,9 @@
 	s.latest = now
 }
 
-// end takes the end of a call. What fails soon has been answered, if only by a reset of its connection; what was
-// given up, or failed by the silence of its connection, or found no way to the leaf or nothing that listens there,
-// has not.
+// end updates the state with the end of a call. A call that fails quickly counts as a response, even if it is only
+// a reset of its connection. A call that was abandoned, that failed because its connection went silent, or that
+// found no path to the leaf or no listener at its address does not.
 func (s *silence) end(r Result, elapsed time.Duration) {
 	switch {
 	case r == OK, r == Refused, r == Failed && elapsed < unresponsiveAfter:
@@ -45,8 +45,8 @@
 	}
 }
 
-// UnresponsiveFor returns for how long the leaf has given no sign of life while calls waited for one; 0 where it isn't
-// taken for mute.
+// UnresponsiveFor returns how long the leaf has not responded while calls waited for it; 0 if it does not count as
+// unresponsive.
 func (t *Table) UnresponsiveFor(id catalog.LeafID, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replica/mute_test.go
+++ b/internal/replica/mute_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A leaf is mute once two calls or more have waited for longer than a pause lasts and nothing came back, and for
-// half a second after the latest call; any sign of life ends that.
+// A leaf counts as unresponsive once two or more calls have waited longer than a pause lasts without any response,
+// and until unresponsiveKeep after the latest call. Any response ends that.
 func TestUnresponsive(t *testing.T) {
 	const late = 433 * time.Millisecond // when an abandoned call ends
 	type end func(c []*Call, start time.Time)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica learns from their answers how fast and how sound leaves are, and chooses the leaf of
-// a call. It is pure: the time is passed in, and no transport is known.
+// Package replica estimates from past calls how fast and how reliable leaves are, and selects the leaf for a call.
+// It performs no I/O: callers pass the time in, and it does not depend on a transport.
 package replica
 
 import (
@@ -9,80 +9,85 @@
 	"github.com/burdockplank/burdockplank/internal/catalog"
 )
 
-// warmUpFactor is the pace of a leaf in its warm-up before it has answered.
+// warmUpFactor is the time factor of a leaf in its warm-up before it has answered.
 const warmUpFactor = 1.6
 
 // Result says how a call ended.
 type Result int
 
-// The results of a call.
+// Results of a call.
 const (
 	// OK is a usable answer.
 	OK Result = iota
-	// Refused is an answer that the request was not run.
+	// Refused is an answer that says that the request was not run.
 	Refused
-	// Failed is a failure, a spoiled answer or a lost connection.
+	// Failed is a failure response, an invalid answer or a lost connection.
 	Failed
-	// Late is a call that was given up after it took far longer than usual.
+	// Late is a call that was abandoned after it took far longer than typical.
 	Late
-	// Unreachable is a call for which no connection could be opened, and nobody refused it either.
+	// Unreachable is a call for which no connection could be opened, although none was refused.
 	Unreachable
-	// ConnectRefused is a call for which the leaf's address refused a connection, as after a crash or beyond a cut.
+	// ConnectRefused is a call for which the leaf's address refused a connection, as after a crash or across a
+	// network partition.
 	ConnectRefused
-	// Neutral says nothing of the leaf, such as a call that its caller gave up.
+	// Neutral says nothing about the leaf, such as a call that its caller abandoned.
 	Neutral
 )
 
-// Load is a leaf's own report.
+// Load is a leaf's report of its own load.
 type Load struct {
 	Running, Waiting, Slots int
-	// WorkTimePercent is how long work takes at the leaf at this moment, 100 for as usual; 0 where not reported.
+	// WorkTimePercent is how long work currently takes at the leaf, in percent of the typical time; 0 if not
+	// reported.
 	WorkTimePercent int
 }
 
-// Candidate is a leaf that may be chosen.
+// Candidate is a leaf that may be selected.
 type Candidate struct {
 	ID    catalog.LeafID
 	Slots int
 	// WarmingUp is set while the leaf is in its warm-up.
 	WarmingUp bool
-	// SameZone is set where the leaf is in the availability zone of this VM.
+	// SameZone is set if the leaf is in the availability zone of this VM.
 	SameZone bool
-	// Connected is set where a connection to the leaf is open.
+	// Connected is set if a connection to the leaf is open.
 	Connected bool
 }
 
-// Table keeps what was learned. It is safe for concurrent use.
+// Table holds the statistics of leaves and routes. It is safe for concurrent use.
 type Table struct {
 	mu sync.Mutex
-	// leaves by id, and times by route; guarded by mu.
+	// leaves are keyed by id and routes by name; guarded by mu.
 	leaves map[catalog.LeafID]*leaf
 	routes map[string]*routeTime
 }
 
-// routeTime is the usual time of a call of a route.
+// routeTime is the typical call time of a route.
 type routeTime struct {
 	typical time.Duration
-	// answers counts those that it was moved by; seen is when the latest of them came.
+	// answers counts the answers that have moved the typical time; lastUpdate is when the latest call moved it.
 	answers    int
 	lastUpdate time.Time
 }
 
 type leaf struct {
+	// timeFactor is how long a call takes at the leaf without a queue, as a multiple of the typical time.
 	timeFactor   float64
 	timeFactorAt time.Time
-	// ownTally counts this VM's calls, lately follows the latest of them, told counts those of others by VM.
+	// ownTally counts this VM's calls, recentFailed is the share of failures among its latest calls, and
+	// peerTallies counts the calls of other VMs by VM.
 	ownTally     tally
 	recentFailed recentShare
-	// recentSlow follows the part of slow ones, and slowPace how slow these are, as a multiple of the usual time.
+	// recentSlow is the share of slow calls among the latest, and slowFactor how long slow calls take, as a
+	// multiple of the typical time.
 	recentSlow  recentShare
 	slowFactor  float64
 	peerTallies map[string]tally
 	load        Load
 	loadAt      time.Time
-	// silence follows calls that stay without an answer.
+	// silence tracks calls that stay unanswered.
 	silence silence
-	// inFlight are the starts of the calls in flight, with the time expected of each.
+	// inFlight holds the calls in flight.
 	inFlight      map[*Call]struct{}
 	lastCandidate time.Time
 }
@@ -94,17 +99,18 @@
 	route    string
 	sentAt   time.Time
 	expected time.Duration
-	// queueFactor is how many times as long as on an idle leaf the call was expected to take for want of a slot.
+	// queueFactor is how many times as long as on an idle leaf the call was expected to take because it waits for
+	// a slot.
 	queueFactor float64
 	ended       bool
 }
 
-// New returns a table that has learned nothing.
+// New returns an empty table.
 func New() *Table {
 	return &Table{leaves: make(map[catalog.LeafID]*leaf), routes: make(map[string]*routeTime)}
 }
 
-// TypicalTime returns the usual time of a call of the route, first guessed as the given time.
+// TypicalTime returns the typical call time of the route, or the estimate if no call has been measured yet.
 func (t *Table) TypicalTime(route string, estimate time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +124,7 @@
 	return estimate
 }
 
-// leaf requires mu.
+// leaf returns the entry of the candidate and creates it if necessary. Requires mu.
 func (t *Table) leaf(c Candidate, now time.Time) *leaf {
 	l := t.leaves[c.ID]
 	if l == nil {
@@ -132,7 +138,7 @@
 	return l
 }
 
-// Choose returns the index of the cheapest candidate and begins a call to it; -1 where there is none.
+// Choose returns the index of the cheapest candidate and starts a call to it; -1 if there are no candidates.
 func (t *Table) Choose(now time.Time, route string, estimate time.Duration, candidates []Candidate) (int, *Call) {
 	if len(candidates) == 0 {
 		return -1, nil
@@ -149,7 +155,7 @@
 	return best, call
 }
 
-// InFlight returns how many calls are in flight.
+// InFlight returns the number of calls in flight.
 func (t *Table) InFlight() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,7 +166,7 @@
 	return n
 }
 
-// Report takes a leaf's own report of its load.
+// Report stores a leaf's report of its own load.
 func (t *Table) Report(id catalog.LeafID, load Load, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,16 +175,17 @@
 	}
 }
 
-// Elapsed returns for how long the call has gone on.
+// Elapsed returns the time since the call was sent.
 func (c *Call) Elapsed(now time.Time) time.Duration { return now.Sub(c.sentAt) }
 
-// Expected returns the time that the call was expected to take.
+// Expected returns how long the call was expected to take.
 func (c *Call) Expected() time.Duration { return c.expected }
 
-// forgetAfter is how long a leaf is kept that is no candidate any more, and a route without an answer.
+// forgetAfter is how long a leaf is kept after it was last a candidate, and a route after its last answer.
 const forgetAfter = 2 * time.Minute
 
-// Forget drops leaves that were no candidate for long, and routes without an answer for as long.
+// Forget drops leaves that have not been candidates, and routes that have had no answer, for forgetAfter. Leaves
+// with calls in flight are kept.
 func (t *Table) Forget(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -15,12 +15,12 @@
 
 func leafID(name string) catalog.LeafID { return catalog.LeafID{Name: name} }
 
-// group is three replicas of a shard, of 3 slots each.
+// group returns three replicas of a shard with 3 slots each.
 func group() []Candidate {
 	return []Candidate{{ID: leafID("a"), Slots: 3, SameZone: true, Connected: true}, {ID: leafID("b"), Slots: 3, Connected: true}, {ID: leafID("c"), Slots: 3, Connected: true}}
 }
 
-// answer makes a call to the chosen leaf that takes as long as given for it.
+// answer makes a call that takes as long as given for the chosen leaf, and returns the name of the leaf.
 func answer(t *Table, now time.Time, elapsed func(id string) (time.Duration, Result)) string {
 	candidates := group()
 	i, call := t.Choose(now, "r", typical, candidates)
@@ -29,7 +29,7 @@
 	return candidates[i].ID.Name
 }
 
-// share returns the part of n calls, 20 ms apart, that goes to the leaf.
+// share returns the share of n calls, 20 ms apart, that goes to the leaf.
 func share(t *Table, now *time.Time, n int, id string, elapsed func(id string) (time.Duration, Result)) float64 {
 	hits := 0
 	for range n {
@@ -49,8 +49,9 @@
 	is.True(share(New(), &now, 50, "a", typicalAnswer) > 0.9)
 }
 
-// A leaf of the own zone that is a third slower than usual goes before one elsewhere that is a fifth faster: the
-// search waits for pauses and queues longer than for that, and its bytes stay in the zone. One twice as slow doesn't.
+// A leaf in the own zone that is a third slower than typical is preferred to one in another zone that is a fifth
+// faster: a search waits longer for pauses and queues than for this difference, and its traffic stays in the zone.
+// A leaf that is twice as slow is not preferred.
 func TestSlowerSameZoneLeafIsPreferred(t *testing.T) {
 	for name, tt := range map[string]struct {
 		factor float64
@@ -59,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now, table := time.Now(), New()
-			for range 200 { // each is called in turn, so that its pace is known
+			for range 200 { // each is called in turn, so that its time factor is known
 				for _, c := range group() {
 					_, call := table.Choose(now, "r", typical, []Candidate{c})
 					elapsed := time.Duration(0.8 * float64(typical))
@@ -81,7 +82,7 @@
 	table := New()
 	now := time.Now()
 	seen := make(map[string]int)
-	for range 9 { // all in flight at once, as many as there are slots
+	for range 9 { // all in flight together, as many as there are slots
 		candidates := group()
 		i, _ := table.Choose(now, "r", typical, candidates)
 		seen[candidates[i].ID.Name]++
@@ -91,7 +92,7 @@
 	is.Equal(seen["c"], 3)
 }
 
-// A leaf that works several times slower, such as one short of memory, loses its calls after a few.
+// A leaf that is several times slower, for example because it is short of memory, loses its calls after a few.
 func TestSlowLeafIsAvoided(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -105,10 +106,10 @@
 	}
 	is.True(share(table, &now, 100, "a", slow) < 0.1)
 	now = now.Add(20 * time.Second)
-	is.True(share(table, &now, 100, "a", typicalAnswer) > 0.5) // and is back once it is well again
+	is.True(share(table, &now, 100, "a", typicalAnswer) > 0.5) // and is used again after it has recovered
 }
 
-// Where most leaves refuse part of their calls, the one that doesn't gets nearly all.
+// If most leaves refuse some of their calls, the leaf that does not gets nearly all.
 func TestRefusingLeavesAreAvoided(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -124,7 +125,7 @@
 	is.True(share(table, &now, 200, "c", refusing) > 0.8)
 }
 
-// One call that a pause holds up says little of the calls after it.
+// One call that is delayed by a pause says little about later calls.
 func TestPausedLeafIsTriedAgain(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -136,16 +137,16 @@
 	is.True(table.Overdue(leafID("a"), during))
 	candidates := group()
 	i, other := table.Choose(during, "r", typical, candidates)
-	is.True(candidates[i].ID.Name != "a") // while it stands still the others are asked
+	is.True(candidates[i].ID.Name != "a") // while it is paused the others are called
 	other.End(OK, during.Add(typical))
 	now = now.Add(200 * time.Millisecond)
 	call.End(OK, now)
 	is.True(!table.Overdue(leafID("a"), now))
 	costs := table.Costs(now, "r", typical, group())
-	is.True(costs[0] < 1.3*costs[1]) // it is only little behind, as all leaves pause at times
+	is.True(costs[0] < 1.3*costs[1]) // its cost is only slightly higher, as all leaves pause at times
 }
 
-// A VM that has not met the trouble of a leaf itself goes around it by what the others say.
+// A VM that has not seen the failures of a leaf itself avoids it according to the reports of the others.
 func TestPeerTroubles(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -199,7 +200,7 @@
 	is.Equal(len(table.leaves), 3)
 }
 
-// A leaf that reports a neighbour's load is passed over while the report is fresh.
+// A leaf that reports load by a neighbour on its machine is avoided while the report is recent.
 func TestReportedNeighbourLoad(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -232,14 +233,14 @@
 	answer(table, now, typicalAnswer)
 	_, call := table.Choose(now, "r", typical, []Candidate{{ID: leafID("busy"), Slots: 1}})
 	table.Forget(now.Add(forgetAfter + time.Second))
-	is.Equal(len(table.leaves), 1) // a call is in flight there
+	is.Equal(len(table.leaves), 1) // this leaf has a call in flight
 	call.End(OK, now)
 	table.Forget(now.Add(forgetAfter + time.Second))
 	is.Equal(len(table.leaves), 0)
 }
 
-// TestSlowLeavesDoNotMoveTheTypicalTime sends each search to four shards of which one has only slow leaves
-// left. The usual time stays that of the others, and the slow shard's leaf goes on counting as slow.
+// Each search goes to four shards, one of which has only slow leaves left. The typical time must stay that of the
+// other shards, and the slow leaf must still count as slow.
 func TestSlowLeavesDoNotMoveTheTypicalTime(t *testing.T) {
 	is := is.New(t)
 	table, now := New(), time.Now()
@@ -260,12 +261,12 @@
 	is.Equal(troubles[0].Leaf.Name, "slow")
 }
 
-// TestHangingCallsAreToldBeforeTheyEnd has three calls at a leaf that answers none. The other VMs hear of
-// it once the calls are slow, not when they are given up.
+// A leaf answers none of three calls. The other VMs must be notified once the calls are slow, not only when they
+// are abandoned.
 func TestHangingCallsAreToldBeforeTheyEnd(t *testing.T) {
 	is := is.New(t)
 	table, now := New(), time.Now()
-	for range 100 { // the typical time is known
+	for range 100 { // so that the typical time is known
 		_, call := table.Choose(now, "r", typical, []Candidate{{ID: leafID("well"), Slots: 4, SameZone: true, Connected: true}})
 		call.End(OK, now.Add(typical))
 	}
@@ -285,9 +286,9 @@
 	is.True(after[0].Slow > 2.9 && after[0].Slow <= 3)
 }
 
-// A leaf that answered many calls well and begins to lose 4 of 10 answers is gone around after a few: a VM
-// that makes the calls of many others sees 13 calls a second of each leaf, of which the good ones of the last
-// seconds must not outweigh what it sees now.
+// A leaf that answered many calls and starts to lose 4 of 10 answers must be avoided after a few failures. A VM
+// that makes the calls of many others sends 13 calls a second to each leaf, and the successes of the last seconds
+// must not outweigh the current failures.
 func TestFailuresAfterManyGoodCalls(t *testing.T) {
 	is := is.New(t)
 	calls := 0
@@ -308,8 +309,8 @@
 	is.True(calls < 8*runs)
 }
 
-// In a burst each call waits for four others, and takes five times as long. That is the queue's doing: what a call
-// takes by itself stays known, so that with the queue's end the expected time is the real one again.
+// In a burst each call waits for four others and takes five times as long. The queue causes this, so the time of a
+// call without a queue must stay known and the expected time must be correct once the queue is gone.
 func TestQueuesAreNotCountedTwice(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -327,14 +328,14 @@
 	}
 	for i := range 200 {
 		expected := call(Load{Running: 3, Waiting: 12, Slots: 3}, 5*typical)
-		is.True(i == 0 || expected > 3*typical && expected < 7*typical) // 20 times after a while, where both count
+		is.True(i == 0 || expected > 3*typical && expected < 7*typical) // it rises to 20 times if queues count twice
 	}
 	is.True(table.TypicalTime("r", 0) < typical*3/2)
 	now = now.Add(time.Second)
 	is.True(call(Load{Running: 1, Slots: 3}, typical) < 2*typical)
 }
 
-// A leaf all of whose calls are slow is expected to be slow, and one that has paused isn't.
+// A leaf whose calls are all slow is expected to be slow; one that has paused is not.
 func TestSlowLeafIsExpectedToBeSlow(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -363,7 +364,7 @@
 	is.True(duration < 2*typical)
 }
 
-// The first answer may be of a request ten times as large, or as small, as the usual one.
+// The first answer may belong to a request ten times as large, or as small, as a typical one.
 func TestTypicalTimeIsKnownAfterAFewAnswers(t *testing.T) {
 	for _, first := range []time.Duration{typical / 6, 6 * typical} {
 		is := is.New(t)
@@ -382,7 +383,7 @@
 	}
 }
 
-// Routes that got no answer for long are dropped like leaves, for names change with each version.
+// Routes without an answer for a long time are dropped like leaves, because names change with each version.
 func TestOldRoutesAreForgotten(t *testing.T) {
 	is := is.New(t)
 	table := New()
--- a/internal/replica/tally.go
+++ b/internal/replica/tally.go
@@ -12,19 +12,20 @@
 const (
 	// tallyDecay is the time constant by which calls are forgotten.
 	tallyDecay = 4 * time.Second
-	// recentWeight is the weight of one call in the part that failed lately. A VM that makes the calls of others
-	// sees a dozen a second of each leaf; in the tally alone the good ones of the last 4 s weigh against a new
-	// failure, and a leaf that begins to lose 4 of 10 answers keeps its share of the calls for a second or more.
+	// recentWeight is the weight of one call in the recent share of failures. A VM that makes the calls of others
+	// sends a dozen a second to each leaf. In the tally alone the successful calls of the last 4 s outweigh a new
+	// failure, and a leaf that starts to lose 4 of 10 answers keeps its share of the calls for a second or more.
 	recentWeight = 0.2
-	// maxTallyCalls bounds the calls that rates are drawn from, so that a leaf of which many VMs told bad is
-	// tried again once nobody has called it for some 8 s.
+	// maxTallyCalls bounds the calls that enter a rate, so that a leaf that many VMs reported as bad is tried
+	// again once nobody has called it for about 8 s.
 	maxTallyCalls = 8
-	// peerTallyExpiry is how long what another VM told is kept, toldMost how many of them.
+	// peerTallyExpiry is how long the report of another VM is kept, and maxPeerTallies how many are kept for each
+	// leaf.
 	peerTallyExpiry = 10 * time.Second
 	maxPeerTallies  = 64
-	// minTroubleCalls is the least of failed and slow calls for which a leaf is told of.
+	// minTroubleCalls is the minimum of failed and slow calls for which a leaf is reported.
 	minTroubleCalls = 0.3
-	// maxTroubles bounds the leaves told of at once, the worst first.
+	// maxTroubles bounds the leaves in a report; the worst leaves come first.
 	maxTroubles = 64
 )
 
@@ -34,13 +35,13 @@
 	at                  time.Time
 }
 
-// recentShare follows the part of failed, or of slow, calls over the latest few.
+// recentShare is the moving average of the share of failed, or of slow, calls.
 type recentShare struct {
 	share float64
 	at    time.Time
 }
 
-// now returns the part as it counts now.
+// now returns the share, decayed to the given time.
 func (r recentShare) now(now time.Time) float64 { return decay(r.share, 0, now.Sub(r.at), tallyDecay) }
 
 // add counts one call.
@@ -49,7 +50,7 @@
 	*r = recentShare{previous + recentWeight*(bad-previous), now}
 }
 
-// aged returns the tally as it counts now.
+// aged returns the tally, decayed to the given time.
 func (t tally) aged(now time.Time) tally {
 	f := math.Exp(-float64(now.Sub(t.at)) / float64(tallyDecay))
 	return tally{t.calls * f, t.failed * f, t.slow * f, now}
@@ -63,8 +64,8 @@
 	t.slow += slow
 }
 
-// observed returns what this VM itself saw of the leaf: the calls that ended, and as slow ones those in flight
-// that are slow already. A leaf that hangs is known from them some 400 ms before its calls are given up.
+// observed returns what this VM itself observed of the leaf: the calls that ended and, as slow calls, those in
+// flight that are already slow. The latter reveal a leaf that hangs about 400 ms before its calls are abandoned.
 // Requires mu.
 func (t *Table) observed(l *leaf, now time.Time) tally {
 	sum := l.ownTally.aged(now)
@@ -78,8 +79,8 @@
 	return sum
 }
 
-// rates returns the parts of failed and of slow calls by what this VM and the others saw. One good call
-// more is assumed, so that a single bad one doesn't condemn a leaf. Requires mu.
+// rates returns the shares of failed and of slow calls as observed by this VM and the others. One additional
+// successful call is assumed, so that a single bad call does not rule out a leaf. Requires mu.
 func (t *Table) rates(l *leaf, now time.Time) (failed, slow float64) {
 	sum := t.observed(l, now)
 	for _, t := range l.peerTallies {
@@ -98,15 +99,15 @@
 	return weight * sum.failed / sum.calls, weight * sum.slow / sum.calls
 }
 
-// Trouble is what a VM saw of a leaf with failed or slow calls: a VM that sees few calls of each leaf
-// learns from the others which ones to go around.
+// Trouble is one VM's observation of a leaf with failed or slow calls. A VM that sends few calls to each leaf
+// learns from the others which leaves to avoid.
 type Trouble struct {
 	Leaf catalog.LeafID
-	// Calls, and Failed and Slow among them, weighted by their age.
+	// Calls, and the Failed and Slow ones among them, weighted by their age.
 	Calls, Failed, Slow float64
 }
 
-// Troubles returns what this VM itself saw of leaves in trouble, the worst first.
+// Troubles returns the leaves with failed or slow calls that this VM itself observed, the worst first.
 func (t *Table) Troubles(now time.Time) []Trouble {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,14 +126,14 @@
 	return out[:min(maxTroubles, len(out))]
 }
 
-// RecordPeerTroubles takes what another VM saw, in place of what it told before.
+// RecordPeerTroubles stores the observations of another VM in place of its earlier ones.
 func (t *Table) RecordPeerTroubles(vm string, list []Trouble, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, tr := range list {
 		l := t.leaves[tr.Leaf]
 		if l == nil {
-			continue // of no leaf that this VM has called
+			continue // this VM has not called the leaf
 		}
 		if l.peerTallies == nil {
 			l.peerTallies = make(map[string]tally)
@@ -144,7 +145,7 @@
 	}
 }
 
-// dropOldest drops what was told longest ago.
+// dropOldest drops the oldest peer tally.
 func (l *leaf) dropOldest() {
 	oldest := ""
 	for vm, t := range l.peerTallies {
