--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -163,7 +163,7 @@
 	case r.takeExtraCall(g, urgency):
 		r.trace.Repeats++
 		r.launch(i, candidates)
-	case !r.route.Search() && !r.e.budgets.Comes(g.service, urgency, r.softDeadline.Sub(now)):
+	case !r.route.Search() && !r.e.budgets.AvailableWithin(g.service, urgency, r.softDeadline.Sub(now)):
 		r.failGroup(g, ReasonNoBudget)
 	}
 }
@@ -173,7 +173,7 @@
 	if r.e.budgets.Take(g.service, u) {
 		return true
 	}
-	if u != retrybudget.Waiting && !g.denied {
+	if u != retrybudget.Deferrable && !g.denied {
 		g.denied = true
 		r.trace.Denied++
 	}
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -109,7 +109,7 @@
 	case r.route.Search() && !now.Before(r.softDeadline), now.Before(g.sentAt.Add(time.Duration(hedgeFactor * float64(g.expectedTime)))):
 		return retrybudget.Optional
 	case now.Before(latest):
-		return retrybudget.Waiting
+		return retrybudget.Deferrable
 	}
 	return retrybudget.Needed
 }
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// ratioUsed is the part of the allowed ratio that is used: what a window's edge cuts off of its
+	// ratioFraction is the part of the allowed ratio that is used: what a window's edge cuts off of its
 	// requests is given away beforehand.
-	ratioUsed = 0.95
-	// slackUsed is the part of the allowed slack that is used. The rest is for VMs that start anew with
+	ratioFraction = 0.95
+	// slackFraction is the part of the allowed slack that is used. The rest is for VMs that start anew with
 	// nothing spent while what they spent before still counts.
-	slackUsed = 0.7
-	// waitingPart and optionalPart are the parts of what is allowed that extra calls of these urgencies
+	slackFraction = 0.7
+	// deferrableShare and optionalPart are the parts of what is allowed that extra calls of these urgencies
 	// may use. Where many leaves refuse, a budget that serves all alike is spent on searches that can do without,
 	// and is missing where the one call makes the difference between an answer and none.
-	waitingPart  = 0.75
-	optionalPart = 0.5
-	// freshPart is the part of what is allowed that a process uses in its first window: what it spent
+	deferrableShare = 0.75
+	optionalShare   = 0.5
+	// firstWindowShare is the part of what is allowed that a process uses in its first window: what it spent
 	// before its start still counts, and nobody remembers it: where all VMs are killed in an overload, both windows
 	// together may not exceed what is allowed.
-	freshPart = 0.5
-	// spans is how many spans a window is counted in; a window is at most one span too long.
-	spans = 20
+	firstWindowShare = 0.5
+	// spansPerWindow is how many spans a window is counted in; a window is at most one span too long.
+	spansPerWindow = 20
 )
 
 // Urgency says how much depends on an extra call.
@@ -37,18 +37,18 @@
 	// Optional: the request is answered in time without it, or is late already.
 	Optional Urgency = iota
 	// Waiting: it is needed, but a little later would do.
-	Waiting
+	Deferrable
 	// Needed: without it now the request isn't answered in time.
 	Needed
 )
 
-// part returns the part of what is allowed that may be used.
-func (u Urgency) part() float64 {
+// share returns the part of what is allowed that may be used.
+func (u Urgency) share() float64 {
 	switch u {
 	case Optional:
-		return optionalPart
-	case Waiting:
-		return waitingPart
+		return optionalShare
+	case Deferrable:
+		return deferrableShare
 	}
 	return 1
 }
@@ -68,110 +68,110 @@
 	start time.Time
 
 	mu sync.Mutex
-	// part of the fleet's slack that this VM may use of each service, and counts by service; guarded by mu.
-	part     func(service string) float64
+	// share of the fleet's slack that this VM may use of each service, and counts by service; guarded by mu.
+	share    func(service string) float64
 	services map[string]*counts
 }
 
 // counts of one service in the latest spans, by the number of the span.
 type counts struct {
-	at              [spans + 1]int64
-	requests, extra [spans + 1]int
-	// used is the number of the latest span with a request or an extra call.
-	used int64
+	number          [spansPerWindow + 1]int64
+	requests, extra [spansPerWindow + 1]int
+	// lastUsed is the number of the latest span with a request or an extra call.
+	lastUsed int64
 }
 
 // New returns budgets of a fleet of one in which nothing was spent.
 func New(l Limit, clock func() time.Time) *Budgets {
-	return &Budgets{limit: l, clock: clock, start: clock(), part: func(string) float64 { return 1 }, services: make(map[string]*counts)}
+	return &Budgets{limit: l, clock: clock, start: clock(), share: func(string) float64 { return 1 }, services: make(map[string]*counts)}
 }
 
 // SetShare tells which part of a service's slack this VM may use; the parts of all VMs are to be 1 together.
-func (b *Budgets) SetShare(part func(service string) float64) {
+func (b *Budgets) SetShare(share func(service string) float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.part = part
-	b.forget()
+	b.share = share
+	b.dropIdle()
 }
 
-// forget drops services without a request for two windows, such as those of an older set of shards.
+// dropIdle drops services without a request for two windows, such as those of an older set of shards.
 // Requires mu.
-func (b *Budgets) forget() {
+func (b *Budgets) dropIdle() {
 	number, _ := b.span()
 	for name, c := range b.services {
-		if c.used < number-2*spans {
+		if c.lastUsed < number-2*spansPerWindow {
 			delete(b.services, name)
 		}
 	}
 }
 
 // span returns the number of the span that runs, and its place. Requires mu.
-func (b *Budgets) span() (number int64, place int) {
+func (b *Budgets) span() (number int64, index int) {
 	number = b.spanAt(b.clock())
-	return number, int(number % (spans + 1))
+	return number, int(number % (spansPerWindow + 1))
 }
 
 // spanAt returns the number of the span at the time.
 func (b *Budgets) spanAt(at time.Time) int64 {
-	return int64(at.Sub(b.start) * spans / max(b.limit.Window, spans))
+	return int64(at.Sub(b.start) * spansPerWindow / max(b.limit.Window, spansPerWindow))
 }
 
-// of returns the counts of the service with the span that runs cleared of older ones. Requires mu.
-func (b *Budgets) of(service string) (c *counts, number int64, place int) {
-	number, place = b.span()
+// countsOf returns the counts of the service with the span that runs cleared of older ones. Requires mu.
+func (b *Budgets) countsOf(service string) (c *counts, number int64, index int) {
+	number, index = b.span()
 	c = b.services[service]
 	if c == nil {
 		c = new(counts)
 		b.services[service] = c
 	}
-	if c.at[place] != number {
-		c.at[place], c.requests[place], c.extra[place] = number, 0, 0
+	if c.number[index] != number {
+		c.number[index], c.requests[index], c.extra[index] = number, 0, 0
 	}
-	return c, number, place
+	return c, number, index
 }
 
 // Request counts a request to the service.
 func (b *Budgets) Request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, number, place := b.of(service)
-	c.used = number
-	c.requests[place]++
+	c, number, index := b.countsOf(service)
+	c.lastUsed = number
+	c.requests[index]++
 }
 
 // Take takes an extra call of the service, or refuses. A less urgent one is refused sooner.
 func (b *Budgets) Take(service string, u Urgency) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, number, place := b.of(service)
-	if !b.fits(service, u, c, number) {
+	c, number, index := b.countsOf(service)
+	if !b.allows(service, u, c, number) {
 		return false
 	}
-	c.used = number
-	c.extra[place]++
+	c.lastUsed = number
+	c.extra[index]++
 	return true
 }
 
-// Comes tells whether an extra call of the service that is refused now will be allowed within the time, by what
+// AvailableWithin tells whether an extra call of the service that is refused now will be allowed within the time, by what
 // the window forgets until then. What requests that come meanwhile would bring isn't counted: a VM that sees one
 // in some seconds would wait for them in vain.
-func (b *Budgets) Comes(service string, u Urgency, within time.Duration) bool {
+func (b *Budgets) AvailableWithin(service string, u Urgency, within time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, number, _ := b.of(service)
-	until := b.spanAt(b.clock().Add(within))
-	for later := number; later <= until; later++ {
-		if b.fits(service, u, c, later) {
+	c, number, _ := b.countsOf(service)
+	last := b.spanAt(b.clock().Add(within))
+	for span := number; span <= last; span++ {
+		if b.allows(service, u, c, span) {
 			return true
 		}
 	}
 	return false
 }
 
-// fits tells whether one extra call more is allowed in the span with the number; the first always is. Requires mu.
-func (b *Budgets) fits(service string, u Urgency, c *counts, number int64) bool {
+// allows tells whether one extra call more is allowed in the span with the number; the first always is. Requires mu.
+func (b *Budgets) allows(service string, u Urgency, c *counts, number int64) bool {
 	allowed, spent := b.allowed(service, c, number)
-	return float64(spent+1) <= max(allowed*u.part(), 1)
+	return float64(spent+1) <= max(allowed*u.share(), 1)
 }
 
 // allowed returns how many extra calls the window allows in the span with the number, and how many were spent in
@@ -179,18 +179,18 @@
 // Requires mu.
 func (b *Budgets) allowed(service string, c *counts, number int64) (allowed float64, spent int) {
 	requests := 0
-	for i, at := range c.at {
-		age := number - at
-		if age <= spans {
+	for i, counted := range c.number {
+		age := number - counted
+		if age <= spansPerWindow {
 			spent += c.extra[i]
 		}
-		if age < spans {
+		if age < spansPerWindow {
 			requests += c.requests[i]
 		}
 	}
-	allowed = b.limit.Ratio*ratioUsed*float64(requests) + b.limit.Slack*slackUsed*b.part(service)
-	if number < spans {
-		allowed *= freshPart
+	allowed = b.limit.Ratio*ratioFraction*float64(requests) + b.limit.Slack*slackFraction*b.share(service)
+	if number < spansPerWindow {
+		allowed *= firstWindowShare
 	}
 	return allowed, spent
 }
@@ -201,7 +201,7 @@
 	defer b.mu.Unlock()
 	out := make(map[string]float64, len(b.services))
 	for s := range b.services {
-		c, number, _ := b.of(s)
+		c, number, _ := b.countsOf(s)
 		allowed, spent := b.allowed(s, c, number)
 		out[s] = allowed - float64(spent)
 	}
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -11,10 +11,10 @@
 // clock is a hand-driven clock.
 type clock struct{ now time.Time }
 
-func newClock() *clock                  { return &clock{time.Unix(1000, 0)} }
-func (c *clock) read() time.Time        { return c.now }
-func (c *clock) pass(d time.Duration)   { c.now = c.now.Add(d) }
-func (c *clock) since(t time.Time) bool { return c.now.Sub(t) < 10*time.Second }
+func newClock() *clock                   { return &clock{time.Unix(1000, 0)} }
+func (c *clock) read() time.Time         { return c.now }
+func (c *clock) advance(d time.Duration) { c.now = c.now.Add(d) }
+func (c *clock) since(t time.Time) bool  { return c.now.Sub(t) < 10*time.Second }
 
 var fleetLimit = Limit{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
 
@@ -23,11 +23,11 @@
 
 // The slack of a service is divided by who sends its calls: the VMs that make all calls of searches may use
 // more of theirs than of others.
-func TestPartByService(t *testing.T) {
+func TestShareByService(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
-	c.pass(10 * time.Second) // past the first window
+	c.advance(10 * time.Second) // past the first window
 	b.SetShare(func(service string) float64 { return map[string]float64{"shard": 0.5, "x": 0.1}[service] })
 	count := func(service string) (n int) {
 		for b.Take(service, Needed) {
@@ -43,7 +43,7 @@
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
-	c.pass(10 * time.Second) // past the first window
+	c.advance(10 * time.Second) // past the first window
 	b.SetShare(evenly(6))
 	for range 100 {
 		b.Request("x")
@@ -54,18 +54,18 @@
 	}
 	is.Equal(taken, 25)                 // 0.95 * 0.2 * 100 and 0.7 * 52 / 6
 	is.True(b.Take("y", Needed))        // each service has its own
-	c.pass(11 * time.Second)            // the window has passed, with its requests
+	c.advance(11 * time.Second)         // the window has passed, with its requests
 	is.True(b.Take("x", Needed))        // the slack is back
 	is.True(b.Remaining()["x"] < 52./6) // and counted
 }
 
 // What can wait leaves a part to what can't: while leaves pause and fail at once, hedges must not
 // take what repeats need.
-func TestReserveIsLeftToRepeats(t *testing.T) {
+func TestReserveForNeededCalls(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
-	c.pass(10 * time.Second) // past the first window
+	c.advance(10 * time.Second) // past the first window
 	b.SetShare(evenly(1))
 	optional := 0
 	for b.Take("x", Optional) {
@@ -73,7 +73,7 @@
 	}
 	is.Equal(optional, 18)
 	waiting := optional
-	for b.Take("x", Waiting) {
+	for b.Take("x", Deferrable) {
 		waiting++
 	}
 	urgent := 0
@@ -110,7 +110,7 @@
 		}
 		var events []event
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			c.pass(time.Duration(rapid.IntRange(0, 400).Draw(t, "pass")) * time.Millisecond)
+			c.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "pass")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, vms-1).Draw(t, "vm")]
 			for range rapid.IntRange(0, 20).Draw(t, "requests") {
 				b.Request("x")
@@ -140,21 +140,21 @@
 
 // Whoever is refused learns whether it is worth a wait: what was spent long ago is soon forgotten, what was spent
 // just now isn't.
-func TestWhetherAnExtraCallComes(t *testing.T) {
+func TestAvailableWithin(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
 	b.SetShare(evenly(500)) // one extra call in a window
-	c.pass(10 * time.Second)
-	is.True(b.Comes("x", Needed, 0))
+	c.advance(10 * time.Second)
+	is.True(b.AvailableWithin("x", Needed, 0))
 	is.True(b.Take("x", Needed))
-	c.pass(time.Second)
-	is.True(!b.Comes("x", Needed, 4*time.Second))
-	c.pass(8 * time.Second)
-	is.True(!b.Comes("x", Needed, 500*time.Millisecond))
-	is.True(b.Comes("x", Needed, 2*time.Second))
+	c.advance(time.Second)
+	is.True(!b.AvailableWithin("x", Needed, 4*time.Second))
+	c.advance(8 * time.Second)
+	is.True(!b.AvailableWithin("x", Needed, 500*time.Millisecond))
+	is.True(b.AvailableWithin("x", Needed, 2*time.Second))
 	is.True(!b.Take("x", Needed))
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	is.True(b.Take("x", Needed))
 }
 
@@ -164,20 +164,20 @@
 	c := newClock()
 	b := New(fleetLimit, c.read)
 	b.Request("old")
-	c.pass(15 * time.Second)
+	c.advance(15 * time.Second)
 	b.Request("new")
 	b.SetShare(evenly(3))
 	is.Equal(len(b.Remaining()), 2)
-	c.pass(6 * time.Second)
+	c.advance(6 * time.Second)
 	b.SetShare(evenly(3))
-	left := b.Remaining()
-	is.Equal(len(left), 1)
-	is.True(left["new"] > 0)
+	remaining := b.Remaining()
+	is.Equal(len(remaining), 1)
+	is.True(remaining["new"] > 0)
 }
 
-// TestRestartOfAllKeepsTheLimit spends half of a full window's budget in its last seconds, as hedges and
+// TestFleetRestartKeepsTheLimit spends half of a full window's budget in its last seconds, as hedges and
 // repeats in an overload do, and goes on as fresh processes, which know nothing of it.
-func TestRestartOfAllKeepsTheLimit(t *testing.T) {
+func TestFleetRestartKeepsTheLimit(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	const vms, perSecond = 6, 212
@@ -191,27 +191,27 @@
 		return fleet
 	}
 	fleet, spent := start(), 0
-	second := func(most int) {
+	runSecond := func(maxExtra int) {
 		for i := range perSecond {
 			b := fleet[i%vms]
 			b.Request("x")
-			if most > 0 && b.Take("x", Needed) {
+			if maxExtra > 0 && b.Take("x", Needed) {
 				spent++
-				most--
+				maxExtra--
 			}
 		}
-		c.pass(time.Second)
+		c.advance(time.Second)
 	}
 	for range 20 {
-		second(0)
+		runSecond(0)
 	}
 	for range 3 { // the window begins here
-		second(75)
+		runSecond(75)
 	}
 	is.Equal(spent, 225)
 	fleet = start()
 	for range 7 {
-		second(perSecond)
+		runSecond(perSecond)
 	}
 	is.True(float64(spent) <= fleetLimit.Ratio*10*perSecond+fleetLimit.Slack)
 }
