--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -27,14 +27,14 @@
 func DefaultLimits() Limits { return Limits{Failed: 60, Helped: 10} }
 
 const (
-	// burst is how many seconds' lines may come at once.
-	burst = 5
+	// burstSeconds is how many seconds' lines may come at once.
+	burstSeconds = 5
 	// reportPeriod is how often a line tells of lines that were left out.
 	reportPeriod = 5 * time.Second
 )
 
-func limiter(perSecond float64) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond*burst))
+func newLimiter(perSecond float64) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond*burstSeconds))
 }
 
 // Sink tells of lines that its buffer dropped.
@@ -42,11 +42,11 @@
 
 // Recorder implements dispatch.Observer. It is safe for concurrent use.
 type Recorder struct {
-	log     *zap.Logger
-	sink    Sink
-	failed  *rate.Limiter
-	helped  *rate.Limiter
-	leftOut atomic.Uint64
+	log          *zap.Logger
+	sink         Sink
+	failed       *rate.Limiter
+	helped       *rate.Limiter
+	linesLeftOut atomic.Uint64
 
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -57,7 +57,7 @@
 // New returns a recorder.
 func New(log *zap.Logger, sink Sink, limits Limits, reg prometheus.Registerer) *Recorder {
 	r := &Recorder{
-		log: log, sink: sink, failed: limiter(limits.Failed), helped: limiter(limits.Helped),
+		log: log, sink: sink, failed: newLimiter(limits.Failed), helped: newLimiter(limits.Helped),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "burdock_requests_total", Help: "Requests by route, outcome and reason.",
 		}, []string{"route", "outcome", "reason"}),
@@ -71,34 +71,34 @@
 	}
 	r.dropped = prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "burdock_log_lines_dropped_total", Help: "Log lines that the volume limit left out or that found the buffer full.",
-	}, func() float64 { return float64(r.leftOut.Load() + sink.Dropped()) })
+	}, func() float64 { return float64(r.linesLeftOut.Load() + sink.Dropped()) })
 	reg.MustRegister(r.requests, r.latency, r.calls, r.dropped)
 	return r
 }
 
 // Ended implements dispatch.Observer.
 func (r *Recorder) Ended(req *dispatch.Request, a *dispatch.Answer, t *dispatch.Trace) {
-	took := time.Since(req.Arrived)
+	elapsed := time.Since(req.Arrived)
 	route, kind := "none", "none"
 	if a.Route != nil {
 		route, kind = a.Route.Name, kindOf(a.Route)
 	}
 	if req.From == "" { // the VM that took it from the caller counts it
 		r.requests.WithLabelValues(route, string(a.Outcome), string(a.Reason)).Inc()
-		r.latency.WithLabelValues(kind).Observe(took.Seconds())
+		r.latency.WithLabelValues(kind).Observe(elapsed.Seconds())
 	}
 	r.calls.WithLabelValues(route, "first").Add(float64(t.Calls - t.Hedges - t.Repeats))
 	r.calls.WithLabelValues(route, "hedge").Add(float64(t.Hedges))
 	r.calls.WithLabelValues(route, "repeat").Add(float64(t.Repeats))
-	limit := r.limitOf(a, t, took)
+	limit := r.limitOf(a, t, elapsed)
 	if limit == nil {
 		return
 	}
 	if !limit.Allow() {
-		r.leftOut.Add(1)
+		r.linesLeftOut.Add(1)
 		return
 	}
-	r.write(req, a, t, took, route)
+	r.write(req, a, t, elapsed, route)
 }
 
 // kindOf names the kind of a route's requests. Times are kept by kind and not by route: a histogram a route
@@ -111,8 +111,8 @@
 }
 
 // limitOf returns the limit that the request's line falls under, nil where it is only counted.
-func (r *Recorder) limitOf(a *dispatch.Answer, t *dispatch.Trace, took time.Duration) *rate.Limiter {
-	late := a.Route != nil && took > a.Route.Target
+func (r *Recorder) limitOf(a *dispatch.Answer, t *dispatch.Trace, elapsed time.Duration) *rate.Limiter {
+	late := a.Route != nil && elapsed > a.Route.Target
 	switch {
 	case a.Outcome != dispatch.Served || a.Missing > 0 || late:
 		return r.failed
@@ -122,11 +122,11 @@
 	return nil
 }
 
-func (r *Recorder) write(req *dispatch.Request, a *dispatch.Answer, t *dispatch.Trace, took time.Duration, route string) {
+func (r *Recorder) write(req *dispatch.Request, a *dispatch.Answer, t *dispatch.Trace, elapsed time.Duration, route string) {
 	r.log.Info(MsgRequest,
 		zap.String(FieldID, req.ID), zap.String("route", route), zap.String(FieldOutcome, string(a.Outcome)), zap.String(FieldReason, string(a.Reason)),
 		zap.String(FieldFrom, req.From), zap.String(FieldGatherer, t.Gatherer), zap.String(FieldDeclined, req.Declined),
-		zap.Duration(FieldTook, took), zap.Duration(FieldTarget, targetOf(a.Route)), zap.Duration("remaining", req.Remaining),
+		zap.Duration(FieldTook, elapsed), zap.Duration(FieldTarget, targetOf(a.Route)), zap.Duration("remaining", req.Remaining),
 		zap.Uint64("config_version", t.Version), zap.Uint64("store_revision", t.Revision),
 		zap.Int("calls", t.Calls), zap.Int("hedges", t.Hedges), zap.Int("repeats", t.Repeats),
 		zap.Int("refusals", t.Refusals), zap.Int("failures", t.Failures), zap.Int("denied", t.Denied), zap.Int("missing", a.Missing), zap.Int("given_up", t.GivenUp),
@@ -169,16 +169,16 @@
 func (r *Recorder) Run(ctx context.Context) error {
 	t := time.NewTicker(reportPeriod)
 	defer t.Stop()
-	var told uint64
+	var reported uint64
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
 		}
-		if n := r.leftOut.Load() + r.sink.Dropped(); n > told {
-			r.log.Warn(MsgLeftOut, zap.Uint64(FieldLines, n-told), zap.Duration("within", reportPeriod))
-			told = n
+		if n := r.linesLeftOut.Load() + r.sink.Dropped(); n > reported {
+			r.log.Warn(MsgLeftOut, zap.Uint64(FieldLines, n-reported), zap.Duration("within", reportPeriod))
+			reported = n
 		}
 	}
 }
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -20,18 +20,18 @@
 
 var route = &catalog.Route{Name: "r", Target: 100 * time.Millisecond}
 
-func TestWhichRequestsAreExplained(t *testing.T) {
+func TestWhichRequestsAreLogged(t *testing.T) {
 	for name, tt := range map[string]struct {
-		answer dispatch.Answer
-		trace  dispatch.Trace
-		took   time.Duration
-		lines  int
+		answer  dispatch.Answer
+		trace   dispatch.Trace
+		elapsed time.Duration
+		lines   int
 	}{
 		"plain":        {answer: dispatch.Answer{Outcome: dispatch.Served}},
 		"refused":      {answer: dispatch.Answer{Outcome: dispatch.NotRun, Reason: dispatch.ReasonNoLeaf}, lines: 1},
 		"unknown":      {answer: dispatch.Answer{Outcome: dispatch.Unknown}, lines: 1},
 		"partial":      {answer: dispatch.Answer{Outcome: dispatch.Served, Missing: 1}, lines: 1},
-		"late":         {answer: dispatch.Answer{Outcome: dispatch.Served}, took: time.Second, lines: 1},
+		"late":         {answer: dispatch.Answer{Outcome: dispatch.Served}, elapsed: time.Second, lines: 1},
 		"hedged":       {answer: dispatch.Answer{Outcome: dispatch.Served}, trace: dispatch.Trace{Calls: 2, Hedges: 1}, lines: 1},
 		"repeated":     {answer: dispatch.Answer{Outcome: dispatch.Served}, trace: dispatch.Trace{Calls: 2, Repeats: 1}, lines: 1},
 		"leaf failure": {answer: dispatch.Answer{Outcome: dispatch.LeafFailure}, lines: 1},
@@ -41,7 +41,7 @@
 			core, logs := observer.New(zap.InfoLevel)
 			r := New(zap.New(core), noDrops{}, DefaultLimits(), prometheus.NewRegistry())
 			tt.answer.Route = route
-			r.Ended(&dispatch.Request{ID: "id-1", Arrived: time.Now().Add(-tt.took)}, &tt.answer, &tt.trace)
+			r.Ended(&dispatch.Request{ID: "id-1", Arrived: time.Now().Add(-tt.elapsed)}, &tt.answer, &tt.trace)
 			is.Equal(logs.Len(), tt.lines)
 			if tt.lines > 0 {
 				is.Equal(logs.All()[0].ContextMap()["id"], "id-1")
@@ -57,11 +57,11 @@
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
 	r := New(zap.New(core), noDrops{}, DefaultLimits(), prometheus.NewRegistry())
-	const storm = 5000
-	for range storm {
+	const requests = 5000
+	for range requests {
 		r.Ended(&dispatch.Request{Arrived: time.Now()}, &dispatch.Answer{Outcome: dispatch.NotRun}, &dispatch.Trace{})
 	}
-	is.True(logs.Len() >= int(DefaultLimits().Failed*burst) && logs.Len() < int(DefaultLimits().Failed*burst)+int(DefaultLimits().Failed))
-	is.Equal(testutil.ToFloat64(r.dropped), float64(storm-logs.Len()))
-	is.Equal(testutil.ToFloat64(r.requests.WithLabelValues("none", "not_run", "")), float64(storm))
+	is.True(logs.Len() >= int(DefaultLimits().Failed*burstSeconds) && logs.Len() < int(DefaultLimits().Failed*burstSeconds)+int(DefaultLimits().Failed))
+	is.Equal(testutil.ToFloat64(r.dropped), float64(requests-logs.Len()))
+	is.Equal(testutil.ToFloat64(r.requests.WithLabelValues("none", "not_run", "")), float64(requests))
 }
