--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,7 +1,7 @@
-// Package retrybudget bounds the extra calls (hedges, and repeats of failed or refused calls) that one
-// VM sends to a service. The platform bounds them over the whole fleet, in any span of a window's
-// length: a ratio of the service's requests, plus a slack. Each VM takes the ratio of the requests it
-// sees itself, and its part of the slack, so that the sum holds however the callers are spread.
+// Package retrybudget bounds the extra calls (hedges, and repeats of failed or refused calls) that one VM sends to
+// a service. The platform bounds them for the whole fleet, over any period of one window: a ratio of the service's
+// requests, plus a slack. Each VM applies the ratio to the requests that it sees itself and takes its share of the
+// slack, so the bound holds for any distribution of callers over VMs.
 package retrybudget
 
 import (
@@ -10,39 +10,39 @@
 )
 
 const (
-	// ratioFraction is the part of the allowed ratio that is used: what a window's edge cuts off of its
-	// requests is given away beforehand.
+	// ratioFraction is the fraction of the allowed ratio that is used. The rest compensates for the requests that
+	// the edge of a window cuts off.
 	ratioFraction = 0.95
-	// slackFraction is the part of the allowed slack that is used. The rest is for VMs that start anew with
-	// nothing spent while what they spent before still counts.
+	// slackFraction is the fraction of the allowed slack that is used. The rest is for VMs that restart with
+	// nothing spent while their earlier extra calls still count.
 	slackFraction = 0.7
-	// deferrableShare and optionalPart are the parts of what is allowed that extra calls of these urgencies
-	// may use. Where many leaves refuse, a budget that serves all alike is spent on searches that can do without,
-	// and is missing where the one call makes the difference between an answer and none.
+	// deferrableShare and optionalShare are the shares of the allowed calls that extra calls of these urgencies
+	// may use. If many leaves refuse calls, a budget without priorities is spent on searches that can do without
+	// it and is missing where one call makes the difference between an answer and none.
 	deferrableShare = 0.75
 	optionalShare   = 0.5
-	// firstWindowShare is the part of what is allowed that a process uses in its first window: what it spent
-	// before its start still counts, and nobody remembers it: where all VMs are killed in an overload, both windows
-	// together may not exceed what is allowed.
+	// firstWindowShare is the share of the allowed calls that a process uses in its first window, because calls
+	// made before its start still count but are not known to it. If all VMs are killed during an overload, both
+	// windows together must not exceed the limit.
 	firstWindowShare = 0.5
-	// spansPerWindow is how many spans a window is counted in; a window is at most one span too long.
+	// spansPerWindow is the number of spans in which a window is counted. A window is at most one span too long.
 	spansPerWindow = 20
 )
 
 // Urgency says how much depends on an extra call.
 type Urgency int
 
-// The urgencies, from the least on.
+// Urgencies in ascending order.
 const (
-	// Optional: the request is answered in time without it, or is late already.
+	// Optional: the request is answered in time without the call, or is already late.
 	Optional Urgency = iota
-	// Waiting: it is needed, but a little later would do.
+	// Deferrable: the call is needed, but can be sent a little later.
 	Deferrable
-	// Needed: without it now the request isn't answered in time.
+	// Needed: the request is not answered in time unless the call is sent now.
 	Needed
 )
 
-// share returns the part of what is allowed that may be used.
+// share returns the share of the allowed calls that calls of this urgency may use.
 func (u Urgency) share() float64 {
 	switch u {
 	case Optional:
@@ -53,10 +53,10 @@
 	return 1
 }
 
-// Limit is what the platform allows the whole fleet.
+// Limit is the platform's limit for the whole fleet.
 type Limit struct {
-	// Ratio of extra calls to the requests of a service, and Slack how many more there may be, in any
-	// span of Window.
+	// Ratio is the allowed number of extra calls per request of a service, and Slack the number allowed in
+	// addition, in any period of length Window.
 	Ratio, Slack float64
 	Window       time.Duration
 }
@@ -68,12 +68,13 @@
 	start time.Time
 
 	mu sync.Mutex
-	// share of the fleet's slack that this VM may use of each service, and counts by service; guarded by mu.
+	// share returns the share of the fleet's slack of a service that this VM may use. services holds the counts by
+	// service. Both are guarded by mu.
 	share    func(service string) float64
 	services map[string]*counts
 }
 
-// counts of one service in the latest spans, by the number of the span.
+// counts holds the counts of one service in the latest spans, indexed by span number modulo their count.
 type counts struct {
 	number          [spansPerWindow + 1]int64
 	requests, extra [spansPerWindow + 1]int
@@ -81,12 +82,13 @@
 	lastUsed int64
 }
 
-// New returns budgets of a fleet of one in which nothing was spent.
+// New returns unspent budgets for a fleet of one VM.
 func New(l Limit, clock func() time.Time) *Budgets {
 	return &Budgets{limit: l, clock: clock, start: clock(), share: func(string) float64 { return 1 }, services: make(map[string]*counts)}
 }
 
-// SetShare tells which part of a service's slack this VM may use; the parts of all VMs are to be 1 together.
+// SetShare sets the function that returns the share of a service's slack that this VM may use. The shares of all
+// VMs must add up to 1.
 func (b *Budgets) SetShare(share func(service string) float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,8 +96,8 @@
 	b.dropIdle()
 }
 
-// dropIdle drops services without a request for two windows, such as those of an older set of shards.
-// Requires mu.
+// dropIdle drops services without a request or an extra call for two windows, such as those of an older set of
+// shards. Requires mu.
 func (b *Budgets) dropIdle() {
 	number, _ := b.span()
 	for name, c := range b.services {
@@ -105,18 +107,19 @@
 	}
 }
 
-// span returns the number of the span that runs, and its place. Requires mu.
+// span returns the number of the current span and its index in counts. Requires mu.
 func (b *Budgets) span() (number int64, index int) {
 	number = b.spanAt(b.clock())
 	return number, int(number % (spansPerWindow + 1))
 }
 
-// spanAt returns the number of the span at the time.
+// spanAt returns the number of the span at the given time.
 func (b *Budgets) spanAt(at time.Time) int64 {
 	return int64(at.Sub(b.start) * spansPerWindow / max(b.limit.Window, spansPerWindow))
 }
 
-// countsOf returns the counts of the service with the span that runs cleared of older ones. Requires mu.
+// countsOf returns the counts of the service after it has cleared the entry of the current span from an older one.
+// Requires mu.
 func (b *Budgets) countsOf(service string) (c *counts, number int64, index int) {
 	number, index = b.span()
 	c = b.services[service]
@@ -139,7 +142,8 @@
 	c.requests[index]++
 }
 
-// Take takes an extra call of the service, or refuses. A less urgent one is refused sooner.
+// Take takes an extra call from the budget of the service and reports whether it is allowed. Calls of lower
+// urgency are refused sooner.
 func (b *Budgets) Take(service string, u Urgency) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -152,9 +156,9 @@
 	return true
 }
 
-// AvailableWithin tells whether an extra call of the service that is refused now will be allowed within the time, by what
-// the window forgets until then. What requests that come meanwhile would bring isn't counted: a VM that sees one
-// in some seconds would wait for them in vain.
+// AvailableWithin reports whether an extra call to the service that is refused now will be allowed within the
+// given time because older calls leave the window. It ignores what future requests would add: a VM that sees one
+// request in several seconds would wait for them in vain.
 func (b *Budgets) AvailableWithin(service string, u Urgency, within time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,15 +172,15 @@
 	return false
 }
 
-// allows tells whether one extra call more is allowed in the span with the number; the first always is. Requires mu.
+// allows reports whether one more extra call is allowed in the given span. The first always is. Requires mu.
 func (b *Budgets) allows(service string, u Urgency, c *counts, number int64) bool {
 	allowed, spent := b.allowed(service, c, number)
 	return float64(spent+1) <= max(allowed*u.share(), 1)
 }
 
-// allowed returns how many extra calls the window allows in the span with the number, and how many were spent in
-// it. Requests of the oldest span are left out and its extra calls are counted, so that the sum holds in any window.
-// Requires mu.
+// allowed returns how many extra calls the window that ends with the given span allows, and how many were spent in
+// it. The requests of the oldest span are not counted but its extra calls are, so that the bound holds in any
+// window. Requires mu.
 func (b *Budgets) allowed(service string, c *counts, number int64) (allowed float64, spent int) {
 	requests := 0
 	for i, counted := range c.number {
@@ -195,7 +199,7 @@
 	return allowed, spent
 }
 
-// Remaining returns the extra calls left for each service.
+// Remaining returns the number of extra calls that remain for each service.
 func (b *Budgets) Remaining() map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// clock is a hand-driven clock.
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
 func newClock() *clock                   { return &clock{time.Unix(1000, 0)} }
@@ -18,11 +18,11 @@
 
 var fleetLimit = Limit{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
 
-// evenly divides the slack among so many VMs.
+// evenly divides the slack equally among the given number of VMs.
 func evenly(vms int) func(string) float64 { return func(string) float64 { return 1 / float64(vms) } }
 
-// The slack of a service is divided by who sends its calls: the VMs that make all calls of searches may use
-// more of theirs than of others.
+// The slack of a service is divided among the VMs that send its calls, so the VMs that make all calls of searches
+// may use more of the slack of shards than of other services.
 func TestShareByService(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -53,14 +53,14 @@
 		taken++
 	}
 	is.Equal(taken, 25)                 // 0.95 * 0.2 * 100 and 0.7 * 52 / 6
-	is.True(b.Take("y", Needed))        // each service has its own
+	is.True(b.Take("y", Needed))        // each service has its own budget
 	c.advance(11 * time.Second)         // the window has passed, with its requests
-	is.True(b.Take("x", Needed))        // the slack is back
+	is.True(b.Take("x", Needed))        // the slack is available again
 	is.True(b.Remaining()["x"] < 52./6) // and counted
 }
 
-// What can wait leaves a part to what can't: while leaves pause and fail at once, hedges must not
-// take what repeats need.
+// Deferrable and optional calls leave a reserve for needed ones: while leaves pause and fail together, hedges must
+// not use up the budget that repeats need.
 func TestReserveForNeededCalls(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -84,7 +84,7 @@
 	is.Equal(urgent, 9)
 }
 
-// A VM of a large fleet has less than one extra call of the slack; it may still send one.
+// A VM of a large fleet has a share of less than one extra call of the slack. It may still send one.
 func TestOneIsAlwaysAllowed(t *testing.T) {
 	is := is.New(t)
 	b := New(fleetLimit, newClock().read)
@@ -93,8 +93,8 @@
 	is.True(!b.Take("x", Needed))
 }
 
-// However the callers are spread over the VMs and the time, the fleet stays within what the platform
-// allows in every window that begins with an extra call.
+// For any distribution of callers over VMs and time, the fleet must stay within the platform's limit in every
+// window that starts with an extra call.
 func TestFleetStaysWithinTheLimitInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
@@ -138,8 +138,8 @@
 	})
 }
 
-// Whoever is refused learns whether it is worth a wait: what was spent long ago is soon forgotten, what was spent
-// just now isn't.
+// A refused caller learns whether waiting is worthwhile: calls made long ago soon leave the window, recent ones do
+// not.
 func TestAvailableWithin(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -158,7 +158,7 @@
 	is.True(b.Take("x", Needed))
 }
 
-// Services that nobody asks any more are forgotten; others stay.
+// Services without recent requests are dropped; others stay.
 func TestIdleServicesAreForgotten(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -175,8 +175,8 @@
 	is.True(remaining["new"] > 0)
 }
 
-// TestFleetRestartKeepsTheLimit spends half of a full window's budget in its last seconds, as hedges and
-// repeats in an overload do, and goes on as fresh processes, which know nothing of it.
+// The fleet spends half of a full window's budget in the last seconds of that window, as hedges and repeats in an
+// overload do. Then all VMs restart and know nothing of it. Together both must stay within the limit.
 func TestFleetRestartKeepsTheLimit(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -205,7 +205,7 @@
 	for range 20 {
 		runSecond(0)
 	}
-	for range 3 { // the window begins here
+	for range 3 { // the window starts here
 		runSecond(75)
 	}
 	is.Equal(spent, 225)
