--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,5 +1,5 @@
-// Package decision records what became of requests: one log line for each that was refused, failed,
-// partial, late, repeated or hedged, as far as a bounded volume allows, and counters for all.
+// Package decision records the outcome of requests. It writes one log line for each request that was refused,
+// failed, partial, late, repeated or hedged, up to a bounded rate, and counts all requests.
 package decision
 
 import (
@@ -16,20 +16,21 @@
 	"github.com/burdockplank/burdockplank/internal/dispatch"
 )
 
-// Limits bound the lines of requests. A line is 400 to 900 bytes and takes some 10 microseconds of a core.
+// Limits bound the rate of request log lines. A line has 400 to 900 bytes and costs about 10 microseconds of a
+// core.
 type Limits struct {
-	// Failed bounds the lines a second of requests without a whole answer in time, Helped those of
-	// requests that hedges or repeats helped.
+	// Failed bounds the lines per second for requests without a complete answer in time, and Helped those for
+	// requests served with the help of hedges or repeats.
 	Failed, Helped float64
 }
 
-// DefaultLimits are 60 and 10 a second: 0.1% of a core, and a hundred thousand lines in half an hour.
+// DefaultLimits returns 60 and 10 lines per second: 0.1% of a core, and a hundred thousand lines in half an hour.
 func DefaultLimits() Limits { return Limits{Failed: 60, Helped: 10} }
 
 const (
-	// burstSeconds is how many seconds' lines may come at once.
+	// burstSeconds is how many seconds' worth of lines may be written at once.
 	burstSeconds = 5
-	// reportPeriod is how often a line tells of lines that were left out.
+	// reportPeriod is how often the number of omitted lines is logged.
 	reportPeriod = 5 * time.Second
 )
 
@@ -37,7 +38,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond*burstSeconds))
 }
 
-// Sink tells of lines that its buffer dropped.
+// Sink reports the number of lines that its buffer has dropped.
 type Sink interface{ Dropped() uint64 }
 
 // Recorder implements dispatch.Observer. It is safe for concurrent use.
@@ -54,7 +55,7 @@
 	dropped  prometheus.CounterFunc
 }
 
-// New returns a recorder.
+// New returns a Recorder that registers its metrics with reg.
 func New(log *zap.Logger, sink Sink, limits Limits, reg prometheus.Registerer) *Recorder {
 	r := &Recorder{
 		log: log, sink: sink, failed: newLimiter(limits.Failed), helped: newLimiter(limits.Helped),
@@ -83,7 +84,7 @@
 	if a.Route != nil {
 		route, kind = a.Route.Name, kindOf(a.Route)
 	}
-	if req.From == "" { // the VM that took it from the caller counts it
+	if req.From == "" { // otherwise the VM that received the request from the caller counts it
 		r.requests.WithLabelValues(route, string(a.Outcome), string(a.Reason)).Inc()
 		r.latency.WithLabelValues(kind).Observe(elapsed.Seconds())
 	}
@@ -101,8 +102,8 @@
 	r.write(req, a, t, elapsed, route)
 }
 
-// kindOf names the kind of a route's requests. Times are kept by kind and not by route: a histogram a route
-// made a scrape at 1,400 routes 1.8 MB and 47 ms of a core, in which a small VM serves nobody.
+// kindOf returns the kind of a route's requests. Times are recorded by kind and not by route: with a histogram per
+// route, a scrape with 1,400 routes took 1.8 MB and 47 ms of a core, during which a small VM serves no requests.
 func kindOf(r *catalog.Route) string {
 	if r.Search() {
 		return "search"
@@ -110,7 +111,7 @@
 	return "single"
 }
 
-// limitOf returns the limit that the request's line falls under, nil where it is only counted.
+// limitOf returns the rate limiter for the request's log line, or nil if the request is only counted.
 func (r *Recorder) limitOf(a *dispatch.Answer, t *dispatch.Trace, elapsed time.Duration) *rate.Limiter {
 	late := a.Route != nil && elapsed > a.Route.Target
 	switch {
@@ -133,7 +134,7 @@
 		zap.Duration("retry_after", a.RetryAfter), zap.Array(FieldBadCalls, badCalls(t.BadCalls)))
 }
 
-// targetOf is the target of a route; 0 where there is none.
+// targetOf returns the target of a route; 0 if there is no route.
 func targetOf(r *catalog.Route) time.Duration {
 	if r == nil {
 		return 0
@@ -141,7 +142,7 @@
 	return r.Target
 }
 
-// badCalls writes bad calls as an array of objects.
+// badCalls encodes bad calls as an array of objects.
 type badCalls []dispatch.BadCall
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// Run tells of lines left out, until ctx ends.
+// Run periodically logs the number of omitted lines until ctx ends.
 func (r *Recorder) Run(ctx context.Context) error {
 	t := time.NewTicker(reportPeriod)
 	defer t.Stop()
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// A storm of failures leaves lines out and counts them.
+// When many requests fail, lines beyond the limit are omitted and counted.
 func TestVolumeIsBounded(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
--- a/internal/decision/fields.go
+++ b/internal/decision/fields.go
@@ -1,25 +1,25 @@
 package decision
 
-// The names under which records of decisions hold what they tell of; the logs write them and the tools
-// that read logs look for them.
+// Messages and field names of the decision log. The recorder writes them and the tools that read the logs look
+// them up.
 const (
 	// MsgRequest is the message of a request's line.
 	MsgRequest = "request"
-	// FieldID is the id of the request.
+	// FieldID is the request ID.
 	FieldID = "id"
-	// FieldVM is the VM that wrote the line, FieldTime when by its clock, FieldMsg what it is about.
+	// FieldVM is the VM that wrote the line, FieldTime the time by its clock, and FieldMsg the message.
 	FieldVM, FieldTime, FieldMsg = "vm", "time", "msg"
-	// FieldFrom is the VM that took a search from its caller, where it isn't the one that writes; FieldGatherer
-	// the one that made its calls, where it isn't.
+	// FieldFrom is the VM that received a search from its caller, if it is not the VM that writes the line.
+	// FieldGatherer is the VM that made the calls, if it is not the one that writes the line.
 	FieldFrom, FieldGatherer = "from", "gatherer"
-	// FieldDeclined says which stronger VMs didn't take a search, and why.
+	// FieldDeclined says which larger VMs did not take a search, and why.
 	FieldDeclined = "declined"
-	// FieldOutcome and FieldReason say how a request ended, FieldTook after how long, FieldTarget within which time
-	// its answer is worth most.
+	// FieldOutcome and FieldReason say how a request ended, FieldTook after how long. FieldTarget is the time
+	// within which its answer has most of its value.
 	FieldOutcome, FieldReason, FieldTook, FieldTarget = "outcome", "reason", "took", "target"
-	// FieldBadCalls holds the bad calls of a request, FieldService and FieldLeaf what each was to, FieldWhat what
-	// happened.
+	// FieldBadCalls holds the bad calls of a request. FieldService and FieldLeaf are the destination of each call,
+	// and FieldWhat is what happened.
 	FieldBadCalls, FieldService, FieldLeaf, FieldWhat = "bad_calls", "service", "leaf", "what"
-	// MsgLeftOut is the message of a line that tells of lines left out, FieldLines how many.
+	// MsgLeftOut is the message of a line that reports omitted lines, and FieldLines is their number.
 	MsgLeftOut, FieldLines = "log lines left out", "lines"
 )
--- a/internal/decision/record_test.go
+++ b/internal/decision/record_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockplank/burdockplank/internal/dispatch"
 )
 
-// A line names what went wrong where, so that a search that lacks a shard leads to its leaf.
+// A line lists the bad calls of a request, so that a search with a missing shard can be traced to the leaf.
 func TestLineNamesBadCalls(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
@@ -28,7 +28,7 @@
 	}})
 }
 
-// BenchmarkScrape measures one scrape of the metrics of requests, by the number of routes in use.
+// BenchmarkScrape measures one scrape of the request metrics by the number of routes in use.
 func BenchmarkScrape(b *testing.B) {
 	for _, routes := range []int{100, 400, 1400} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
