--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -125,8 +125,8 @@
 	r.launch(i, r.withFreeConnection(candidates))
 }
 
-// repeat sends a group's call to another leaf if the request, its attempts and the budget allow it. Otherwise the
-// group fails with the given reason.
+// repeat sends a group's call to another leaf if the request, its attempts and the budget allow it. The group fails
+// with the given reason if the request or its attempts do not allow it or no leaf remains.
 func (r *run) repeat(i int, reason Reason) {
 	g := &r.groups[i]
 	if g.part != nil || g.inFlight > 0 {
--- a/internal/dispatch/hopeless_test.go
+++ b/internal/dispatch/hopeless_test.go
@@ -102,7 +102,7 @@
 // A zone is cut off in such a way that connections to the others are refused instead of going unanswered. Three of
 // ten shards have all their leaves there, and one may be missing. After half a second, searches must be refused
 // immediately as not run; without the check each made calls to the seven other shards and to all leaves beyond the
-// partition. Half a second after the partition all must be served.
+// partition. Half a second after its end all must be served.
 func TestSearchOfShardsRefusingConnectionsIsRefusedAtOnce(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
