--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -37,8 +37,8 @@
 // Load is a leaf's report of its own load.
 type Load struct {
 	Running, Waiting, Slots int
-	// WorkTimePercent is how long work currently takes at the leaf, in percent of the typical time; 0 if not
-	// reported.
+	// WorkTimePercent is how long work currently takes at the leaf in percent, where 100 is the typical time; 0 if
+	// not reported.
 	WorkTimePercent int
 }
 
