--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,5 +1,5 @@
-// Package decision records what became of requests: one log line for each that was refused, failed,
-// partial, late, repeated or hedged, as far as a bounded volume allows, and counters for all.
+// Package decision records the outcome of requests. It writes one log line for each request that was refused,
+// failed, partial, late, repeated or hedged, up to a bounded rate, and counts all requests.
 package decision
 
 import (
@@ -16,37 +16,38 @@
 	"github.com/burdockplank/burdockplank/internal/dispatch"
 )
 
-// Limits bound the lines of requests. A line is 400 to 900 bytes and takes some 10 microseconds of a core.
+// Limits bound the rate of request log lines. A line has 400 to 900 bytes and costs about 10 microseconds of a
+// core.
 type Limits struct {
-	// Failed bounds the lines a second of requests without a whole answer in time, Helped those of
-	// requests that hedges or repeats helped.
+	// Failed bounds the lines per second for requests without a complete answer in time, and Helped those for
+	// requests served with the help of hedges or repeats.
 	Failed, Helped float64
 }
 
-// DefaultLimits are 60 and 10 a second: 0.1% of a core, and a hundred thousand lines in half an hour.
+// DefaultLimits returns 60 and 10 lines per second: 0.1% of a core, and a hundred thousand lines in half an hour.
 func DefaultLimits() Limits { return Limits{Failed: 60, Helped: 10} }
 
 const (
-	// burst is how many seconds' lines may come at once.
-	burst = 5
-	// reportPeriod is how often a line tells of lines that were left out.
+	// burstSeconds is how many seconds' worth of lines may be written at once.
+	burstSeconds = 5
+	// reportPeriod is how often the number of omitted lines is logged.
 	reportPeriod = 5 * time.Second
 )
 
-func limiter(perSecond float64) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond*burst))
+func newLimiter(perSecond float64) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond*burstSeconds))
 }
 
-// Sink tells of lines that its buffer dropped.
+// Sink reports the number of lines that its buffer has dropped.
 type Sink interface{ Dropped() uint64 }
 
 // Recorder implements dispatch.Observer. It is safe for concurrent use.
 type Recorder struct {
-	log     *zap.Logger
-	sink    Sink
-	failed  *rate.Limiter
-	helped  *rate.Limiter
-	leftOut atomic.Uint64
+	log          *zap.Logger
+	sink         Sink
+	failed       *rate.Limiter
+	helped       *rate.Limiter
+	linesLeftOut atomic.Uint64
 
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -54,10 +55,10 @@
 	dropped  prometheus.CounterFunc
 }
 
-// New returns a recorder.
+// New returns a Recorder that registers its metrics with reg.
 func New(log *zap.Logger, sink Sink, limits Limits, reg prometheus.Registerer) *Recorder {
 	r := &Recorder{
-		log: log, sink: sink, failed: limiter(limits.Failed), helped: limiter(limits.Helped),
+		log: log, sink: sink, failed: newLimiter(limits.Failed), helped: newLimiter(limits.Helped),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "burdock_requests_total", Help: "Requests by route, outcome and reason.",
 		}, []string{"route", "outcome", "reason"}),
@@ -71,38 +72,38 @@
 	}
 	r.dropped = prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "burdock_log_lines_dropped_total", Help: "Log lines that the volume limit left out or that found the buffer full.",
-	}, func() float64 { return float64(r.leftOut.Load() + sink.Dropped()) })
+	}, func() float64 { return float64(r.linesLeftOut.Load() + sink.Dropped()) })
 	reg.MustRegister(r.requests, r.latency, r.calls, r.dropped)
 	return r
 }
 
 // Ended implements dispatch.Observer.
 func (r *Recorder) Ended(req *dispatch.Request, a *dispatch.Answer, t *dispatch.Trace) {
-	took := time.Since(req.Arrived)
+	elapsed := time.Since(req.Arrived)
 	route, kind := "none", "none"
 	if a.Route != nil {
 		route, kind = a.Route.Name, kindOf(a.Route)
 	}
-	if req.From == "" { // the VM that took it from the caller counts it
+	if req.From == "" { // otherwise the VM that received the request from the caller counts it
 		r.requests.WithLabelValues(route, string(a.Outcome), string(a.Reason)).Inc()
-		r.latency.WithLabelValues(kind).Observe(took.Seconds())
+		r.latency.WithLabelValues(kind).Observe(elapsed.Seconds())
 	}
 	r.calls.WithLabelValues(route, "first").Add(float64(t.Calls - t.Hedges - t.Repeats))
 	r.calls.WithLabelValues(route, "hedge").Add(float64(t.Hedges))
 	r.calls.WithLabelValues(route, "repeat").Add(float64(t.Repeats))
-	limit := r.limitOf(a, t, took)
+	limit := r.limitOf(a, t, elapsed)
 	if limit == nil {
 		return
 	}
 	if !limit.Allow() {
-		r.leftOut.Add(1)
+		r.linesLeftOut.Add(1)
 		return
 	}
-	r.write(req, a, t, took, route)
+	r.write(req, a, t, elapsed, route)
 }
 
-// kindOf names the kind of a route's requests. Times are kept by kind and not by route: a histogram a route
-// made a scrape at 1,400 routes 1.8 MB and 47 ms of a core, in which a small VM serves nobody.
+// kindOf returns the kind of a route's requests. Times are recorded by kind and not by route: with a histogram per
+// route, a scrape with 1,400 routes took 1.8 MB and 47 ms of a core, during which a small VM serves no requests.
 func kindOf(r *catalog.Route) string {
 	if r.Search() {
 		return "search"
@@ -110,9 +111,9 @@
 	return "single"
 }
 
-// limitOf returns the limit that the request's line falls under, nil where it is only counted.
-func (r *Recorder) limitOf(a *dispatch.Answer, t *dispatch.Trace, took time.Duration) *rate.Limiter {
-	late := a.Route != nil && took > a.Route.Target
+// limitOf returns the rate limiter for the request's log line, or nil if the request is only counted.
+func (r *Recorder) limitOf(a *dispatch.Answer, t *dispatch.Trace, elapsed time.Duration) *rate.Limiter {
+	late := a.Route != nil && elapsed > a.Route.Target
 	switch {
 	case a.Outcome != dispatch.Served || a.Missing > 0 || late:
 		return r.failed
@@ -122,18 +123,18 @@
 	return nil
 }
 
-func (r *Recorder) write(req *dispatch.Request, a *dispatch.Answer, t *dispatch.Trace, took time.Duration, route string) {
+func (r *Recorder) write(req *dispatch.Request, a *dispatch.Answer, t *dispatch.Trace, elapsed time.Duration, route string) {
 	r.log.Info(MsgRequest,
 		zap.String(FieldID, req.ID), zap.String("route", route), zap.String(FieldOutcome, string(a.Outcome)), zap.String(FieldReason, string(a.Reason)),
 		zap.String(FieldFrom, req.From), zap.String(FieldGatherer, t.Gatherer), zap.String(FieldDeclined, req.Declined),
-		zap.Duration(FieldTook, took), zap.Duration(FieldTarget, targetOf(a.Route)), zap.Duration("remaining", req.Remaining),
+		zap.Duration(FieldTook, elapsed), zap.Duration(FieldTarget, targetOf(a.Route)), zap.Duration("remaining", req.Remaining),
 		zap.Uint64("config_version", t.Version), zap.Uint64("store_revision", t.Revision),
 		zap.Int("calls", t.Calls), zap.Int("hedges", t.Hedges), zap.Int("repeats", t.Repeats),
 		zap.Int("refusals", t.Refusals), zap.Int("failures", t.Failures), zap.Int("denied", t.Denied), zap.Int("missing", a.Missing), zap.Int("given_up", t.GivenUp),
-		zap.Duration("retry_after", a.RetryAfter), zap.Array(FieldBadCalls, badCalls(t.Bad)))
+		zap.Duration("retry_after", a.RetryAfter), zap.Array(FieldBadCalls, badCalls(t.BadCalls)))
 }
 
-// targetOf is the target of a route; 0 where there is none.
+// targetOf returns the target of a route; 0 if there is no route.
 func targetOf(r *catalog.Route) time.Duration {
 	if r == nil {
 		return 0
@@ -141,7 +142,7 @@
 	return r.Target
 }
 
-// badCalls writes bad calls as an array of objects.
+// badCalls encodes bad calls as an array of objects.
 type badCalls []dispatch.BadCall
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
@@ -160,25 +161,25 @@
 func (b badCall) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	enc.AddString(FieldService, b.Service)
 	enc.AddString(FieldLeaf, b.Leaf.String())
-	enc.AddString(FieldWhat, b.What)
+	enc.AddString(FieldWhat, b.Problem)
 	enc.AddDuration("after", b.After)
 	return nil
 }
 
-// Run tells of lines left out, until ctx ends.
+// Run periodically logs the number of omitted lines until ctx ends.
 func (r *Recorder) Run(ctx context.Context) error {
 	t := time.NewTicker(reportPeriod)
 	defer t.Stop()
-	var told uint64
+	var reported uint64
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
 		}
-		if n := r.leftOut.Load() + r.sink.Dropped(); n > told {
-			r.log.Warn(MsgLeftOut, zap.Uint64(FieldLines, n-told), zap.Duration("within", reportPeriod))
-			told = n
+		if n := r.linesLeftOut.Load() + r.sink.Dropped(); n > reported {
+			r.log.Warn(MsgLeftOut, zap.Uint64(FieldLines, n-reported), zap.Duration("within", reportPeriod))
+			reported = n
 		}
 	}
 }
--- a/internal/decision/record_test.go
+++ b/internal/decision/record_test.go
@@ -16,19 +16,19 @@
 	"github.com/burdockplank/burdockplank/internal/dispatch"
 )
 
-// A line names what went wrong where, so that a search that lacks a shard leads to its leaf.
+// A line lists the bad calls of a request, so that a search with a missing shard can be traced to the leaf.
 func TestLineNamesBadCalls(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
 	r := New(zap.New(core), noDrops{}, DefaultLimits(), prometheus.NewRegistry())
 	r.Ended(&dispatch.Request{ID: "id-1", Arrived: time.Now()}, &dispatch.Answer{Outcome: dispatch.Served, Missing: 1, Route: route},
-		&dispatch.Trace{Bad: []dispatch.BadCall{{Service: "shard-4", Leaf: catalog.LeafID{Name: "i-1"}, What: "no answer yet", After: 140 * time.Millisecond}}})
+		&dispatch.Trace{BadCalls: []dispatch.BadCall{{Service: "shard-4", Leaf: catalog.LeafID{Name: "i-1"}, Problem: "no answer yet", After: 140 * time.Millisecond}}})
 	is.Equal(logs.All()[0].ContextMap()["bad_calls"], []any{map[string]any{
 		"service": "shard-4", "leaf": "i-1", "what": "no answer yet", "after": 140 * time.Millisecond,
 	}})
 }
 
-// BenchmarkScrape measures one scrape of the metrics of requests, by the number of routes in use.
+// BenchmarkScrape measures one scrape of the request metrics by the number of routes in use.
 func BenchmarkScrape(b *testing.B) {
 	for _, routes := range []int{100, 400, 1400} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -12,132 +12,134 @@
 )
 
 const (
-	// admitUpTo is the part of a search's time that its calls may be expected to take where leaves have queues. A
-	// leaf works as much with a short queue as with a long one: what is let in beyond this is late, and makes all
-	// the rest late. The rest of the time is for what can't be expected: a pause, a repeat, the way back.
-	admitUpTo = 0.9
-	// admitBand is how far around that limit some are refused and some let in, so that the VMs, which see the same
-	// queues, don't close and open together.
-	admitBand = 0.35
-	// urgentMore is by how much higher the limit is for each rank by which a route is above the least urgent one
-	// of the same shards.
-	urgentMore = 0.15
-	// crowdLeast is by how many times a queue makes a call longer from which a shard counts as crowded: as many
-	// requests wait as there are slots.
-	crowdLeast = 2
-	// kindKeep is how long a route without a search counts among those of its shards.
-	kindKeep = 5 * time.Second
+	// admitFraction is the fraction of a search's time that its calls may be expected to take when leaves have
+	// queues. A leaf does as much work with a short queue as with a long one, so searches admitted beyond this
+	// limit are late and make all others late. The remaining time covers what cannot be predicted: a pause, a
+	// repeat and the way back.
+	admitFraction = 0.9
+	// admitSpread is the range around the limit in which some searches are refused and some admitted, so that VMs
+	// that see the same queues do not all stop and resume admission together.
+	admitSpread = 0.35
+	// urgentBonus is the increase of the limit for each priority rank of a route above the least urgent route on
+	// the same shards.
+	urgentBonus = 0.15
+	// minQueueFactor is the queue factor from which a shard counts as queued: as many requests wait as there are
+	// slots.
+	minQueueFactor = 2
+	// routeExpiry is how long a route without searches still counts among the routes on its shards.
+	routeExpiry = 5 * time.Second
 )
 
-// kinds knows which routes search the same shards, and how much of a queue each can bear. It is safe for
-// concurrent use.
-type kinds struct {
+// sharedShards tracks which routes search the same shards and how much queueing each of them tolerates. It is safe
+// for concurrent use.
+type sharedShards struct {
 	mu sync.Mutex
-	// by the first shard and the route's name; guarded by mu.
-	by map[string]map[string]kind
+	// byShard is keyed by the first shard, then by route name. Guarded by mu.
+	byShard map[string]map[string]routeHeadroom
 }
 
-// kind is what one route can bear.
-type kind struct {
-	// room is how many usual times of a call its searches have.
-	room     float64
+// routeHeadroom is how much queueing one route tolerates.
+type routeHeadroom struct {
+	// headroom is the time that the route's searches have, as a multiple of the typical call time.
+	headroom float64
 	priority int
 	at       time.Time
 }
 
-// limit notes a search of the route and returns up to which multiple of the usual time its calls may be expected
-// to take: what the route with the least room of those on the same shards can bear, since all wait in the same
-// queues, and somewhat more where this one is more urgent.
-func (k *kinds) limit(route *catalog.Route, room float64, now time.Time) float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.by == nil {
-		k.by = make(map[string]map[string]kind)
+// limit records a search of the route and returns the largest multiple of the typical call time that its calls may
+// be expected to take. The limit is that of the route with the least headroom on the same shards, because all
+// routes wait in the same queues. More urgent routes get a somewhat higher limit.
+func (s *sharedShards) limit(route *catalog.Route, headroom float64, now time.Time) float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byShard == nil {
+		s.byShard = make(map[string]map[string]routeHeadroom)
 	}
-	same := k.by[route.Shards[0]]
-	if same == nil {
-		k.forget(now)
-		same = make(map[string]kind)
-		k.by[route.Shards[0]] = same
+	routes := s.byShard[route.Shards[0]]
+	if routes == nil {
+		s.dropOld(now)
+		routes = make(map[string]routeHeadroom)
+		s.byShard[route.Shards[0]] = routes
 	}
-	same[route.Name] = kind{room, route.Priority, now}
-	least, last := room, route.Priority
-	for name, other := range same {
-		if now.Sub(other.at) > kindKeep {
-			delete(same, name)
+	routes[route.Name] = routeHeadroom{headroom, route.Priority, now}
+	minHeadroom, leastUrgent := headroom, route.Priority
+	for name, other := range routes {
+		if now.Sub(other.at) > routeExpiry {
+			delete(routes, name)
 			continue
 		}
-		least, last = min(least, other.room), max(last, other.priority)
+		minHeadroom, leastUrgent = min(minHeadroom, other.headroom), max(leastUrgent, other.priority)
 	}
-	return admitUpTo * least * (1 + urgentMore*float64(last-route.Priority))
+	return admitFraction * minHeadroom * (1 + urgentBonus*float64(leastUrgent-route.Priority))
 }
 
-// forget drops shards that no route searches any more. Requires mu.
-func (k *kinds) forget(now time.Time) {
-	for shard, same := range k.by {
-		for name, other := range same {
-			if now.Sub(other.at) > kindKeep {
-				delete(same, name)
+// dropOld drops shards that no route searches any more. Requires mu.
+func (s *sharedShards) dropOld(now time.Time) {
+	for shard, routes := range s.byShard {
+		for name, other := range routes {
+			if now.Sub(other.at) > routeExpiry {
+				delete(routes, name)
 			}
 		}
-		if len(same) == 0 {
-			delete(k.by, shard)
+		if len(routes) == 0 {
+			delete(s.byShard, shard)
 		}
 	}
 }
 
-// overloaded refuses a search at once where the queues at the leaves of too many shards are so long that it would
-// be late, and leaves out the shards that can't answer in time where it can do without them: both take work off
-// leaves that can't do it in time, so that what is let in is.
-func (r *run) overloaded() *Answer {
+// refuseOverload refuses a search immediately if the queues at the leaves of too many shards would make it late.
+// If the search can do without the shards that cannot answer in time, it leaves these out instead. Both keep work
+// off leaves that cannot do it in time, so that admitted searches are in time.
+func (r *run) refuseOverload() *Answer {
 	if !r.route.Search() {
 		return nil
 	}
 	now := time.Now()
-	usual := r.usual
-	left := r.soft.Sub(now)
-	limit := r.e.kinds.limit(r.route, float64(left)/float64(max(usual, 1)), now)
-	expected := r.crowded(now)
-	slices.SortFunc(expected, func(a, b expectation) int { return cmp.Compare(b.takes, a.takes) })
+	typical := r.typical
+	remaining := r.softDeadline.Sub(now)
+	limit := r.e.sharedShards.limit(r.route, float64(remaining)/float64(max(typical, 1)), now)
+	expected := r.queuedGroups(now)
+	slices.SortFunc(expected, func(a, b expectation) int { return cmp.Compare(b.duration, a.duration) })
 	spare := len(r.groups) - r.needed
-	if spare < len(expected) && r.turnAway(float64(expected[spare].takes)/float64(usual), limit) {
+	if spare < len(expected) && r.shouldShed(float64(expected[spare].duration)/float64(typical), limit) {
 		for _, x := range expected[:spare+1] {
 			g := &r.groups[x.group]
-			r.trace.bad(BadCall{Service: g.service, What: fmt.Sprintf("expected to take %v of %v", x.takes, time.Duration(limit*float64(usual)))})
+			r.trace.addBadCall(BadCall{Service: g.service, Problem: fmt.Sprintf("expected to take %v of %v", x.duration, time.Duration(limit*float64(typical)))})
 		}
-		return r.answer(&Answer{Outcome: NotRun, Reason: ReasonBusyLeaves, RetryAfter: comeBack(max(expected[spare].takes, retryRefused))})
+		return r.answer(&Answer{Outcome: NotRun, Reason: ReasonBusyLeaves, RetryAfter: withJitter(max(expected[spare].duration, retryRefused))})
 	}
 	for _, x := range expected[:min(spare, len(expected))] {
-		if x.takes < left {
+		if x.duration < remaining {
 			break
 		}
-		r.kill(&r.groups[x.group], ReasonBusyLeaves)
+		r.failGroup(&r.groups[x.group], ReasonBusyLeaves)
 	}
 	return nil
 }
 
-// turnAway draws whether a search is refused whose calls are expected to take so many usual times.
-func (r *run) turnAway(times, limit float64) bool {
-	return rand.Float64() < (times/limit-(1-admitBand))/(2*admitBand)
+// shouldShed decides at random whether to refuse a search whose calls are expected to take the given multiple of
+// the typical call time.
+func (r *run) shouldShed(multiple, limit float64) bool {
+	return rand.Float64() < (multiple/limit-(1-admitSpread))/(2*admitSpread)
 }
 
-// expectation is how long the call of a group is expected to take.
+// expectation is the expected duration of a group's call.
 type expectation struct {
-	group int
-	takes time.Duration
+	group    int
+	duration time.Duration
 }
 
-// crowded returns the groups whose leaves have queues, and how long their calls are expected to take. A shard that
-// is slow without a queue isn't among them: fewer searches would make it no faster.
-func (r *run) crowded(now time.Time) []expectation {
+// queuedGroups returns the groups whose leaves have queues, with the expected duration of their calls. A shard
+// that is slow without a queue is not included, because fewer searches would not make it faster.
+func (r *run) queuedGroups(now time.Time) []expectation {
 	var out []expectation
 	for i := range r.groups {
-		from := r.candidates(&r.groups[i])
-		if len(from) == 0 {
+		candidates := r.candidates(&r.groups[i])
+		if len(candidates) == 0 {
 			continue
 		}
-		if takes, crowd := r.e.table.Expect(now, r.route.Name, r.guess, r.candidatesOf(from)); crowd >= crowdLeast {
-			out = append(out, expectation{i, takes})
+		if duration, queueFactor := r.e.table.Expect(now, r.route.Name, r.estimate, r.replicaCandidates(candidates)); queueFactor >= minQueueFactor {
+			out = append(out, expectation{i, duration})
 		}
 	}
 	return out
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -16,20 +16,20 @@
 	"github.com/burdockplank/burdockplank/internal/leafcall"
 )
 
-func TestWholeSearch(t *testing.T) {
+func TestCompleteSearch(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Outcome, Served)
 		is.Equal(len(a.Signatures), shards)
 		is.Equal(a.Missing, 0)
 		is.Equal(string(a.Records), "s9-a            s8-a            s7-a            ")
-		is.Equal(took, 10*ms)
+		is.Equal(elapsed, 10*ms)
 		is.Equal(w.callsTo("s0-a", "s0-b", "s0-c"), 1)
 	})
 }
 
-// A shard that stands still costs a hedge, not the search.
+// A paused leaf of one shard costs a hedge but does not delay the search.
 func TestPausedLeafIsHedged(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -37,36 +37,36 @@
 			w.ask(t.Context(), "/s/q")
 		}
 		w.oddFirst("s4", reply{after: 200 * ms})
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 0)
-		is.True(took < 80*ms)
+		is.True(elapsed < 80*ms)
 		is.Equal(w.traces[20].Hedges, 1)
 	})
 }
 
-// Where a hedge can't help either, the answer comes in time without the shard, and says so.
+// If a hedge does not help either, the answer is in time without the shard and says so.
 func TestPartialAnswerComesInTime(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for _, id := range []string{"s4-a", "s4-b", "s4-c"} {
 			w.set(id, ok(time.Second))
 		}
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Outcome, Served)
 		is.Equal(a.Reason, ReasonPartial)
 		is.Equal(a.Missing, 1)
 		is.Equal(len(a.Signatures), shards-1)
-		is.True(took <= 140*ms)
-		bad := w.traces[0].Bad
+		is.True(elapsed <= 140*ms)
+		bad := w.traces[0].BadCalls
 		is.Equal(len(bad), 1)
 		is.Equal(bad[0].Service, "s4")
 		is.True(strings.HasPrefix(bad[0].Leaf.Name, "s4-"))
-		is.Equal(bad[0].What, "no answer yet")
+		is.Equal(bad[0].Problem, "no answer yet")
 		is.True(!slices.ContainsFunc(a.Signatures, func(s string) bool { return strings.Contains(s, "s4") }))
 	})
 }
 
-// Two of ten shards gone is too few, which is known as soon as their leaves have failed.
+// Two of ten shards are too many to lose, which is known as soon as their leaves have failed.
 func TestTooFewShardsFailsAtOnce(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -75,9 +75,9 @@
 				w.set(s+r, fail(leafcall.ConnectionLost))
 			}
 		}
-		a, took := w.ask(t.Context(), "/s/q")
-		is.Equal(a.Outcome, Unknown) // parts of it have run
-		is.True(took < 10*ms)
+		a, elapsed := w.ask(t.Context(), "/s/q")
+		is.Equal(a.Outcome, Unknown) // some calls of it have run
+		is.True(elapsed < 10*ms)
 	})
 }
 
@@ -88,19 +88,19 @@
 		a, _ := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 1) // one may be missing
 		delete(w.view.Leaves, "s5")
-		before := len(w.asked)
-		a, took := w.ask(t.Context(), "/s/q")
+		before := len(w.requests)
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Outcome, NotRun)
 		is.Equal(a.Reason, ReasonNoLeaf)
 		is.True(a.RetryAfter > 0)
-		is.Equal(took, time.Duration(0))
-		is.Equal(len(w.asked), before)
+		is.Equal(elapsed, time.Duration(0))
+		is.Equal(len(w.requests), before)
 	})
 }
 
-// While no leaf of too many shards gives a sign of life, as in a zone that is cut off from those of others,
-// searches are refused at once, as not run and with a time to come back, instead of waiting until their time is
-// over; now and then one tries, so that the end of it is found.
+// While too many shards have no responsive leaf, as in a zone that is cut off from those of others, searches are
+// refused immediately, as not run and with a retry delay, instead of waiting until their deadline. Occasional
+// searches are still sent, so that the recovery is detected.
 func TestSearchOfMuteShardsIsRefusedAtOnce(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -118,17 +118,17 @@
 		}
 		mute("s4", "s5")
 		var tried, refused atomic.Int64
-		for begun := time.Now(); time.Since(begun) < 6*time.Second; time.Sleep(20 * ms) {
+		for start := time.Now(); time.Since(start) < 6*time.Second; time.Sleep(20 * ms) {
 			go func() {
-				a, took := w.ask(t.Context(), "/s/q")
+				a, elapsed := w.ask(t.Context(), "/s/q")
 				if a.Outcome != NotRun {
 					tried.Add(1)
 					return
 				}
 				refused.Add(1)
-				is.Equal(a.Reason, ReasonMuteLeaves)
+				is.Equal(a.Reason, ReasonUnresponsiveLeaves)
 				is.True(a.RetryAfter > 0)
-				is.Equal(took, time.Duration(0))
+				is.Equal(elapsed, time.Duration(0))
 			}()
 		}
 		time.Sleep(2 * time.Second)
@@ -140,21 +140,22 @@
 			}
 		}
 		a, _ := w.ask(t.Context(), "/s/q")
-		is.Equal(a.Missing, 0) // well again
+		is.Equal(a.Missing, 0) // recovered
 	})
 }
 
-// A refused part goes to another leaf at once, and a failure of a leaf is no part.
+// A refused call is repeated at another leaf immediately, and a failure response of a leaf does not count as a
+// part.
 func TestRefusedAndFailedPartsAreRepeated(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.set("s1-a", refuses())
 		w.set("s2-a", always(reply{after: ms, status: 500}))
 		w.set("s3-a", fail(leafcall.Spoiled))
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 0)
 		is.True(!slices.ContainsFunc(a.Signatures, func(s string) bool { return strings.HasPrefix(s, "bad") }))
-		is.True(took < 20*ms)
+		is.True(elapsed < 20*ms)
 		is.Equal(w.traces[0].Repeats, 3)
 	})
 }
@@ -166,13 +167,13 @@
 			w.set(id, always(reply{after: ms, status: 500}))
 		}
 		a, _ := w.ask(t.Context(), "/i/1")
-		is.Equal(a.Outcome, LeafFailure) // the leaf's own word is passed on
+		is.Equal(a.Outcome, LeafFailure) // the leaf's own response is passed on
 		is.Equal(a.Leaf.Status, 500)
 		is.Equal(w.callsTo("x-a", "x-b", "x-c"), 2)
 	})
 }
 
-// What isn't idempotent is sent again only where it has surely not run.
+// A request that is not idempotent is sent again only if it has certainly not run.
 func TestAtMostOnce(t *testing.T) {
 	for name, tt := range map[string]struct {
 		first   behaviour
@@ -194,68 +195,68 @@
 			play(t, func(t *testing.T, w *world) {
 				is := is.New(t)
 				w.set("x-a", tt.first)
-				a, took := w.ask(t.Context(), "/o/1")
+				a, elapsed := w.ask(t.Context(), "/o/1")
 				is.Equal(a.Outcome, tt.outcome)
 				is.Equal(w.callsTo("x-a", "x-b", "x-c"), tt.calls)
-				is.True(took <= 2*time.Second)
+				is.True(elapsed <= 2*time.Second)
 			})
 		})
 	}
 }
 
-// not_run is said only where no leaf has run the request, and with a time to come back.
-func TestNotRunIsTrue(t *testing.T) {
+// NotRun is returned only if no leaf has run the request, and with a retry delay.
+func TestNotRunOnlyIfNoLeafRan(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for _, id := range []string{"x-a", "x-b", "x-c"} {
 			w.set(id, refuses())
 		}
-		a, took := w.ask(t.Context(), "/o/1")
+		a, elapsed := w.ask(t.Context(), "/o/1")
 		is.Equal(a.Outcome, NotRun)
 		is.True(a.RetryAfter > 0)
-		is.True(took < 20*ms)
+		is.True(elapsed < 20*ms)
 		w.set("x-a", fail(leafcall.ConnectionLost))
 		a, _ = w.ask(t.Context(), "/i/1")
-		is.Equal(a.Outcome, Unknown) // refused by two, but one may have run it
+		is.Equal(a.Outcome, Unknown) // two leaves refused it, but one may have run it
 		is.Equal(w.lost["x-a"], 1)
 	})
 }
 
-// A call that is still in flight when the time is over may run yet.
+// A call that is still in flight at the deadline may still run.
 func TestTimedOutIsNotNotRun(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for id := range w.leaves {
 			w.set(id, ok(time.Hour))
 		}
-		a, took := w.ask(t.Context(), "/i/1")
+		a, elapsed := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, TimedOut)
-		is.True(took > 1900*ms && took < 2*time.Second)
-		a, took = w.ask(t.Context(), "/s/1")
+		is.True(elapsed > 1900*ms && elapsed < 2*time.Second)
+		a, elapsed = w.ask(t.Context(), "/s/1")
 		is.Equal(a.Outcome, TimedOut)
-		is.True(took < 800*ms) // the route's own timeout
+		is.True(elapsed < 800*ms) // the route's own timeout
 	})
 }
 
-// Leaves get no more time than is left, also with the second call.
-func TestTimeLeftIsPassedOn(t *testing.T) {
+// Leaves get no more than the remaining time, also with the second call.
+func TestRemainingTimeIsPassedOn(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.set("x-a", fail(leafcall.ConnectionLost))
 		w.set("x-a", always(reply{after: 300 * ms, cause: leafcall.ConnectionLost}))
 		w.set("x-b", ok(10*ms))
-		begun := time.Now()
-		w.engine.Serve(t.Context(), &Request{ID: "r", Method: "GET", Host: "h", Path: "/i/1", Target: "/i/1", Remaining: time.Second, Arrived: begun})
-		is.True(len(w.asked) >= 2)
-		is.Equal(w.asked[0].Remaining, time.Second)
-		for _, r := range w.asked[1:] {
+		start := time.Now()
+		w.engine.Serve(t.Context(), &Request{ID: "r", Method: "GET", Host: "h", Path: "/i/1", Target: "/i/1", Remaining: time.Second, Arrived: start})
+		is.True(len(w.requests) >= 2)
+		is.Equal(w.requests[0].Remaining, time.Second)
+		for _, r := range w.requests[1:] {
 			is.True(r.Remaining < time.Second)
 		}
 	})
 }
 
-// When the caller goes, so do its calls, and at once.
-func TestCallerThatLeaves(t *testing.T) {
+// When the caller leaves, its calls are cancelled immediately.
+func TestCallerLeaves(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for id := range w.leaves {
@@ -263,29 +264,29 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*ms, cancel)
-		begun := time.Now()
-		a, took := w.ask(ctx, "/s/q")
+		start := time.Now()
+		a, elapsed := w.ask(ctx, "/s/q")
 		is.Equal(a.Outcome, CallerGone)
-		is.Equal(took, 20*ms)
+		is.Equal(elapsed, 20*ms)
 		w.engine.Wait()
-		is.Equal(time.Since(begun), 20*ms)
-		is.True(w.gone >= shards)
+		is.Equal(time.Since(start), 20*ms)
+		is.True(w.abandoned >= shards)
 	})
 }
 
-// Calls that nobody waits for any more end within half a second.
-func TestLosersEnd(t *testing.T) {
+// Calls in flight after the answer end within half a second.
+func TestLateCallsEndAfterGracePeriod(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for range 10 {
 			w.ask(t.Context(), "/s/q")
 		}
 		w.oddFirst("s4", reply{after: time.Hour})
-		_, took := w.ask(t.Context(), "/s/q")
-		begun := time.Now()
+		_, elapsed := w.ask(t.Context(), "/s/q")
+		start := time.Now()
 		w.engine.Wait()
-		is.True(took < 100*ms)
-		is.Equal(time.Since(begun), linger)
+		is.True(elapsed < 100*ms)
+		is.Equal(time.Since(start), lateCallGrace)
 	})
 }
 
@@ -300,8 +301,8 @@
 	})
 }
 
-// What one part of a split has no room for is refused, not moved to the other.
-func TestSplitPartWithoutRoom(t *testing.T) {
+// A request that the service of one share of a split cannot take is refused, not moved to the other service.
+func TestSplitShareWithoutCapacity(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for _, id := range []string{"y-a", "y-b", "y-c"} {
@@ -325,7 +326,7 @@
 		is.Equal(a.Outcome, NoRoute)
 		w.view = &directory.View{}
 		a, _ = w.ask(t.Context(), "/s/q")
-		is.Equal(a.Outcome, NotRun) // never "no route" while none is known
+		is.Equal(a.Outcome, NotRun) // never "no route" while no configuration is known
 		is.Equal(a.Reason, ReasonNoConfig)
 	})
 }
@@ -333,15 +334,15 @@
 func TestCrashingRequestIsBlocked(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		w.block = true
+		w.blocked = true
 		a, _ := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, NotRun)
-		is.Equal(a.Reason, ReasonCrashing)
-		is.Equal(len(w.asked), 0)
+		is.Equal(a.Reason, ReasonCrashedLeaves)
+		is.Equal(len(w.requests), 0)
 	})
 }
 
-// A leaf whose address another one has is left out at once, also by requests after it.
+// A leaf whose address belongs to another leaf is left out immediately, also by later requests.
 func TestMovedLeaf(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -354,18 +355,18 @@
 	})
 }
 
-// A leaf that leaves while a request waits gets nothing of it.
-func TestLeafThatLeavesMeanwhile(t *testing.T) {
+// A leaf that leaves while a request waits gets no call of that request.
+func TestLeafLeavesDuringRequest(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.set("x-a", always(reply{after: 100 * ms, cause: leafcall.ConnectionLost}))
 		w.set("x-b", always(reply{after: 100 * ms, cause: leafcall.ConnectionLost}))
 		time.AfterFunc(50*ms, func() {
-			left := *w.view
-			left.Leaves = map[string][]catalog.Leaf{"x": {w.view.Leaves["x"][0], w.view.Leaves["x"][2]}}
+			next := *w.view
+			next.Leaves = map[string][]catalog.Leaf{"x": {w.view.Leaves["x"][0], w.view.Leaves["x"][2]}}
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.view = &left
+			w.view = &next
 		})
 		a, _ := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, Served)
@@ -373,8 +374,8 @@
 	})
 }
 
-// Leaves whose entries lapsed are asked only where there is no other.
-func TestLapsedLeavesAreTheLastResort(t *testing.T) {
+// Leaves with an expired entry are called only if there are no others.
+func TestExpiredLeavesAreUsedLast(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.view.Lapsed = map[string][]catalog.Leaf{"x": w.view.Leaves["x"][:1]}
@@ -389,7 +390,7 @@
 	})
 }
 
-// While all connections to a shard's leaves are in use its part waits for one.
+// While all connections to a shard's leaves are in use its call waits for one.
 func TestPartWaitsForAConnection(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
@@ -401,23 +402,23 @@
 			defer w.mu.Unlock()
 			w.full["s1-b"] = false
 		})
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 0)
-		is.True(took >= 40*ms && took < 50*ms)
+		is.True(elapsed >= 40*ms && elapsed < 50*ms)
 		is.Equal(w.traces[0].Repeats, 0)
 	})
 }
 
-func TestGreatest(t *testing.T) {
+func TestTopRecords(t *testing.T) {
 	is := is.New(t)
 	pad := func(s string) string { return s + strings.Repeat(".", recordBytes-len(s)) }
 	bodies := [][]byte{[]byte(pad("b") + pad("a") + "rest"), []byte(pad("c") + pad("b")), nil}
-	is.Equal(string(greatest(bodies, 3)), pad("c")+pad("b")+pad("b"))
-	is.Equal(string(greatest(bodies, 9)), pad("c")+pad("b")+pad("b")+pad("a"))
-	is.Equal(len(greatest(nil, 3)), 0)
+	is.Equal(string(topRecords(bodies, 3)), pad("c")+pad("b")+pad("b"))
+	is.Equal(string(topRecords(bodies, 9)), pad("c")+pad("b")+pad("b")+pad("a"))
+	is.Equal(len(topRecords(nil, 3)), 0)
 }
 
-func TestDigestNamesWhatIsRepeated(t *testing.T) {
+func TestDigestOfRepetitions(t *testing.T) {
 	is := is.New(t)
 	one := &Request{ID: "1", Method: "GET", Host: "h", Target: "/a", Body: []byte("x")}
 	again := *one
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -7,32 +7,33 @@
 	"github.com/matryer/is"
 )
 
-// warm lets the table learn that calls take 10 ms, and the budget that there are searches.
+// warm lets the table learn that calls take 10 ms and gives the budget a record of searches.
 func (w *world) warm(t *testing.T) {
 	for range 50 {
 		w.ask(t.Context(), "/s/q")
 	}
 }
 
-// A search that is much work is slow at all leaves alike: another leaf would take as long, and its calls would
-// be missing from the budget of those that meet a pause.
-func TestHeavySearchIsNotHedged(t *testing.T) {
+// An expensive search is slow at all leaves alike. Another leaf would take as long, and its hedges would be
+// missing from the budget of searches that meet a pause.
+func TestExpensiveSearchIsNotHedged(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.warm(t)
 		for id := range w.leaves {
 			w.set(id, ok(25*ms))
 		}
-		a, took := w.ask(t.Context(), "/s/q")
+		a, elapsed := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 0)
-		is.Equal(took, 25*ms)
+		is.Equal(elapsed, 25*ms)
 		is.Equal(w.traces[len(w.traces)-1].Hedges, 0)
 	})
 }
 
-// A leaf that stands still is known by the parts of the same search that are in: soon where it is little work,
-// later where it is much. The hedge goes out at 1.7 times what the others took, and takes as long as they did.
-func TestPauseIsJudgedByTheSearchItself(t *testing.T) {
+// A paused leaf is detected by comparison with the parts received for the same search: early if the search is
+// little work, later if it is much. The hedge is sent at 1.7 times the time of the other calls and takes as long
+// as they did.
+func TestPauseIsDetectedWithinTheSearch(t *testing.T) {
 	for name, tt := range map[string]struct{ work, within time.Duration }{
 		"little work": {6 * ms, 17 * ms}, "usual work": {10 * ms, 28 * ms}, "much work": {20 * ms, 56 * ms},
 	} {
@@ -43,25 +44,25 @@
 				for id := range w.leaves {
 					w.set(id, ok(tt.work))
 				}
-				asked := 0
+				calls := 0
 				for _, r := range []string{"-a", "-b", "-c"} {
 					w.set("s3"+r, func(int) reply {
-						asked++
-						return pick(asked == 1, reply{after: 120 * ms}, reply{after: tt.work})
+						calls++
+						return pick(calls == 1, reply{after: 120 * ms}, reply{after: tt.work})
 					})
 				}
-				a, took := w.ask(t.Context(), "/s/q")
+				a, elapsed := w.ask(t.Context(), "/s/q")
 				is.Equal(a.Missing, 0)
 				is.Equal(w.traces[len(w.traces)-1].Hedges, 1)
-				is.True(took <= tt.within)
+				is.True(elapsed <= tt.within)
 			})
 		})
 	}
 }
 
-// A VM whose processor's turn came late reads what has come in before it hedges: all of a search's calls look late
-// then, and hedges of them all would make it later still.
-func TestVMThatStoodStillDoesNotHedge(t *testing.T) {
+// A VM that was scheduled late reads the received answers before it hedges. At that moment all calls of a search
+// look late, and hedging them all would delay it further.
+func TestNoHedgesAfterSchedulingLag(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.warm(t)
@@ -76,12 +77,12 @@
 			r.send(i)
 		}
 		time.Sleep(40 * ms)
-		r.tick(time.Now(), 20*ms)
+		r.runDue(time.Now(), 20*ms)
 		is.Equal(trace.Hedges, 0)
-		r.tick(time.Now(), 0) // too soon: what came meanwhile isn't read yet
+		r.runDue(time.Now(), 0) // too early: answers received meanwhile are not read yet
 		is.Equal(trace.Hedges, 0)
-		time.Sleep(poll)
-		r.tick(time.Now(), 0)
+		time.Sleep(retryPoll)
+		r.runDue(time.Now(), 0)
 		is.True(trace.Hedges > 0) // the leaves are late, not this VM
 	})
 }
--- a/internal/dispatch/learn.go
+++ b/internal/dispatch/learn.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/replica"
 )
 
-// learn takes what the end of a call tells of its leaf.
-func (r *run) learn(leaf catalog.Leaf, call *replica.Call, resp *leafcall.Response, err error) {
+// recordCallEnd records what the end of a call shows about its leaf and its request.
+func (r *run) recordCallEnd(leaf catalog.Leaf, call *replica.Call, resp *leafcall.Response, err error) {
 	now := time.Now()
 	if resp != nil && resp.Load != nil {
 		r.e.table.Report(leaf.ID, *resp.Load, now)
@@ -20,12 +20,12 @@
 	var failure *leafcall.Error
 	switch {
 	case resp != nil && resp.Moved:
-		r.e.moved.add(leaf, now)
+		r.e.movedLeaves.add(leaf, now)
 	case resp != nil && !resp.NotRun:
 		r.answered.Store(true)
 		r.e.crashes.Answered(r.digest)
 	case errors.As(err, &failure) && failure.Cause == leafcall.ConnectionLost:
-		if !r.answered.Load() { // what a leaf has answered crashes none
+		if !r.answered.Load() { // a request that a leaf has answered does not crash leaves
 			r.e.crashes.Lost(r.digest, leaf.ID)
 		}
 	case failure != nil && failure.Refused:
@@ -33,7 +33,7 @@
 	}
 }
 
-// resultOf says what the end of a call tells of its leaf.
+// resultOf classifies the end of a call by what it shows about the leaf.
 func resultOf(resp *leafcall.Response, err error) replica.Result {
 	if resp != nil {
 		switch {
@@ -55,9 +55,9 @@
 		return replica.Neutral
 	case leafcall.NoConnection:
 		if failure.Refused {
-			return replica.Closed
+			return replica.ConnectRefused
 		}
-		return replica.Unreached
+		return replica.Unreachable
 	}
 	return replica.Failed
 }
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -20,8 +20,8 @@
 	"github.com/burdockplank/burdockplank/internal/retrybudget"
 )
 
-// station is a leaf with slots and a queue: what finds the queue full is refused, and one with a shed part refuses
-// that part of its calls besides.
+// station is a leaf with slots and a queue. It refuses calls that find the queue full and, in addition, the
+// fraction shed of all calls.
 type station struct {
 	slots chan struct{}
 	shed  float64
@@ -34,11 +34,11 @@
 const (
 	stationSlots = 3
 	stationQueue = 12
-	// overloadVMs is how many VMs take the requests, each of which learns by itself.
+	// overloadVMs is the number of VMs that receive the requests. Each learns on its own.
 	overloadVMs = 4
 )
 
-// enter waits for a slot; false where the queue is full.
+// enter waits for a slot; it returns false if the queue is full.
 func (s *station) enter() bool {
 	s.mu.Lock()
 	if s.waiting >= stationQueue {
@@ -60,7 +60,7 @@
 	return &replica.Load{Running: len(s.slots), Waiting: s.waiting, Slots: stationSlots}
 }
 
-// overload is several VMs on the same leaves.
+// overload is several VMs that share the same leaves.
 type overload struct {
 	*world
 	rng      *rand.Rand
@@ -111,31 +111,32 @@
 	o.view = &directory.View{Config: catalog.New(3, routes, nil, catalog.Limits{}), Leaves: leaves, Revision: 9}
 	for range overloadVMs {
 		b := retrybudget.New(retrybudget.Limit{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}, time.Now)
-		b.SetPart(func(string) float64 { return 1. / overloadVMs })
+		b.SetShare(func(string) float64 { return 1. / overloadVMs })
 		o.engines = append(o.engines, New("z", o, o, replica.New(), b, o, o))
 	}
 	return o
 }
 
-// tally is what became of the requests of one kind.
+// tally counts the outcomes of the requests of one kind.
 type tally struct {
 	sent, inTime, late, refused, other int
-	// held is the longest time that a refusal took.
-	held time.Duration
+	// refusalTime is the longest time until a refusal.
+	refusalTime time.Duration
 }
 
-// servedPart is the part of requests that were answered with success, inTimePart that of those let in which were in
-// time.
-func (t *tally) servedPart() float64 { return float64(t.inTime+t.late) / float64(max(t.sent, 1)) }
-func (t *tally) inTimePart() float64 {
+// servedShare is the share of requests that were answered with success, and inTimeShare the share of the admitted
+// requests that were answered in time.
+func (t *tally) servedShare() float64 { return float64(t.inTime+t.late) / float64(max(t.sent, 1)) }
+func (t *tally) inTimeShare() float64 {
 	return float64(t.inTime) / float64(max(t.inTime+t.late+t.other, 1))
 }
 
-// press sends searches of both kinds at the multiple of 180 a second for the time, three quarters of them full ones.
-func (o *overload) press(t *testing.T, times float64, d time.Duration) (full, quick tally) {
+// press sends searches of both kinds at the given multiple of 180 a second for the given time. Three quarters of
+// them are full searches.
+func (o *overload) press(t *testing.T, multiple float64, d time.Duration) (full, quick tally) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	const usualRate = 180.
+	const typicalRate = 180.
 	for i, end := 0, time.Now().Add(d); time.Now().Before(end); i++ {
 		route, work, sum := fullSearch, 20., &full
 		if o.float() < 0.25 {
@@ -143,27 +144,27 @@
 		}
 		o.mu.Lock()
 		size := math.Exp(0.35 * o.rng.NormFloat64())
-		gap := o.rng.ExpFloat64() / (times * usualRate)
+		gap := o.rng.ExpFloat64() / (multiple * typicalRate)
 		o.mu.Unlock()
 		id := fmt.Sprint(route.Name, i, time.Now().UnixNano())
 		o.work.Store(id, time.Duration(work*size*float64(ms)))
 		all.Go(func() {
-			begun := time.Now()
+			start := time.Now()
 			a := o.engines[i%overloadVMs].Serve(t.Context(), &Request{
-				ID: id, Method: "GET", Host: "h", Path: route.Prefix, Target: route.Prefix, Remaining: route.Timeout, Arrived: begun,
+				ID: id, Method: "GET", Host: "h", Path: route.Prefix, Target: route.Prefix, Remaining: route.Timeout, Arrived: start,
 			})
-			took := time.Since(begun)
+			elapsed := time.Since(start)
 			mu.Lock()
 			defer mu.Unlock()
 			sum.sent++
 			switch {
-			case a.Outcome == Served && took < route.Target:
+			case a.Outcome == Served && elapsed < route.Target:
 				sum.inTime++
 			case a.Outcome == Served:
 				sum.late++
 			case a.Outcome == NotRun && a.Reason == ReasonBusyLeaves:
 				sum.refused++
-				sum.held = max(sum.held, took)
+				sum.refusalTime = max(sum.refusalTime, elapsed)
 				is.New(t).True(a.RetryAfter > 0)
 			default:
 				sum.other++
@@ -175,19 +176,19 @@
 	return full, quick
 }
 
-// More than twice the traffic, while a third of the leaves refuse 45 of 100 calls, and three times the traffic with
-// sound leaves, which is as much as they can do: who is let in is in time, the more urgent kind isn't served less,
-// and the rest hear at once when to come back. On a usual day, and at one and a half times its traffic, all are let
-// in.
+// The load is more than twice the traffic while a third of the leaves refuse 45 of 100 calls, and three times the
+// traffic with healthy leaves, which is as much as they can do. Admitted searches must be in time, the more urgent
+// kind must not be served less, and the others must be refused immediately with a retry delay. At the typical
+// traffic, and at one and a half times that, all must be admitted.
 func TestOverload(t *testing.T) {
 	for name, tt := range map[string]struct {
-		times, shed            float64
-		least, inTime, refused float64
+		multiple, shed             float64
+		minServed, inTime, refused float64
 	}{
-		"usual":           {times: 1, least: 0.99, inTime: 0.99},
-		"half as much":    {times: 1.5, least: 0.99, inTime: 0.99},
-		"twice, shedding": {times: 2.2, shed: 0.45, least: 0.6, inTime: 0.8, refused: 0.4},
-		"three times":     {times: 3, least: 0.5, inTime: 0.8, refused: 0.5},
+		"usual":           {multiple: 1, minServed: 0.99, inTime: 0.99},
+		"half as much":    {multiple: 1.5, minServed: 0.99, inTime: 0.99},
+		"twice, shedding": {multiple: 2.2, shed: 0.45, minServed: 0.6, inTime: 0.8, refused: 0.4},
+		"three times":     {multiple: 3, minServed: 0.5, inTime: 0.8, refused: 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -199,14 +200,14 @@
 						s.shed = tt.shed
 					}
 				}
-				full, quick := o.press(t, tt.times, 6*time.Second)
+				full, quick := o.press(t, tt.multiple, 6*time.Second)
 				t.Logf("full %+v quick %+v", full, quick)
 				sum := tally{sent: full.sent + quick.sent, inTime: full.inTime + quick.inTime, late: full.late + quick.late, other: full.other + quick.other}
-				is.True(sum.servedPart() >= tt.least)
-				is.True(sum.inTimePart() >= tt.inTime)
+				is.True(sum.servedShare() >= tt.minServed)
+				is.True(sum.inTimeShare() >= tt.inTime)
 				is.True(float64(full.refused+quick.refused) <= tt.refused*float64(sum.sent))
-				is.True(full.servedPart() >= quick.servedPart()-0.05)
-				is.Equal(full.held+quick.held, time.Duration(0))
+				is.True(full.servedShare() >= quick.servedShare()-0.05)
+				is.Equal(full.refusalTime+quick.refusalTime, time.Duration(0))
 				for _, e := range o.engines {
 					e.Wait()
 				}
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -11,7 +11,7 @@
 	"github.com/burdockplank/burdockplank/internal/leafcall"
 )
 
-// start is the only leaf of service x: i-1, started at the given time, at an address of its own.
+// start makes leaf i-1, started at the given time and at its own address, the only leaf of service x.
 func (w *world) start(born int64, b behaviour) {
 	id := catalog.LeafID{Name: "i-1", Born: born}
 	w.mu.Lock()
@@ -22,7 +22,7 @@
 	w.leaves[id.String()] = b
 }
 
-// startAgain answers the first call by its cause, at which moment the leaf starts again under its id.
+// startAgain lets the first call end with the cause; at that moment the leaf restarts under the same id.
 func (w *world) startAgain(cause leafcall.Cause, then behaviour) {
 	w.start(1, func(int) reply {
 		go w.start(2, then)
@@ -30,9 +30,10 @@
 	})
 }
 
-// A leaf that starts again in the middle of a request is another leaf: an idempotent request may go to it, within
-// its attempts; one that may have run at the earlier start goes nowhere; one that was surely not sent goes on.
-func TestLeafStartsAgainDuringARequest(t *testing.T) {
+// A leaf that restarts during a request is another leaf. An idempotent request may go to it, within its attempts.
+// A request that may have run on the earlier incarnation is not sent again, and one that was certainly not sent
+// is.
+func TestLeafRestartsDuringRequest(t *testing.T) {
 	for name, tt := range map[string]struct {
 		path    string
 		cause   leafcall.Cause
@@ -58,8 +59,8 @@
 	}
 }
 
-// A leaf whose address has another one now is left out, and is back as soon as it has started again.
-func TestMovedLeafIsBackWithItsNextStart(t *testing.T) {
+// A leaf whose address belongs to another leaf is left out, and is used again as soon as it has restarted.
+func TestMovedLeafReturnsAfterRestart(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.start(1, always(reply{after: ms, moved: true}))
@@ -71,8 +72,8 @@
 	})
 }
 
-// What was learned of a mute leaf says nothing of its next start.
-func TestNextStartOfAMuteLeafIsAsked(t *testing.T) {
+// The history of an unresponsive leaf does not apply to its next incarnation.
+func TestUnresponsiveLeafIsCalledAfterRestart(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		w.start(1, fail(leafcall.Abandoned))
@@ -80,15 +81,15 @@
 			w.ask(t.Context(), "/i/1")
 		}
 		w.start(2, ok(ms))
-		a, took := w.ask(t.Context(), "/i/1")
+		a, elapsed := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, Served)
-		is.True(took < 10*ms)
+		is.True(elapsed < 10*ms)
 	})
 }
 
-// A search of which a part is in has been run by a leaf that lives: the connections that it loses then count against
-// nobody.
-func TestLossAfterAPartIsNoSuspicion(t *testing.T) {
+// A search that has received a part was run by a leaf that survived it, so connections lost afterwards must not
+// count as crashes of the request.
+func TestConnectionLostAfterPartIsNoCrash(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
 		for _, s := range []string{"s4", "s5", "s6"} {
@@ -104,6 +105,6 @@
 			}
 		}
 		w.ask(t.Context(), "/s/q")
-		is.True(len(w.lost) > 0) // nobody has answered yet
+		is.True(len(w.lost) > 0) // no leaf has answered yet
 	})
 }
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -13,37 +13,38 @@
 )
 
 const (
-	// answerMargin is how long before a request's time is over its final answer is made.
+	// answerMargin is how long before the deadline of a request its final answer is made.
 	answerMargin = 25 * time.Millisecond
-	// linger is how long calls that nobody waits for go on after the answer: closing their connections
-	// would cost new ones, and their ends tell how slow the leaf is. A leaf may be at work no longer
-	// than half a second after the caller has gone.
-	linger = 300 * time.Millisecond
-	// poll is how often a shard that waits for a connection or the budget tries again.
-	poll = 4 * time.Millisecond
-	// refusedMost bounds how often one shard of a request is sent on after leaves refused it. A refusal
-	// has not run, so it doesn't count toward the route's attempts, but it counts toward the budget.
-	refusedMost = 3
-	// shortMost is how many shards too few a search may have and still be repeated for before others. Where leaves
-	// refuse every other call each shard takes two repeats; what a search that lacks more needs saves several others.
-	shortMost = 2
-	// guessPart is the part of the target that a call is guessed to take before any was measured.
-	guessPart = 0.25
-	// Times to come back after, by what has to change: leaves that refuse are less busy some tenths of a second
-	// later; a leaf that crashed is back after some seconds.
+	// lateCallGrace is the grace period for calls that are still in flight after the answer. Closing their
+	// connections would require new ones, and their ends show how slow the leaf is. A leaf must not work for
+	// longer than half a second after the caller has gone.
+	lateCallGrace = 300 * time.Millisecond
+	// retryPoll is how often a shard that waits for a connection or the budget tries again.
+	retryPoll = 4 * time.Millisecond
+	// maxRefusals bounds how often one shard of a request is repeated after leaves refused it. A refused call has
+	// not run, so it does not count toward the attempts of the route, but it counts toward the budget.
+	maxRefusals = 3
+	// maxShortfall is the largest number of missing shards with which a search still gets repeats before others.
+	// If leaves refuse every other call, each shard takes two repeats, so the repeats of a search that lacks more
+	// shards would save several others.
+	maxShortfall = 2
+	// estimateFraction is the fraction of the target that a call is estimated to take before any was measured.
+	estimateFraction = 0.25
+	// Retry delays by what has to change. Leaves that refuse are less busy some tenths of a second later; a leaf
+	// that crashed is back after some seconds.
 	retryRefused  = 60 * time.Millisecond
 	retryNoLeaf   = 250 * time.Millisecond
 	retryCrashing = 10 * time.Second
-	// retryMuteMost bounds the time told for mute shards: their return is found within half a second, and a
-	// person at a counter tries again by then anyway.
-	retryMuteMost = 5 * time.Second
+	// maxRetryDelay bounds the retry delay for unresponsive shards. Their recovery is detected within half a
+	// second, and a person who waits for the answer retries by then anyway.
+	maxRetryDelay = 5 * time.Second
 )
 
-// comeBack spreads the return of callers that were refused together over as long again.
-func comeBack(d time.Duration) time.Duration { return d + rand.N(d) }
+// withJitter adds jitter of up to d, so that callers that were refused together do not retry together.
+func withJitter(d time.Duration) time.Duration { return d + rand.N(d) }
 
-// run is one request being served. All fields but answered belong to the goroutine of serve; calls hand it their
-// ends over events.
+// run is one request being served. All fields but answered belong to the goroutine of serve. Calls report their
+// ends to it over events.
 type run struct {
 	e      *Engine
 	req    *Request
@@ -52,30 +53,32 @@
 	digest uint64
 	trace  *Trace
 	caller context.Context
-	// ctx is of the calls, which may outlive the answer by linger. It ends with the caller's time.
+	// ctx is the context of the calls, which may outlive the answer by lateCallGrace. It ends with the caller's
+	// deadline.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// soft is when a search that covers enough shards is answered without the others.
-	soft time.Time
+	// softDeadline is when a search that covers enough shards is answered without the others.
+	softDeadline time.Time
 	// deadline is when the final answer is made.
 	deadline time.Time
-	guess    time.Duration
-	// usual is what calls of the route take, by the time of the latest event; needed is how many groups have to be
-	// served. Both are asked for each group at each event, 20,000 times in a search of 135 shards.
-	usual  time.Duration
-	needed int
-	groups []group
-	// sizes of the parts that are in, by which this request's calls are judged.
-	sizes  sizes
+	estimate time.Duration
+	// typical is the typical call time of the route as of the latest event. needed is how many groups have to be
+	// served. Both are cached because they are read for each group at each event, 20,000 times in a search of 135
+	// shards.
+	typical time.Duration
+	needed  int
+	groups  []group
+	// ratios are those of the parts received, by which the other calls of this request are judged.
+	ratios callRatios
 	events chan event
-	over   chan struct{}
-	// done and dead count the groups.
-	done, dead int
-	// ran is true where a leaf may have run the request; answered is set, by the calls, once one has answered it.
+	ended  chan struct{}
+	// answeredGroups and failedGroups count the groups with a part and the failed ones.
+	answeredGroups, failedGroups int
+	// ran is true if a leaf may have run the request. answered is set by the calls once a leaf has answered it.
 	ran      bool
 	answered atomic.Bool
-	// failure is the last failure that a leaf answered with.
+	// failure is the last failure response of a leaf.
 	failure *leafcall.Response
 	reason  Reason
 }
@@ -83,26 +86,27 @@
 // group is one service of the request: a shard of a search, or the service of a single request.
 type group struct {
 	service string
-	// tried leaves get the request no second time; last is the latest of them.
-	tried []catalog.LeafID
-	last  catalog.LeafID
-	// runs counts calls that may have run, refusals those that did not.
+	// tried holds the leaves that do not get the request again; lastLeaf is the latest of them.
+	tried    []catalog.LeafID
+	lastLeaf catalog.LeafID
+	// runs counts the calls that may have run, refusals those that did not.
 	runs, refusals int
 	inFlight       int
 	// pending is true while a first call waits for a connection, or a repeat for the budget.
 	pending bool
 	hedged  bool
-	// begun is when the latest call that is no hedge was sent, expected how long it was expected to take, retryAt
-	// when a hedge that had no connection or budget is tried again.
-	begun    time.Time
-	expected time.Duration
-	retryAt  time.Time
-	// denied is true once the budget refused an extra call, other than one that could wait.
+	// sentAt is when the latest call that is not a hedge was sent, and expectedTime how long it was expected to
+	// take. retryAt is when a hedge that found no connection or budget is retried.
+	sentAt       time.Time
+	expectedTime time.Duration
+	retryAt      time.Time
+	// denied is true once the budget refused an extra call that was not deferrable.
 	denied bool
 	part   *leafcall.Response
-	dead   bool
-	// late is set once the part was late with all that the search needs in, noted once what became of it is.
-	late, noted bool
+	failed bool
+	// late is set once the part was late while the search covered enough shards without it. recorded is set once
+	// the outcome of the late part is recorded.
+	late, recorded bool
 }
 
 // event is the end of a call.
@@ -110,24 +114,24 @@
 	group int
 	leaf  catalog.LeafID
 	call  *replica.Call
-	// took is for how long it went on.
-	took time.Duration
-	resp *leafcall.Response
-	err  error
+	// elapsed is how long the call took.
+	elapsed time.Duration
+	resp    *leafcall.Response
+	err     error
 }
 
 func newRun(caller context.Context, e *Engine, req *Request, route *catalog.Route, view *directory.View, digest uint64, trace *Trace) *run {
 	r := &run{
 		e: e, req: req, route: route, view: view, digest: digest, trace: trace, caller: caller,
-		events: make(chan event), over: make(chan struct{}),
-		guess: time.Duration(float64(route.Target) * guessPart),
+		events: make(chan event), ended: make(chan struct{}),
+		estimate: time.Duration(float64(route.Target) * estimateFraction),
 	}
-	left := route.Waits(req.Remaining)
-	r.deadline = req.Arrived.Add(left - min(answerMargin, left/4))
+	remaining := route.Waits(req.Remaining)
+	r.deadline = req.Arrived.Add(remaining - min(answerMargin, remaining/4))
 	r.ctx, r.cancel = context.WithDeadline(context.WithoutCancel(caller), r.deadline.Add(answerMargin))
-	r.soft = req.Arrived.Add(route.Target - e.wayBack(req, route.Target))
-	if r.soft.After(r.deadline) {
-		r.soft = r.deadline
+	r.softDeadline = req.Arrived.Add(route.Target - e.transitTime(req, route.Target))
+	if r.softDeadline.After(r.deadline) {
+		r.softDeadline = r.deadline
 	}
 	services := route.Shards
 	if !route.Search() {
@@ -140,50 +144,50 @@
 	if route.Search() {
 		r.needed = route.Needed()
 	}
-	r.look()
+	r.refreshTypical()
 	return r
 }
 
-// look notes what calls of the route take by now.
-func (r *run) look() { r.usual = r.e.table.Usual(r.route.Name, r.guess) }
+// refreshTypical updates the typical call time of the route.
+func (r *run) refreshTypical() { r.typical = r.e.table.TypicalTime(r.route.Name, r.estimate) }
 
-// serve runs the request to its answer.
+// serve runs the request until it is answered.
 func (r *run) serve() *Answer {
 	defer r.finish()
 	for i := range r.groups {
 		r.e.budgets.Request(r.groups[i].service)
 	}
-	if a := r.hopeless(); a != nil {
+	if a := r.refuseUnreachable(); a != nil {
 		return a
 	}
-	if a := r.overloaded(); a != nil {
+	if a := r.refuseOverload(); a != nil {
 		return a
 	}
-	began := time.Now()
+	sendStart := time.Now()
 	for i := range r.groups {
-		if !r.groups[i].dead {
+		if !r.groups[i].failed {
 			r.send(i)
 		}
 	}
-	sending := time.Since(began) // nothing is read meanwhile
+	sending := time.Since(sendStart) // no events are read during this time
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		r.look()
-		if a := r.settled(time.Now()); a != nil {
+		r.refreshTypical()
+		if a := r.finalAnswer(time.Now()); a != nil {
 			return a
 		}
-		asked := time.Now()
-		wait := r.untilDue(asked)
+		waitStart := time.Now()
+		wait := r.untilDue(waitStart)
 		timer.Reset(wait)
 		select {
 		case ev := <-r.events:
-			r.take(ev)
+			r.handle(ev)
 		case <-timer.C:
 			now := time.Now()
-			late := now.Sub(asked) - wait
-			r.e.lag.observe(late)
-			r.tick(now, late+sending)
+			delay := now.Sub(waitStart) - wait
+			r.e.lag.observe(delay)
+			r.runDue(now, delay+sending)
 			sending = 0
 		case <-r.caller.Done():
 			r.cancel()
@@ -192,40 +196,40 @@
 	}
 }
 
-// finish lets the calls that are left end by themselves for a while.
+// finish lets the calls in flight end on their own for the grace period, then cancels them.
 func (r *run) finish() {
-	close(r.over)
-	left := 0
+	close(r.ended)
+	inFlight := 0
 	for i := range r.groups {
-		left += r.groups[i].inFlight
+		inFlight += r.groups[i].inFlight
 	}
-	if left == 0 {
+	if inFlight == 0 {
 		r.cancel()
 		return
 	}
-	time.AfterFunc(linger, r.cancel)
+	time.AfterFunc(lateCallGrace, r.cancel)
 }
 
-// settled returns the answer once nothing better is to be waited for.
-func (r *run) settled(now time.Time) *Answer {
+// finalAnswer returns the answer once waiting cannot improve it, and nil until then.
+func (r *run) finalAnswer(now time.Time) *Answer {
 	if !r.route.Search() {
-		return r.settledSingle(now)
+		return r.finalSingleAnswer(now)
 	}
-	open := len(r.groups) - r.done - r.dead
+	open := len(r.groups) - r.answeredGroups - r.failedGroups
 	switch {
-	case r.done == len(r.groups), r.mayAnswer() && (open == 0 || r.enough(now)):
-		return r.merged()
-	case r.done+open < r.needed:
-		return r.failed(ReasonFewShards)
+	case r.answeredGroups == len(r.groups), r.coversEnough() && (open == 0 || r.stopWaiting(now)):
+		return r.mergedAnswer()
+	case r.answeredGroups+open < r.needed:
+		return r.failedAnswer(ReasonTooFewShards)
 	case !now.Before(r.deadline):
-		return r.failed(ReasonDeadline)
-	case r.waitsForMute(now):
-		return r.failed(ReasonMuteLeaves)
+		return r.failedAnswer(ReasonDeadline)
+	case r.waitsForUnresponsive(now):
+		return r.failedAnswer(ReasonUnresponsiveLeaves)
 	}
 	return nil
 }
 
-func (r *run) settledSingle(now time.Time) *Answer {
+func (r *run) finalSingleAnswer(now time.Time) *Answer {
 	g := &r.groups[0]
 	switch {
 	case g.part != nil:
@@ -234,36 +238,37 @@
 			outcome = LeafFailure
 		}
 		return r.answer(&Answer{Outcome: outcome, Leaf: g.part})
-	case g.dead && g.inFlight == 0:
-		return r.failed(r.reason)
+	case g.failed && g.inFlight == 0:
+		return r.failedAnswer(r.reason)
 	case !now.Before(r.deadline):
-		return r.failed(ReasonDeadline)
+		return r.failedAnswer(ReasonDeadline)
 	}
 	return nil
 }
 
-// failed is the final answer of a request that can't be served: not run where that is certain.
-func (r *run) failed(why Reason) *Answer {
-	r.noteOpen()
+// failedAnswer returns the final answer of a request that cannot be served. It says NotRun only if that is
+// certain.
+func (r *run) failedAnswer(reason Reason) *Answer {
+	r.noteOpenGroups()
 	for i := range r.groups {
 		r.ran = r.ran || r.groups[i].inFlight > 0
 	}
-	if r.reason != ReasonNone && why == ReasonFewShards {
-		why = r.reason
+	if r.reason != ReasonNone && reason == ReasonTooFewShards {
+		reason = r.reason
 	}
 	switch {
 	case !r.ran:
 		after := retryRefused
-		if why == ReasonNoLeaf {
+		if reason == ReasonNoLeaf {
 			after = retryNoLeaf
 		}
-		return r.answer(&Answer{Outcome: NotRun, Reason: why, RetryAfter: comeBack(after)})
+		return r.answer(&Answer{Outcome: NotRun, Reason: reason, RetryAfter: withJitter(after)})
 	case r.failure != nil && !r.route.Search():
-		return r.answer(&Answer{Outcome: LeafFailure, Reason: why, Leaf: r.failure})
-	case why == ReasonDeadline:
-		return r.answer(&Answer{Outcome: TimedOut, Reason: why})
+		return r.answer(&Answer{Outcome: LeafFailure, Reason: reason, Leaf: r.failure})
+	case reason == ReasonDeadline:
+		return r.answer(&Answer{Outcome: TimedOut, Reason: reason})
 	}
-	return r.answer(&Answer{Outcome: Unknown, Reason: why})
+	return r.answer(&Answer{Outcome: Unknown, Reason: reason})
 }
 
 func (r *run) answer(a *Answer) *Answer {
@@ -271,14 +276,14 @@
 	return a
 }
 
-// kill ends a group without a part.
-func (r *run) kill(g *group, why Reason) {
-	if g.dead {
+// failGroup marks a group as failed.
+func (r *run) failGroup(g *group, reason Reason) {
+	if g.failed {
 		return
 	}
-	g.dead, g.pending = true, false
-	r.dead++
+	g.failed, g.pending = true, false
+	r.failedGroups++
 	if r.reason == ReasonNone {
-		r.reason = why
+		r.reason = reason
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica learns from their answers how fast and how sound leaves are, and chooses the leaf of
-// a call. It is pure: the time is passed in, and no transport is known.
+// Package replica estimates from past calls how fast and how reliable leaves are, and selects the leaf for a call.
+// It performs no I/O: callers pass the time in, and it does not depend on a transport.
 package replica
 
 import (
@@ -9,82 +9,87 @@
 	"github.com/burdockplank/burdockplank/internal/catalog"
 )
 
-// coldPace is the pace of a leaf in its warm-up before it has answered.
-const coldPace = 1.6
+// warmUpFactor is the time factor of a leaf in its warm-up before it has answered.
+const warmUpFactor = 1.6
 
 // Result says how a call ended.
 type Result int
 
-// The results of a call.
+// Results of a call.
 const (
 	// OK is a usable answer.
 	OK Result = iota
-	// Refused is an answer that the request was not run.
+	// Refused is an answer that says that the request was not run.
 	Refused
-	// Failed is a failure, a spoiled answer or a lost connection.
+	// Failed is a failure response, an invalid answer or a lost connection.
 	Failed
-	// Late is a call that was given up after it took far longer than usual.
+	// Late is a call that was abandoned after it took far longer than typical.
 	Late
-	// Unreached is a call for which no connection could be opened, and nobody refused it either.
-	Unreached
-	// Closed is a call for which the leaf's address refused a connection, as after a crash or beyond a cut.
-	Closed
-	// Neutral says nothing of the leaf, such as a call that its caller gave up.
+	// Unreachable is a call for which no connection could be opened, although none was refused.
+	Unreachable
+	// ConnectRefused is a call for which the leaf's address refused a connection, as after a crash or across a
+	// network partition.
+	ConnectRefused
+	// Neutral says nothing about the leaf, such as a call that its caller abandoned.
 	Neutral
 )
 
-// Load is a leaf's own report.
+// Load is a leaf's report of its own load.
 type Load struct {
 	Running, Waiting, Slots int
-	// Noise is how long work takes at the leaf at this moment, 100 for as usual; 0 where not reported.
-	Noise int
+	// WorkTimePercent is how long work currently takes at the leaf in percent, where 100 is the typical time; 0 if
+	// not reported.
+	WorkTimePercent int
 }
 
-// Candidate is a leaf that may be chosen.
+// Candidate is a leaf that may be selected.
 type Candidate struct {
 	ID    catalog.LeafID
 	Slots int
-	// Cold is set while the leaf is in its warm-up.
-	Cold bool
-	// Near is set where the leaf is in the availability zone of this VM.
-	Near bool
-	// Open is set where a connection to the leaf is open.
-	Open bool
+	// WarmingUp is set while the leaf is in its warm-up.
+	WarmingUp bool
+	// SameZone is set if the leaf is in the availability zone of this VM.
+	SameZone bool
+	// Connected is set if a connection to the leaf is open.
+	Connected bool
 }
 
-// Table keeps what was learned. It is safe for concurrent use.
+// Table holds the statistics of leaves and routes. It is safe for concurrent use.
 type Table struct {
 	mu sync.Mutex
-	// leaves by id, and times by route; guarded by mu.
+	// leaves are keyed by id and routes by name; guarded by mu.
 	leaves map[catalog.LeafID]*leaf
 	routes map[string]*routeTime
 }
 
-// routeTime is the usual time of a call of a route.
+// routeTime is the typical call time of a route.
 type routeTime struct {
-	usual time.Duration
-	// answers counts those that it was moved by; seen is when the latest of them came.
-	answers int
-	seen    time.Time
+	typical time.Duration
+	// answers counts the answers that have moved the typical time; lastUpdate is when the latest call moved it.
+	answers    int
+	lastUpdate time.Time
 }
 
 type leaf struct {
-	pace   float64
-	paceAt time.Time
-	// own counts this VM's calls, lately follows the latest of them, told counts those of others by VM.
-	own    tally
-	lately lately
-	// slowly follows the part of slow ones, and slowPace how slow these are, as a multiple of the usual time.
-	slowly   lately
-	slowPace float64
-	told     map[string]tally
-	load     Load
-	loadAt   time.Time
-	// mute follows calls that stay without an answer.
-	mute mute
-	// begun are the starts of the calls in flight, with the time expected of each.
-	begun map[*Call]struct{}
-	seen  time.Time
+	// timeFactor is how long a call takes at the leaf without a queue, as a multiple of the typical time.
+	timeFactor   float64
+	timeFactorAt time.Time
+	// ownTally counts this VM's calls, recentFailed is the share of failures among its latest calls, and
+	// peerTallies counts the calls of other VMs by VM.
+	ownTally     tally
+	recentFailed recentShare
+	// recentSlow is the share of slow calls among the latest, and slowFactor how long slow calls take, as a
+	// multiple of the typical time.
+	recentSlow  recentShare
+	slowFactor  float64
+	peerTallies map[string]tally
+	load        Load
+	loadAt      time.Time
+	// silence tracks calls that stay unanswered.
+	silence silence
+	// inFlight holds the calls in flight.
+	inFlight      map[*Call]struct{}
+	lastCandidate time.Time
 }
 
 // Call is a call in flight.
@@ -92,75 +97,76 @@
 	t        *Table
 	id       catalog.LeafID
 	route    string
-	begun    time.Time
+	sentAt   time.Time
 	expected time.Duration
-	// crowd is how many times as long as on an idle leaf the call was expected to take for want of a slot.
-	crowd float64
-	ended bool
+	// queueFactor is how many times as long as on an idle leaf the call was expected to take because it waits for
+	// a slot.
+	queueFactor float64
+	ended       bool
 }
 
-// New returns a table that has learned nothing.
+// New returns an empty table.
 func New() *Table {
 	return &Table{leaves: make(map[catalog.LeafID]*leaf), routes: make(map[string]*routeTime)}
 }
 
-// Usual returns the usual time of a call of the route, first guessed as the given time.
-func (t *Table) Usual(route string, guess time.Duration) time.Duration {
+// TypicalTime returns the typical call time of the route, or the estimate if no call has been measured yet.
+func (t *Table) TypicalTime(route string, estimate time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.usualOf(route, guess)
+	return t.typicalOf(route, estimate)
 }
 
-func (t *Table) usualOf(route string, guess time.Duration) time.Duration {
+func (t *Table) typicalOf(route string, estimate time.Duration) time.Duration {
 	if r := t.routes[route]; r != nil {
-		return r.usual
+		return r.typical
 	}
-	return guess
+	return estimate
 }
 
-// leaf requires mu.
+// leaf returns the entry of the candidate and creates it if necessary. Requires mu.
 func (t *Table) leaf(c Candidate, now time.Time) *leaf {
 	l := t.leaves[c.ID]
 	if l == nil {
-		l = &leaf{pace: 1, begun: make(map[*Call]struct{}), paceAt: now}
-		if c.Cold {
-			l.pace = coldPace
+		l = &leaf{timeFactor: 1, inFlight: make(map[*Call]struct{}), timeFactorAt: now}
+		if c.WarmingUp {
+			l.timeFactor = warmUpFactor
 		}
 		t.leaves[c.ID] = l
 	}
-	l.seen = now
+	l.lastCandidate = now
 	return l
 }
 
-// Choose returns the index of the cheapest candidate and begins a call to it; -1 where there is none.
-func (t *Table) Choose(now time.Time, route string, guess time.Duration, from []Candidate) (int, *Call) {
-	if len(from) == 0 {
+// Choose returns the index of the cheapest candidate and starts a call to it; -1 if there are no candidates.
+func (t *Table) Choose(now time.Time, route string, estimate time.Duration, candidates []Candidate) (int, *Call) {
+	if len(candidates) == 0 {
 		return -1, nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	usual := t.usualOf(route, guess)
-	best := t.cheapest(now, usual, from)
-	l := t.leaves[from[best].ID]
-	crowd := l.crowd(l.queue(now), from[best])
-	call := &Call{t: t, id: from[best].ID, route: route, begun: now, expected: l.expected(now, usual, crowd), crowd: crowd}
-	l.begun[call] = struct{}{}
-	l.mute.begin(now)
+	typical := t.typicalOf(route, estimate)
+	best := t.cheapest(now, typical, candidates)
+	l := t.leaves[candidates[best].ID]
+	queueFactor := l.queueFactor(l.queue(now), candidates[best])
+	call := &Call{t: t, id: candidates[best].ID, route: route, sentAt: now, expected: l.expected(now, typical, queueFactor), queueFactor: queueFactor}
+	l.inFlight[call] = struct{}{}
+	l.silence.begin(now)
 	return best, call
 }
 
-// InFlight returns how many calls are in flight.
+// InFlight returns the number of calls in flight.
 func (t *Table) InFlight() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, l := range t.leaves {
-		n += len(l.begun)
+		n += len(l.inFlight)
 	}
 	return n
 }
 
-// Report takes a leaf's own report of its load.
+// Report stores a leaf's report of its own load.
 func (t *Table) Report(id catalog.LeafID, load Load, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,26 +175,27 @@
 	}
 }
 
-// Took returns for how long the call has gone on.
-func (c *Call) Took(now time.Time) time.Duration { return now.Sub(c.begun) }
+// Elapsed returns the time since the call was sent.
+func (c *Call) Elapsed(now time.Time) time.Duration { return now.Sub(c.sentAt) }
 
-// Expected returns the time that the call was expected to take.
+// Expected returns how long the call was expected to take.
 func (c *Call) Expected() time.Duration { return c.expected }
 
-// forgetAfter is how long a leaf is kept that is no candidate any more, and a route without an answer.
+// forgetAfter is how long a leaf is kept after it was last a candidate, and a route after its last answer.
 const forgetAfter = 2 * time.Minute
 
-// Forget drops leaves that were no candidate for long, and routes without an answer for as long.
+// Forget drops leaves that have not been candidates, and routes that have had no answer, for forgetAfter. Leaves
+// with calls in flight are kept.
 func (t *Table) Forget(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, l := range t.leaves {
-		if len(l.begun) == 0 && now.Sub(l.seen) > forgetAfter {
+		if len(l.inFlight) == 0 && now.Sub(l.lastCandidate) > forgetAfter {
 			delete(t.leaves, id)
 		}
 	}
 	for name, r := range t.routes {
-		if now.Sub(r.seen) > forgetAfter {
+		if now.Sub(r.lastUpdate) > forgetAfter {
 			delete(t.routes, name)
 		}
 	}
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -8,27 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-// clock is a hand-driven clock.
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
-func newClock() *clock                  { return &clock{time.Unix(1000, 0)} }
-func (c *clock) read() time.Time        { return c.now }
-func (c *clock) pass(d time.Duration)   { c.now = c.now.Add(d) }
-func (c *clock) since(t time.Time) bool { return c.now.Sub(t) < 10*time.Second }
+func newClock() *clock                   { return &clock{time.Unix(1000, 0)} }
+func (c *clock) read() time.Time         { return c.now }
+func (c *clock) advance(d time.Duration) { c.now = c.now.Add(d) }
+func (c *clock) since(t time.Time) bool  { return c.now.Sub(t) < 10*time.Second }
 
 var fleetLimit = Limit{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
 
-// evenly divides the slack among so many VMs.
+// evenly divides the slack equally among the given number of VMs.
 func evenly(vms int) func(string) float64 { return func(string) float64 { return 1 / float64(vms) } }
 
-// The slack of a service is divided by who sends its calls: the VMs that make all calls of searches may use
-// more of theirs than of others.
-func TestPartByService(t *testing.T) {
+// The slack of a service is divided among the VMs that send its calls, so the VMs that make all calls of searches
+// may use more of the slack of shards than of other services.
+func TestShareByService(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
-	c.pass(10 * time.Second) // past the first window
-	b.SetPart(func(service string) float64 { return map[string]float64{"shard": 0.5, "x": 0.1}[service] })
+	c.advance(10 * time.Second) // past the first window
+	b.SetShare(func(service string) float64 { return map[string]float64{"shard": 0.5, "x": 0.1}[service] })
 	count := func(service string) (n int) {
 		for b.Take(service, Needed) {
 			n++
@@ -43,8 +43,8 @@
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
-	c.pass(10 * time.Second) // past the first window
-	b.SetPart(evenly(6))
+	c.advance(10 * time.Second) // past the first window
+	b.SetShare(evenly(6))
 	for range 100 {
 		b.Request("x")
 	}
@@ -52,28 +52,28 @@
 	for b.Take("x", Needed) {
 		taken++
 	}
-	is.Equal(taken, 25)            // 0.95 * 0.2 * 100 and 0.7 * 52 / 6
-	is.True(b.Take("y", Needed))   // each service has its own
-	c.pass(11 * time.Second)       // the window has passed, with its requests
-	is.True(b.Take("x", Needed))   // the slack is back
-	is.True(b.Left()["x"] < 52./6) // and counted
+	is.Equal(taken, 25)                 // 0.95 * 0.2 * 100 and 0.7 * 52 / 6
+	is.True(b.Take("y", Needed))        // each service has its own budget
+	c.advance(11 * time.Second)         // the window has passed, with its requests
+	is.True(b.Take("x", Needed))        // the slack is available again
+	is.True(b.Remaining()["x"] < 52./6) // and counted
 }
 
-// What can wait leaves a part to what can't: while leaves pause and fail at once, hedges must not
-// take what repeats need.
-func TestReserveIsLeftToRepeats(t *testing.T) {
+// Deferrable and optional calls leave a reserve for needed ones: while leaves pause and fail together, hedges must
+// not use up the budget that repeats need.
+func TestReserveForNeededCalls(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
-	c.pass(10 * time.Second) // past the first window
-	b.SetPart(evenly(1))
+	c.advance(10 * time.Second) // past the first window
+	b.SetShare(evenly(1))
 	optional := 0
 	for b.Take("x", Optional) {
 		optional++
 	}
 	is.Equal(optional, 18)
 	waiting := optional
-	for b.Take("x", Waiting) {
+	for b.Take("x", Deferrable) {
 		waiting++
 	}
 	urgent := 0
@@ -84,17 +84,17 @@
 	is.Equal(urgent, 9)
 }
 
-// A VM of a large fleet has less than one extra call of the slack; it may still send one.
+// A VM of a large fleet has a share of less than one extra call of the slack. It may still send one.
 func TestOneIsAlwaysAllowed(t *testing.T) {
 	is := is.New(t)
 	b := New(fleetLimit, newClock().read)
-	b.SetPart(evenly(500))
+	b.SetShare(evenly(500))
 	is.True(b.Take("x", Needed))
 	is.True(!b.Take("x", Needed))
 }
 
-// However the callers are spread over the VMs and the time, the fleet stays within what the platform
-// allows in every window that begins with an extra call.
+// For any distribution of callers over VMs and time, the fleet must stay within the platform's limit in every
+// window that starts with an extra call.
 func TestFleetStaysWithinTheLimitInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
@@ -102,7 +102,7 @@
 		budgets := make([]*Budgets, vms)
 		for i := range budgets {
 			budgets[i] = New(fleetLimit, c.read)
-			budgets[i].SetPart(evenly(vms))
+			budgets[i].SetShare(evenly(vms))
 		}
 		type event struct {
 			at    time.Time
@@ -110,7 +110,7 @@
 		}
 		var events []event
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			c.pass(time.Duration(rapid.IntRange(0, 400).Draw(t, "pass")) * time.Millisecond)
+			c.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "pass")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, vms-1).Draw(t, "vm")]
 			for range rapid.IntRange(0, 20).Draw(t, "requests") {
 				b.Request("x")
@@ -138,46 +138,46 @@
 	})
 }
 
-// Whoever is refused learns whether it is worth a wait: what was spent long ago is soon forgotten, what was spent
-// just now isn't.
-func TestWhetherAnExtraCallComes(t *testing.T) {
+// A refused caller learns whether waiting is worthwhile: calls made long ago soon leave the window, recent ones do
+// not.
+func TestAvailableWithin(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
-	b.SetPart(evenly(500)) // one extra call in a window
-	c.pass(10 * time.Second)
-	is.True(b.Comes("x", Needed, 0))
+	b.SetShare(evenly(500)) // one extra call in a window
+	c.advance(10 * time.Second)
+	is.True(b.AvailableWithin("x", Needed, 0))
 	is.True(b.Take("x", Needed))
-	c.pass(time.Second)
-	is.True(!b.Comes("x", Needed, 4*time.Second))
-	c.pass(8 * time.Second)
-	is.True(!b.Comes("x", Needed, 500*time.Millisecond))
-	is.True(b.Comes("x", Needed, 2*time.Second))
+	c.advance(time.Second)
+	is.True(!b.AvailableWithin("x", Needed, 4*time.Second))
+	c.advance(8 * time.Second)
+	is.True(!b.AvailableWithin("x", Needed, 500*time.Millisecond))
+	is.True(b.AvailableWithin("x", Needed, 2*time.Second))
 	is.True(!b.Take("x", Needed))
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	is.True(b.Take("x", Needed))
 }
 
-// Services that nobody asks any more are forgotten; others stay.
+// Services without recent requests are dropped; others stay.
 func TestIdleServicesAreForgotten(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	b := New(fleetLimit, c.read)
 	b.Request("old")
-	c.pass(15 * time.Second)
+	c.advance(15 * time.Second)
 	b.Request("new")
-	b.SetPart(evenly(3))
-	is.Equal(len(b.Left()), 2)
-	c.pass(6 * time.Second)
-	b.SetPart(evenly(3))
-	left := b.Left()
-	is.Equal(len(left), 1)
-	is.True(left["new"] > 0)
+	b.SetShare(evenly(3))
+	is.Equal(len(b.Remaining()), 2)
+	c.advance(6 * time.Second)
+	b.SetShare(evenly(3))
+	remaining := b.Remaining()
+	is.Equal(len(remaining), 1)
+	is.True(remaining["new"] > 0)
 }
 
-// TestRestartOfAllKeepsTheLimit spends half of a full window's budget in its last seconds, as hedges and
-// repeats in an overload do, and goes on as fresh processes, which know nothing of it.
-func TestRestartOfAllKeepsTheLimit(t *testing.T) {
+// The fleet spends half of a full window's budget in the last seconds of that window, as hedges and repeats in an
+// overload do. Then all VMs restart and know nothing of it. Together both must stay within the limit.
+func TestFleetRestartKeepsTheLimit(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	const vms, perSecond = 6, 212
@@ -185,33 +185,33 @@
 		var fleet []*Budgets
 		for range vms {
 			b := New(fleetLimit, c.read)
-			b.SetPart(evenly(vms))
+			b.SetShare(evenly(vms))
 			fleet = append(fleet, b)
 		}
 		return fleet
 	}
 	fleet, spent := start(), 0
-	second := func(most int) {
+	runSecond := func(maxExtra int) {
 		for i := range perSecond {
 			b := fleet[i%vms]
 			b.Request("x")
-			if most > 0 && b.Take("x", Needed) {
+			if maxExtra > 0 && b.Take("x", Needed) {
 				spent++
-				most--
+				maxExtra--
 			}
 		}
-		c.pass(time.Second)
+		c.advance(time.Second)
 	}
 	for range 20 {
-		second(0)
+		runSecond(0)
 	}
-	for range 3 { // the window begins here
-		second(75)
+	for range 3 { // the window starts here
+		runSecond(75)
 	}
 	is.Equal(spent, 225)
 	fleet = start()
 	for range 7 {
-		second(perSecond)
+		runSecond(perSecond)
 	}
 	is.True(float64(spent) <= fleetLimit.Ratio*10*perSecond+fleetLimit.Slack)
 }
