--- a/internal/search/engine.go
+++ b/internal/search/engine.go
@@ -109,7 +109,7 @@
 		return e.answer(ctx, q)
 	}
 	if !q.state.limiter.enter(ctx, q.kind.Weight, q.queueWait()) {
-		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "concurrency limit of the service reached").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "too many searches run").After(e.settings.RetryAfter.D())
 	}
 	started := time.Now()
 	defer func() {
@@ -149,7 +149,7 @@
 		return nil, outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "query is not UTF-8 or top_k is negative")
 	}
 	if len(req.GetQuery()) > b.Limits.MaxQueryBytes || int(req.GetTopK()) > b.Limits.MaxTopK {
-		return nil, outcome.NotRun(pb.Reason_REASON_TOO_LARGE, Step, "query or top_k exceeds the limit")
+		return nil, outcome.NotRun(pb.Reason_REASON_TOO_LARGE, Step, "query or top_k above the limit")
 	}
 	q := &query{
 		identity: identity, bundle: b, service: s, kind: k, text: req.GetQuery(),
@@ -194,7 +194,7 @@
 func (e *Engine) answer(ctx context.Context, q *query) (*pb.SearchResponse, error) {
 	p := choosePlan(q.service, e.fleet())
 	if p == nil {
-		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard of any snapshot has a usable replica").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard can be asked").After(e.settings.RetryAfter.D())
 	}
 	sent := false
 	for reruns := 0; ; reruns++ {
--- a/internal/search/result.go
+++ b/internal/search/result.go
@@ -47,7 +47,7 @@
 	reason, peer := commonReason(c.GetMissing())
 	e := outcome.Failed(reason, Step, "%d of %d shards answered", c.GetShardsCovered(), c.GetShardsTotal())
 	if !sent {
-		e = outcome.NotRun(reason, Step, "no request reached a leaf")
+		e = outcome.NotRun(reason, Step, "no shard was asked")
 	}
 	return e.At(peer).After(r.retryAfter(reason))
 }
--- a/internal/search/trial.go
+++ b/internal/search/trial.go
@@ -256,5 +256,5 @@
 
 // quarantineRefusal returns the refusal of a request that crashed leaves.
 func quarantineRefusal(after time.Duration) *outcome.Error {
-	return outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the request was in flight during several upstream crashes").After(after)
+	return outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the request was in flight at several upstream crashes").After(after)
 }
