--- a/cmd/burdock-node/providers.go
+++ b/cmd/burdock-node/providers.go
@@ -25,23 +25,23 @@
 func provideSink() *logging.Async { return logging.NewAsync(os.Stdout) }
 
 func provideLog(s *deployment.Settings, level logLevel, sink *logging.Async) (*zap.Logger, error) {
-	return logging.NewAsyncLog(node.Name, s.VM, string(level), sink)
+	return logging.NewAsyncLog(node.Name, s.VMName, string(level), sink)
 }
 
 // providePlatform gathers what the adapter brings.
 func providePlatform(s *deployment.Settings, path settingsPath) node.Platform {
 	return node.Platform{
-		Store:   platform.NewStore(s.Store, s.IP),
+		Store:   platform.NewStore(s.StoreAddress, s.IP),
 		Decoder: platform.Decoder{},
 		Dialer:  platform.NewLeafDialer(s.IP),
-		Callers: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
+		NewCallerHandler: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
 			return platform.NewEdge(s, limits, leaving, refused)
 		},
-		Ready: platform.Ready,
+		NewReadinessHandler: platform.NewReadinessHandler,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return platform.ConnContext(ctx, c)
 		},
-		Reload: func() ([]string, error) {
+		ReloadSeeds: func() ([]string, error) {
 			now, err := platform.LoadSettings(string(path))
 			if err != nil {
 				return nil, err
--- a/internal/delegate/gatherer.go
+++ b/internal/delegate/gatherer.go
@@ -52,7 +52,7 @@
 }
 
 // SetPlan tells whether others hand searches to this VM.
-func (g *Gatherer) SetPlan(p Plan) { g.gathers.Store(p.Gathers) }
+func (g *Gatherer) SetPlan(p Plan) { g.gathers.Store(p.IsGatherer) }
 
 // Search answers a search for another VM, or says why it doesn't take it.
 func (g *Gatherer) Search(ctx context.Context, msg *pb.FleetSearch) *pb.FleetSearchAnswer {
--- a/internal/delegate/gatherer_test.go
+++ b/internal/delegate/gatherer_test.go
@@ -138,7 +138,7 @@
 		is := is.New(t)
 		e := &engine{view: &directory.View{Config: catalog.New(1, nil, nil, catalog.Limits{})}}
 		g := NewGatherer(e, e, func() bool { return false })
-		g.SetPlan(Plan{Gathers: true})
+		g.SetPlan(Plan{IsGatherer: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		is.NoErr(g.Run(ctx))
--- a/internal/delegate/manager.go
+++ b/internal/delegate/manager.go
@@ -33,8 +33,8 @@
 	Directory dispatch.Directory
 	Observer  dispatch.Observer
 	Dial      func(address string) Client
-	// Behind is told that the VM at the address has a newer configuration.
-	Behind func(address string)
+	// OnNewerConfig is told that the VM at the address has a newer configuration.
+	OnNewerConfig func(address string)
 	// Lag tells by how much this VM is late with its work.
 	Lag      func() time.Duration
 	Log      *zap.Logger
@@ -72,19 +72,19 @@
 func (m *Manager) SetPlan(p Plan) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	plan := make([]*target, 0, len(p.To)+len(p.Else))
-	for i, address := range slices.Concat(p.To, p.Else) {
+	plan := make([]*target, 0, len(p.ZoneGatherers)+len(p.OtherZoneGatherers))
+	for i, address := range slices.Concat(p.ZoneGatherers, p.OtherZoneGatherers) {
 		t := targetAt(m.plan, address)
 		if t == nil {
 			t = &target{address: address, client: m.cfg.Dial(address), flights: make(map[*flight]struct{})}
-			m.cfg.Log.Info("searches may go to a stronger VM", zap.String("peer", address), zap.Bool("last", i >= len(p.To)), zap.Int("gatherers", p.Gatherers))
+			m.cfg.Log.Info("searches may go to a stronger VM", zap.String("peer", address), zap.Bool("last", i >= len(p.ZoneGatherers)), zap.Int("gatherers", p.GathererCount))
 		}
-		t.last = i >= len(p.To)
+		t.last = i >= len(p.ZoneGatherers)
 		plan = append(plan, t)
 	}
 	for _, t := range m.plan {
 		if targetAt(plan, t.address) == nil {
-			m.cfg.Log.Info("searches no longer go to a VM", zap.String("peer", t.address), zap.Int("gatherers", p.Gatherers))
+			m.cfg.Log.Info("searches no longer go to a VM", zap.String("peer", t.address), zap.Int("gatherers", p.GathererCount))
 		}
 	}
 	m.plan = plan
@@ -192,7 +192,7 @@
 		old = m.newest.Load()
 	}
 	if c := m.cfg.Directory.Current().Config; c == nil || c.Version < version {
-		m.cfg.Behind(t.address)
+		m.cfg.OnNewerConfig(t.address)
 	}
 }
 
--- a/internal/delegate/manager_test.go
+++ b/internal/delegate/manager_test.go
@@ -134,11 +134,11 @@
 		w.view = viewOf(3)
 		w.m = New(Config{
 			Self: "w1", Local: w, Directory: w, Observer: w, Log: zap.NewNop(), Registry: prometheus.NewRegistry(),
-			Dial:   func(address string) Client { return map[string]Client{"s1": w.s1, "s2": w.s2}[address] },
-			Behind: func(address string) { w.behind = append(w.behind, address) },
-			Lag:    func() time.Duration { return 0 },
+			Dial:          func(address string) Client { return map[string]Client{"s1": w.s1, "s2": w.s2}[address] },
+			OnNewerConfig: func(address string) { w.behind = append(w.behind, address) },
+			Lag:           func() time.Duration { return 0 },
 		})
-		w.m.SetPlan(Plan{To: []string{"s1", "s2"}, Gatherers: 2, Others: 1})
+		w.m.SetPlan(Plan{ZoneGatherers: []string{"s1", "s2"}, GathererCount: 2, DelegatorCount: 1})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = w.m.Run(ctx) }()
@@ -365,7 +365,7 @@
 func TestOtherZonesComeLast(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		w.m.SetPlan(Plan{To: []string{"s1"}, Else: []string{"s2"}, Gatherers: 2, Others: 1})
+		w.m.SetPlan(Plan{ZoneGatherers: []string{"s1"}, OtherZoneGatherers: []string{"s2"}, GathererCount: 2, DelegatorCount: 1})
 		for range 5 {
 			w.ask(t.Context(), "/s/1")
 		}
--- a/internal/delegate/plan.go
+++ b/internal/delegate/plan.go
@@ -21,14 +21,14 @@
 
 // Plan says which VMs make the calls of searches.
 type Plan struct {
-	// To are the strong VMs of the own zone, in order of their addresses; empty where this VM gathers itself.
-	To []string
-	// Else are those of other zones, for searches that none of To can take.
-	Else []string
-	// Gathers is set where VMs of the own zone hand their searches to this one.
-	Gathers bool
-	// Gatherers is how many VMs of the fleet make the calls of searches, Others how many hand theirs over.
-	Gatherers, Others int
+	// ZoneGatherers are the strong VMs of the own zone, in order of their addresses; empty where this VM gathers itself.
+	ZoneGatherers []string
+	// OtherZoneGatherers are those of other zones, for searches that none of To can take.
+	OtherZoneGatherers []string
+	// IsGatherer is set where VMs of the own zone hand their searches to this one.
+	IsGatherer bool
+	// GathererCount is how many VMs of the fleet make the calls of searches, Others how many hand theirs over.
+	GathererCount, DelegatorCount int
 }
 
 // NewPlan returns the plan of the VM self among the fleet, which holds the live VMs with or without self.
@@ -44,23 +44,23 @@
 	for zone, vms := range zones {
 		strong := strongOf(vms)
 		if len(strong) == 0 {
-			p.Gatherers += len(vms)
+			p.GathererCount += len(vms)
 			continue
 		}
-		p.Gatherers += len(strong)
-		p.Others += len(vms) - len(strong)
+		p.GathererCount += len(strong)
+		p.DelegatorCount += len(vms) - len(strong)
 		if zone != self.Zone {
 			elsewhere = append(elsewhere, strong...)
 			continue
 		}
-		p.Gathers = slices.Contains(strong, self.Address)
-		if !p.Gathers {
-			p.To = strong
+		p.IsGatherer = slices.Contains(strong, self.Address)
+		if !p.IsGatherer {
+			p.ZoneGatherers = strong
 		}
 	}
-	if len(p.To) > 0 {
+	if len(p.ZoneGatherers) > 0 {
 		slices.Sort(elsewhere)
-		p.Else = elsewhere
+		p.OtherZoneGatherers = elsewhere
 	}
 	return p
 }
@@ -81,13 +81,13 @@
 	return out
 }
 
-// Part is the part of the fleet's extra calls of searches that this VM may send.
-func (p Plan) Part() float64 {
-	if p.Others == 0 {
-		return 1 / float64(max(p.Gatherers, 1))
+// Share is the part of the fleet's extra calls of searches that this VM may send.
+func (p Plan) Share() float64 {
+	if p.DelegatorCount == 0 {
+		return 1 / float64(max(p.GathererCount, 1))
 	}
-	if len(p.To) > 0 {
-		return (1 - gatherersPart) / float64(p.Others)
+	if len(p.ZoneGatherers) > 0 {
+		return (1 - gatherersPart) / float64(p.DelegatorCount)
 	}
-	return gatherersPart / float64(p.Gatherers)
+	return gatherersPart / float64(p.GathererCount)
 }
--- a/internal/delegate/plan_test.go
+++ b/internal/delegate/plan_test.go
@@ -24,17 +24,17 @@
 		fleet []peers.VM
 		want  Plan
 	}{
-		"alone":                  {vm("a", "z", 400), nil, Plan{Gatherers: 1}},
-		"all alike":              {vm("a", "z", 400), []peers.VM{vm("b", "z", 400), vm("c", "y", 400)}, Plan{Gatherers: 3}},
-		"weak beside strong":     {vm("w1", "z", 192), strongZone, Plan{To: []string{"s1", "s2"}, Gatherers: 2, Others: 2}},
-		"strong beside weak":     {vm("s1", "z", 800), strongZone, Plan{Gathers: true, Gatherers: 2, Others: 2}},
-		"strong in another zone": {vm("w3", "y", 192), strongZone, Plan{Gatherers: 3, Others: 2}},
-		"a little stronger":      {vm("a", "z", 400), []peers.VM{vm("b", "z", 700)}, Plan{Gatherers: 2}},
-		"unknown":                {vm("a", "z", 0), []peers.VM{vm("b", "z", 800)}, Plan{Gatherers: 2}},
+		"alone":                  {vm("a", "z", 400), nil, Plan{GathererCount: 1}},
+		"all alike":              {vm("a", "z", 400), []peers.VM{vm("b", "z", 400), vm("c", "y", 400)}, Plan{GathererCount: 3}},
+		"weak beside strong":     {vm("w1", "z", 192), strongZone, Plan{ZoneGatherers: []string{"s1", "s2"}, GathererCount: 2, DelegatorCount: 2}},
+		"strong beside weak":     {vm("s1", "z", 800), strongZone, Plan{IsGatherer: true, GathererCount: 2, DelegatorCount: 2}},
+		"strong in another zone": {vm("w3", "y", 192), strongZone, Plan{GathererCount: 3, DelegatorCount: 2}},
+		"a little stronger":      {vm("a", "z", 400), []peers.VM{vm("b", "z", 700)}, Plan{GathererCount: 2}},
+		"unknown":                {vm("a", "z", 0), []peers.VM{vm("b", "z", 800)}, Plan{GathererCount: 2}},
 		"weak, strong ones in two zones": {
-			vm("v1", "y", 192), twoZones, Plan{To: []string{"t1"}, Else: []string{"s1", "s2"}, Gatherers: 3, Others: 3},
+			vm("v1", "y", 192), twoZones, Plan{ZoneGatherers: []string{"t1"}, OtherZoneGatherers: []string{"s1", "s2"}, GathererCount: 3, DelegatorCount: 3},
 		},
-		"strong, strong ones in two zones": {vm("t1", "y", 800), twoZones, Plan{Gathers: true, Gatherers: 3, Others: 3}},
+		"strong, strong ones in two zones": {vm("t1", "y", 800), twoZones, Plan{IsGatherer: true, GathererCount: 3, DelegatorCount: 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -59,9 +59,9 @@
 		sum := 0.0
 		for _, self := range fleet {
 			p := NewPlan(self, fleet)
-			sum += p.Part()
-			for _, to := range slices.Concat(p.To, p.Else) {
-				if !plans[to].Gathers {
+			sum += p.Share()
+			for _, to := range slices.Concat(p.ZoneGatherers, p.OtherZoneGatherers) {
+				if !plans[to].IsGatherer {
 					t.Fatalf("%v hands to %s, which doesn't gather", self, to)
 				}
 			}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -12,37 +12,37 @@
 
 // Settings of one VM.
 type Settings struct {
-	// VM is its name, Zone its availability zone.
-	VM, Zone string
+	// VMName is its name, Zone its availability zone.
+	VMName, Zone string
 	// IP is the VM's own address, from which it opens connections.
 	IP string
-	// Callers, Ready and Peers are the addresses (IP:PORT) at which callers, the balancer's readiness
+	// CallersAddress, Ready and Peers are the addresses (IP:PORT) at which callers, the balancer's readiness
 	// check and the other VMs are served.
-	Callers, Ready, Peers string
+	CallersAddress, ReadinessAddress, PeersAddress string
 	// Seeds are addresses of other VMs to ask first; some may be stale or down.
 	Seeds []string
-	// Store is the address of the platform's store.
-	Store string
+	// StoreAddress is the address of the platform's store.
+	StoreAddress string
 	// Millicores of the processor that the VM has; 0 where it isn't told.
 	Millicores int
 	// MemoryBytes is the process's memory limit.
 	MemoryBytes int64
-	// Extra is what the whole fleet may send in extra calls to a service.
-	Extra retrybudget.Limit
-	// Grace is the time from SIGTERM to SIGKILL.
-	Grace time.Duration
-	// ConfigBound is the time within which a change of the configuration is in force everywhere.
-	ConfigBound time.Duration
+	// RetryBudget is what the whole fleet may send in extra calls to a service.
+	RetryBudget retrybudget.Limit
+	// GracePeriod is the time from SIGTERM to SIGKILL.
+	GracePeriod time.Duration
+	// ConfigApplyBound is the time within which a change of the configuration is in force everywhere.
+	ConfigApplyBound time.Duration
 }
 
 // Check implements settings.Checked.
 func (s *Settings) Check(c *settings.Checker) {
-	c.Require(s.VM != "", "VM name", "missing")
+	c.Require(s.VMName != "", "VM name", "missing")
 	c.Require(s.Zone != "", "availability zone", "missing")
 	_, err := netip.ParseAddr(s.IP)
 	c.Require(err == nil, "IP", "want an IP number, got %q", s.IP)
 	for _, a := range []struct{ key, value string }{
-		{"callers' address", s.Callers}, {"readiness address", s.Ready}, {"peers' address", s.Peers}, {"store's address", s.Store},
+		{"callers' address", s.CallersAddress}, {"readiness address", s.ReadinessAddress}, {"peers' address", s.PeersAddress}, {"store's address", s.StoreAddress},
 	} {
 		checkAddress(c, a.key, a.value)
 	}
@@ -51,11 +51,11 @@
 	}
 	c.Require(s.Millicores >= 0 && s.Millicores <= millicoresMost, "processor", "want 0 to %d millicores, got %d", millicoresMost, s.Millicores)
 	c.Require(s.MemoryBytes >= memoryLeast, "memory", "want %d bytes at least, got %d", memoryLeast, s.MemoryBytes)
-	c.Require(s.Extra.Ratio >= 0 && s.Extra.Ratio <= 1, "retry budget's ratio", "want 0 to 1, got %g", s.Extra.Ratio)
-	c.Require(s.Extra.Slack >= 0, "retry budget's slack", "want 0 or more, got %g", s.Extra.Slack)
-	c.Require(s.Extra.Window >= windowLeast, "retry budget's window", "want %v at least, got %v", windowLeast, s.Extra.Window)
-	c.Require(s.ConfigBound >= boundLeast, "configuration's bound", "want %v at least, got %v", boundLeast, s.ConfigBound)
-	c.Require(s.Grace >= graceLeast && s.Grace <= graceMost, "grace period", "want %v to %v, got %v", graceLeast, graceMost, s.Grace)
+	c.Require(s.RetryBudget.Ratio >= 0 && s.RetryBudget.Ratio <= 1, "retry budget's ratio", "want 0 to 1, got %g", s.RetryBudget.Ratio)
+	c.Require(s.RetryBudget.Slack >= 0, "retry budget's slack", "want 0 or more, got %g", s.RetryBudget.Slack)
+	c.Require(s.RetryBudget.Window >= windowLeast, "retry budget's window", "want %v at least, got %v", windowLeast, s.RetryBudget.Window)
+	c.Require(s.ConfigApplyBound >= boundLeast, "configuration's bound", "want %v at least, got %v", boundLeast, s.ConfigApplyBound)
+	c.Require(s.GracePeriod >= graceLeast && s.GracePeriod <= graceMost, "grace period", "want %v to %v, got %v", graceLeast, graceMost, s.GracePeriod)
 }
 
 const (
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,12 +70,12 @@
 	Store   storeread.Store
 	Decoder directory.Decoder
 	Dialer  leafcall.Dialer
-	// Callers builds the handler for callers, Ready the one for the balancer.
-	Callers     func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(reason string)) http.Handler
-	Ready       func(ready func() bool) http.Handler
-	ConnContext func(ctx context.Context, c net.Conn) context.Context
-	// Reload reads the seeds anew, which may have changed.
-	Reload func() ([]string, error)
+	// NewCallerHandler builds the handler for callers, Ready the one for the balancer.
+	NewCallerHandler    func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(reason string)) http.Handler
+	NewReadinessHandler func(ready func() bool) http.Handler
+	ConnContext         func(ctx context.Context, c net.Conn) context.Context
+	// ReloadSeeds reads the seeds anew, which may have changed.
+	ReloadSeeds func() ([]string, error)
 }
 
 // MetricsAddress is where metrics and the dump of the state are served.
@@ -116,7 +116,7 @@
 	d := &Daemon{
 		settings: s, platform: p, metricsAt: metricsAt, log: log, sink: sink, registry: reg,
 		mirror: mirror.New(changed), updated: updated,
-		table: replica.New(), budgets: retrybudget.New(s.Extra, time.Now), size: fleetSize{started: time.Now()},
+		table: replica.New(), budgets: retrybudget.New(s.RetryBudget, time.Now), size: fleetSize{started: time.Now()},
 		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "burdock_requests_refused_total", Help: "Requests refused at the callers' edge by reason.",
 		}, []string{"reason"}),
@@ -125,17 +125,17 @@
 	d.seeds.Store(&s.Seeds)
 	d.directory = directory.New(d.mirror, changed, updated, p.Decoder, log, reg)
 	d.peers = peers.New(peers.Config{
-		Self: s.Peers, Zone: s.Zone, Millicores: s.Millicores, Incarnation: uint64(time.Now().UnixNano()),
+		Self: s.PeersAddress, Zone: s.Zone, Millicores: s.Millicores, Incarnation: uint64(time.Now().UnixNano()),
 		Seeds: func() []string { return *d.seeds.Load() }, Mirror: d.mirror, Evidence: d.table, Changed: changed,
 		Dial: dialPeers(s.IP), Log: log, Registry: reg,
 	})
-	d.reader = storeread.New(p.Store, d.mirror, d.peers, s.Peers, s.Zone, slices.Contains(s.Seeds, s.Peers), s.ConfigBound, log, reg)
+	d.reader = storeread.New(p.Store, d.mirror, d.peers, s.PeersAddress, s.Zone, slices.Contains(s.Seeds, s.PeersAddress), s.ConfigApplyBound, log, reg)
 	d.pool = leafpool.New(p.Dialer, s.Zone, reg)
 	d.recorder = decision.New(log, sink, lines, reg)
 	guard := crashguard.New(d.peers, time.Now, log)
 	d.engine = dispatch.New(s.Zone, d.directory, d.pool, d.table, d.budgets, guard, d.recorder)
 	d.delegate = delegate.New(delegate.Config{
-		Self: s.Peers, Local: d.engine, Directory: d.directory, Observer: d.recorder, Dial: dialGatherers(s.IP), Behind: d.peers.Fetch, Lag: d.engine.Lag,
+		Self: s.PeersAddress, Local: d.engine, Directory: d.directory, Observer: d.recorder, Dial: dialGatherers(s.IP), OnNewerConfig: d.peers.Fetch, Lag: d.engine.Lag,
 		Log: log, Registry: reg,
 	})
 	d.gatherer = delegate.NewGatherer(d.engine, d.directory, d.leaving.Load)
@@ -145,7 +145,7 @@
 }
 
 func (d *Daemon) callersServer() *http.Server {
-	edge := d.platform.Callers(d.delegate, d.limits, d.leaving.Load, func(reason string) { d.refused.WithLabelValues(reason).Inc() })
+	edge := d.platform.NewCallerHandler(d.delegate, d.limits, d.leaving.Load, func(reason string) { d.refused.WithLabelValues(reason).Inc() })
 	n := negroni.New()
 	n.UseHandler(edge)
 	return &http.Server{Handler: n, ReadHeaderTimeout: headerMost, IdleTimeout: idleMost, ConnContext: d.platform.ConnContext}
@@ -169,17 +169,17 @@
 func (d *Daemon) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(float64(d.settings.MemoryBytes) * memoryUsed))
 	defer d.sink.Close(logCloseLimit)
-	callers, err := net.Listen("tcp", d.settings.Callers)
+	callers, err := net.Listen("tcp", d.settings.CallersAddress)
 	if err != nil {
 		return eris.Wrap(err, "node: listen for callers")
 	}
 	runner := process.Runner{
-		Log: d.log, DrainLimit: d.settings.Grace - endMargin, Drain: d.drain,
+		Log: d.log, DrainLimit: d.settings.GracePeriod - endMargin, Drain: d.drain,
 		Duties: []process.Duty{
 			{Name: "settings", Run: d.reloadOnSignal},
 			{Name: "recorder", Run: d.recorder.Run},
 			{Name: "metrics", Run: d.serve(string(d.metricsAt), d.operatorHandler())},
-			{Name: "peers' server", Run: d.serve(d.settings.Peers, d.peersHandler())},
+			{Name: "peers' server", Run: d.serve(d.settings.PeersAddress, d.peersHandler())},
 			{Name: "peers", Run: d.peers.Run},
 			{Name: "store reader", Run: d.reader.Run},
 			{Name: "directory", Run: d.directory.Run},
@@ -188,7 +188,7 @@
 			{Name: "delegate", Run: d.delegate.Run},
 			{Name: "gatherer", Run: d.gatherer.Run},
 			{Name: "callers", Run: func(ctx context.Context) error { return serveUntil(ctx, d.server, callers) }},
-			{Name: "readiness", Run: d.serve(d.settings.Ready, d.platform.Ready(d.ready))},
+			{Name: "readiness", Run: d.serve(d.settings.ReadinessAddress, d.platform.NewReadinessHandler(d.ready))},
 		},
 	}
 	return runner.Run(ctx)
@@ -281,7 +281,7 @@
 
 // reload takes new seeds from the settings and tells whether it could; the last ones stay otherwise.
 func (d *Daemon) reload() bool {
-	seeds, err := d.platform.Reload()
+	seeds, err := d.platform.ReloadSeeds()
 	if err != nil {
 		d.log.Warn("settings not reloaded", zap.Error(err))
 		return false
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -122,16 +122,16 @@
 	}
 	v := &vm{
 		settings: &deployment.Settings{
-			VM: fmt.Sprintf("vm%d", len(s.vms)), Zone: "z", IP: ip,
-			Callers: net.JoinHostPort(ip, callersPort), Ready: net.JoinHostPort(ip, readyPort), Peers: net.JoinHostPort(ip, peersPort), Store: address, MemoryBytes: 256 << 20,
-			Extra: retrybudget.Limit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, Grace: 6 * time.Second, ConfigBound: 3 * time.Second,
+			VMName: fmt.Sprintf("vm%d", len(s.vms)), Zone: "z", IP: ip,
+			CallersAddress: net.JoinHostPort(ip, callersPort), ReadinessAddress: net.JoinHostPort(ip, readyPort), PeersAddress: net.JoinHostPort(ip, peersPort), StoreAddress: address, MemoryBytes: 256 << 20,
+			RetryBudget: retrybudget.Limit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, GracePeriod: 6 * time.Second, ConfigApplyBound: 3 * time.Second,
 		},
 		metrics: net.JoinHostPort(ip, metricsPort),
 		ended:   make(chan error, 1),
 	}
-	v.settings.Seeds = []string{v.settings.Peers}
+	v.settings.Seeds = []string{v.settings.PeersAddress}
 	if len(s.vms) > 0 {
-		v.settings.Seeds = []string{s.vms[0].settings.Peers}
+		v.settings.Seeds = []string{s.vms[0].settings.PeersAddress}
 	}
 	return v
 }
@@ -139,12 +139,12 @@
 // run runs the VM until the test ends.
 func (s *site) run(v *vm) {
 	p := node.Platform{
-		Store: platform.NewStore(v.settings.Store, v.settings.IP), Decoder: platform.Decoder{}, Dialer: platform.NewLeafDialer(v.settings.IP),
-		Callers: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
+		Store: platform.NewStore(v.settings.StoreAddress, v.settings.IP), Decoder: platform.Decoder{}, Dialer: platform.NewLeafDialer(v.settings.IP),
+		NewCallerHandler: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
 			return platform.NewEdge(s, limits, leaving, refused)
 		},
-		Ready: platform.Ready, ConnContext: platform.ConnContext,
-		Reload: func() ([]string, error) { return v.settings.Seeds, nil },
+		NewReadinessHandler: platform.NewReadinessHandler, ConnContext: platform.ConnContext,
+		ReloadSeeds: func() ([]string, error) { return v.settings.Seeds, nil },
 	}
 	d := node.New(v.settings, p, node.MetricsAddress(v.metrics), zap.NewNop(), logging.NewAsync(io.Discard), decision.DefaultLimits(), operator.NewRegistry())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -163,7 +163,7 @@
 
 // get asks the VM and returns the status, the headers and the body.
 func (v *vm) get(method, path, id string) (int, http.Header, string, error) {
-	req, err := http.NewRequest(method, "http://"+v.settings.Callers+path, nil)
+	req, err := http.NewRequest(method, "http://"+v.settings.CallersAddress+path, nil)
 	if err != nil {
 		return 0, nil, "", err
 	}
@@ -179,7 +179,7 @@
 	return resp.StatusCode, resp.Header, string(body), err
 }
 
-func (v *vm) ready() bool { return hosted.Ready(http.DefaultClient, v.settings.Ready) }
+func (v *vm) ready() bool { return hosted.Ready(http.DefaultClient, v.settings.ReadinessAddress) }
 
 func within(t testing.TB, d time.Duration, what string, ok func() bool) {
 	t.Helper()
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -24,7 +24,7 @@
 // extra is the part of a service's slack of extra calls.
 func (s shares) extra(service string) float64 {
 	if s.shards[service] {
-		return s.plan.Part()
+		return s.plan.Share()
 	}
 	return 1 / float64(s.vms)
 }
@@ -35,7 +35,7 @@
 	if s.single[service] && !s.shards[service] {
 		return leafpool.Share{VMs: s.vms, Unsettled: s.unsettled}
 	}
-	return leafpool.Share{VMs: s.plan.Gatherers, Rare: len(s.plan.To) > 0, Unsettled: s.unsettled}
+	return leafpool.Share{VMs: s.plan.GathererCount, Rare: len(s.plan.ZoneGatherers) > 0, Unsettled: s.unsettled}
 }
 
 const (
@@ -69,7 +69,7 @@
 	if view.Config != nil {
 		s.single, s.shards = view.Config.Used()
 	}
-	s.plan = delegate.NewPlan(peers.VM{Address: d.settings.Peers, Zone: d.settings.Zone, Millicores: d.settings.Millicores}, fleet)
+	s.plan = delegate.NewPlan(peers.VM{Address: d.settings.PeersAddress, Zone: d.settings.Zone, Millicores: d.settings.Millicores}, fleet)
 	d.delegate.SetPlan(s.plan)
 	d.gatherer.SetPlan(s.plan)
 	d.budgets.SetPart(s.extra)
--- a/internal/node/shares_test.go
+++ b/internal/node/shares_test.go
@@ -28,11 +28,11 @@
 func TestShardThatServesSingleRequestsToo(t *testing.T) {
 	is := is.New(t)
 	s := shares{vms: 295, single: map[string]bool{"x": true, "s0": true}, shards: map[string]bool{"s0": true, "s1": true}}
-	s.plan = delegate.Plan{Gathers: true, Gatherers: 15, Others: 280}
+	s.plan = delegate.Plan{IsGatherer: true, GathererCount: 15, DelegatorCount: 280}
 	is.Equal(s.connections("s0"), leafpool.Share{VMs: 15})
 	is.Equal(s.connections("s1"), leafpool.Share{VMs: 15})
 	is.Equal(s.connections("x"), leafpool.Share{VMs: 295})
-	s.plan = delegate.Plan{To: []string{"strong"}, Gatherers: 15, Others: 280}
+	s.plan = delegate.Plan{ZoneGatherers: []string{"strong"}, GathererCount: 15, DelegatorCount: 280}
 	is.Equal(s.connections("s0"), leafpool.Share{VMs: 15, Rare: true})
 	is.Equal(s.connections("x"), leafpool.Share{VMs: 295})
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	s := newSite(t)
 	v := s.prepare(true)
-	taken, err := net.Listen("tcp", v.settings.Ready)
+	taken, err := net.Listen("tcp", v.settings.ReadinessAddress)
 	is.NoErr(err)
 	defer func() { _ = taken.Close() }()
 	s.run(v)
--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -14,8 +14,8 @@
 // Backoff gives the waits between reads that fail: doubled each time up to a bound, each drawn at
 // random from the upper half, so that readers which failed together don't come back together.
 type Backoff struct {
-	// Most is the longest wait; backoffMax where it is 0.
-	Most time.Duration
+	// Max is the longest wait; backoffMax where it is 0.
+	Max  time.Duration
 	next time.Duration
 }
 
@@ -24,7 +24,7 @@
 
 // Next returns the wait after one more failure.
 func (b *Backoff) Next() time.Duration {
-	most := b.Most
+	most := b.Max
 	if most == 0 {
 		most = backoffMax
 	}
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -65,14 +65,14 @@
 
 // newVM writes the settings of a VM, completed by what all have in common.
 func newVM(number int, program, dir string, s *deployment.Settings) (*vm, error) {
-	s.Callers, s.Ready, s.Peers = hostPort(s.IP, callersPort), hostPort(s.IP, readyPort), hostPort(s.IP, controlPort)
-	s.MemoryBytes, s.Grace, s.ConfigBound = memoryBytes, graceBound, configBound
-	s.Extra = retrybudget.Limit{Ratio: budgetRatio, Slack: budgetSlack, Window: budgetWindow}
-	file := filepath.Join(dir, s.VM+".toml")
+	s.CallersAddress, s.ReadinessAddress, s.PeersAddress = hostPort(s.IP, callersPort), hostPort(s.IP, readyPort), hostPort(s.IP, controlPort)
+	s.MemoryBytes, s.GracePeriod, s.ConfigApplyBound = memoryBytes, graceBound, configBound
+	s.RetryBudget = retrybudget.Limit{Ratio: budgetRatio, Slack: budgetSlack, Window: budgetWindow}
+	file := filepath.Join(dir, s.VMName+".toml")
 	if err := hosted.WriteSettings(file, s); err != nil {
 		return nil, err
 	}
-	return &vm{number: number, settings: s, process: child.New(s.VM, dir, program, "--settings", file)}, nil
+	return &vm{number: number, settings: s, process: child.New(s.VMName, dir, program, "--settings", file)}, nil
 }
 
 func (v *vm) start() error {
@@ -128,7 +128,7 @@
 
 // ask asks for readiness as the balancer does.
 func (v *vm) ask(client *http.Client) {
-	ok := hosted.Ready(client, v.settings.Ready)
+	ok := hosted.Ready(client, v.settings.ReadinessAddress)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if ok {
@@ -156,5 +156,5 @@
 	v := ready[rng.IntN(len(ready))]
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.number, v.starts, v.settings.Callers, true
+	return v.number, v.starts, v.settings.CallersAddress, true
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -119,8 +119,8 @@
 	}
 	for i := range w.o.Size.VMs {
 		v, err := newVM(i, w.o.Program, w.dir, &deployment.Settings{
-			VM: fmt.Sprintf("vm-%d", i), Zone: zone(i % w.o.Size.Zones), IP: w.address(1, i+1), Seeds: seeds,
-			Store: hostPort(w.address(3, 1), entryPort), Millicores: w.millicores(i),
+			VMName: fmt.Sprintf("vm-%d", i), Zone: zone(i % w.o.Size.Zones), IP: w.address(1, i+1), Seeds: seeds,
+			StoreAddress: hostPort(w.address(3, 1), entryPort), Millicores: w.millicores(i),
 		})
 		if err != nil {
 			return err
--- a/internal/standin/hosted/operator.go
+++ b/internal/standin/hosted/operator.go
@@ -103,8 +103,8 @@
 config_apply_ms = %d
 [platform]
 address = %q
-`, s.VM, s.IP, s.Zone, strings.Join(s.Seeds, `", "`), s.Callers, s.Ready, s.Peers,
+`, s.VMName, s.IP, s.Zone, strings.Join(s.Seeds, `", "`), s.CallersAddress, s.ReadinessAddress, s.PeersAddress,
 		float64(s.Millicores)/1000, s.MemoryBytes>>20,
-		s.Grace.Seconds(), s.Extra.Ratio, s.Extra.Slack, s.Extra.Window.Seconds(), s.ConfigBound.Milliseconds(), s.Store)
+		s.GracePeriod.Seconds(), s.RetryBudget.Ratio, s.RetryBudget.Slack, s.RetryBudget.Window.Seconds(), s.ConfigApplyBound.Milliseconds(), s.StoreAddress)
 	return os.WriteFile(file, []byte(text), 0o600)
 }
--- a/internal/storeread/storeread.go
+++ b/internal/storeread/storeread.go
@@ -128,7 +128,7 @@
 	reg.MustRegister(reads)
 	return &Reader{store: s, mirror: m, fleet: f, self: self, zone: zone, seed: seed,
 		wait: part(waitPart, bound), takeover: part(takeoverPart, bound), largeTakeover: part(largeTakeoverPart, bound), batch: part(batchPart, bound),
-		second: part(secondPart, bound), contact: part(contactPart, bound), log: log, reads: reads, reachable: true, backoff: platform.Backoff{Most: retryMost}}
+		second: part(secondPart, bound), contact: part(contactPart, bound), log: log, reads: reads, reachable: true, backoff: platform.Backoff{Max: retryMost}}
 }
 
 func part(p float64, of time.Duration) time.Duration { return time.Duration(p * float64(of)) }
--- a/internal/syncd/catchup.go
+++ b/internal/syncd/catchup.go
@@ -95,7 +95,7 @@
 // askPlatform reads list and manifest once, or until ctx ends. The manifest is nil where there is
 // none.
 func (m *Manager) askPlatform(ctx context.Context) (manifest []byte) {
-	backoff := platform.Backoff{Most: manifestRetryMost}
+	backoff := platform.Backoff{Max: manifestRetryMost}
 	for {
 		manifest, ok := m.reader.readOnce(ctx)
 		if ok || !wait.For(ctx, backoff.Next()) {
--- a/internal/syncd/reader.go
+++ b/internal/syncd/reader.go
@@ -122,7 +122,7 @@
 // watch repeats one watch until its turn ends, with a backoff while it fails, of most at the longest or as the
 // platform's client has it where that is 0.
 func (r *reader) watch(ctx context.Context, most time.Duration, once func(ctx context.Context, after uint64) (uint64, error)) {
-	backoff := platform.Backoff{Most: most}
+	backoff := platform.Backoff{Max: most}
 	var after uint64
 	for ctx.Err() == nil {
 		next, err := once(ctx, after)
