--- a/internal/delegate/gatherer.go
+++ b/internal/delegate/gatherer.go
@@ -20,39 +20,39 @@
 )
 
 const (
-	// searchesMost bounds the searches that are answered for others at once. Each holds some 200 KB of buffers
+	// maxSearches bounds the searches that are answered for others at once. Each holds some 200 KB of buffers
 	// and parts; a burst of twice the usual load keeps a gatherer at 10.
-	searchesMost = 96
-	// lagTick is how often the lag is measured; on half a core it takes 0.1% of it.
-	lagTick = 20 * time.Millisecond
+	maxSearches = 96
+	// lagInterval is how often the lag is measured; on half a core it takes 0.1% of it.
+	lagInterval = 20 * time.Millisecond
 	// lagWeight is the weight of a new measurement.
 	lagWeight = 0.25
-	// idleTick is how often a VM that gathers for nobody looks whether it still does.
-	idleTick = 500 * time.Millisecond
+	// idleInterval is how often a VM that gathers for nobody looks whether it still does.
+	idleInterval = 500 * time.Millisecond
 )
 
 // Gatherer answers searches of other VMs. It is safe for concurrent use.
 type Gatherer struct {
-	local     dispatch.Server
-	directory dispatch.Directory
-	leaving   func() bool
-	gathers   atomic.Bool
-	lag       atomic.Int64
+	local      dispatch.Server
+	directory  dispatch.Directory
+	leaving    func() bool
+	isGatherer atomic.Bool
+	lag        atomic.Int64
 
 	mu sync.Mutex
 	// running counts the searches; closed refuses more, and idle is closed once none runs then. Guarded by mu.
 	running int
 	closed  bool
-	idle    chan struct{}
+	drained chan struct{}
 }
 
 // NewGatherer returns a gatherer; leaving tells whether this VM is about to end.
 func NewGatherer(local dispatch.Server, d dispatch.Directory, leaving func() bool) *Gatherer {
-	return &Gatherer{local: local, directory: d, leaving: leaving, idle: make(chan struct{})}
+	return &Gatherer{local: local, directory: d, leaving: leaving, drained: make(chan struct{})}
 }
 
 // SetPlan tells whether others hand searches to this VM.
-func (g *Gatherer) SetPlan(p Plan) { g.gathers.Store(p.IsGatherer) }
+func (g *Gatherer) SetPlan(p Plan) { g.isGatherer.Store(p.IsGatherer) }
 
 // Search answers a search for another VM, or says why it doesn't take it.
 func (g *Gatherer) Search(ctx context.Context, msg *pb.FleetSearch) *pb.FleetSearchAnswer {
@@ -70,34 +70,34 @@
 	if route := dispatch.Match(config, req); route == nil || !route.Search() {
 		return &pb.FleetSearchAnswer{NotTaken: notTakenRoute}
 	}
-	if why := g.begin(); why != "" {
-		return &pb.FleetSearchAnswer{NotTaken: why}
+	if reason := g.admit(); reason != "" {
+		return &pb.FleetSearchAnswer{NotTaken: reason}
 	}
-	defer g.end()
+	defer g.release()
 	a := g.local.Serve(ctx, req)
 	return encodeAnswer(a, config.Version)
 }
 
-// begin counts a search, or says why there is no room for it.
-func (g *Gatherer) begin() string {
+// admit counts a search, or says why there is no room for it.
+func (g *Gatherer) admit() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
 	case g.closed:
 		return notTakenLeaving
-	case g.running >= searchesMost:
+	case g.running >= maxSearches:
 		return notTakenBusy
 	}
 	g.running++
 	return ""
 }
 
-func (g *Gatherer) end() {
+func (g *Gatherer) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running--
 	if g.closed && g.running == 0 {
-		close(g.idle)
+		close(g.drained)
 	}
 }
 
@@ -107,12 +107,12 @@
 	if !g.closed {
 		g.closed = true
 		if g.running == 0 {
-			close(g.idle)
+			close(g.drained)
 		}
 	}
 	g.mu.Unlock()
 	select {
-	case <-g.idle:
+	case <-g.drained:
 	case <-ctx.Done():
 	}
 }
@@ -125,9 +125,9 @@
 // Run measures how late the processor gets to what is due, until ctx ends.
 func (g *Gatherer) Run(ctx context.Context) error {
 	for {
-		tick := lagTick
-		if !g.gathers.Load() {
-			tick = idleTick
+		tick := lagInterval
+		if !g.isGatherer.Load() {
+			tick = idleInterval
 		}
 		due := time.Now().Add(tick)
 		if !wait.For(ctx, tick) {
--- a/internal/delegate/gatherer_test.go
+++ b/internal/delegate/gatherer_test.go
@@ -15,24 +15,24 @@
 	"github.com/burdockplank/burdockplank/internal/leafcall"
 )
 
-// engine answers all with one answer after a while.
-type engine struct {
+// stubEngine answers all with one answer after a while.
+type stubEngine struct {
 	view   *directory.View
-	after  time.Duration
+	delay  time.Duration
 	answer *dispatch.Answer
 
 	mu sync.Mutex
-	// got holds the requests; guarded by mu.
-	got []*dispatch.Request
+	// received holds the requests; guarded by mu.
+	received []*dispatch.Request
 }
 
-func (e *engine) Current() *directory.View { return e.view }
+func (e *stubEngine) Current() *directory.View { return e.view }
 
-func (e *engine) Serve(_ context.Context, r *dispatch.Request) *dispatch.Answer {
+func (e *stubEngine) Serve(_ context.Context, r *dispatch.Request) *dispatch.Answer {
 	e.mu.Lock()
-	e.got = append(e.got, r)
+	e.received = append(e.received, r)
 	e.mu.Unlock()
-	time.Sleep(e.after)
+	time.Sleep(e.delay)
 	return e.answer
 }
 
@@ -45,10 +45,10 @@
 
 // What a gatherer is asked is what the caller asked, with the time that has passed; and the answer comes back
 // as it was.
-func TestRequestAndAnswerCrossUnchanged(t *testing.T) {
+func TestSearchRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := &engine{view: viewOf(4), answer: &dispatch.Answer{
+		e := &stubEngine{view: testView(4), answer: &dispatch.Answer{
 			Outcome: dispatch.Served, Reason: dispatch.ReasonPartial, Signatures: []string{"a", "b"}, Missing: 2, Records: []byte("records"),
 			RetryAfter: 70 * ms,
 		}}
@@ -57,57 +57,57 @@
 		msg := g.Search(t.Context(), encodeSearch("w1", request(now), 4, now))
 		want := request(now)
 		want.From = "w1"
-		is.Equal(e.got[0], want)
+		is.Equal(e.received[0], want)
 		is.Equal(decodeAnswer(msg), e.answer)
 		is.Equal(msg.GetVersion(), uint64(4))
 	})
 }
 
-func TestNotTaken(t *testing.T) {
+func TestGathererDeclines(t *testing.T) {
 	for name, tt := range map[string]struct {
-		view  *directory.View
-		path  string
-		least uint64
-		want  string
+		view       *directory.View
+		path       string
+		minVersion uint64
+		want       string
 	}{
 		"no configuration":    {&directory.View{}, "/s/1", 0, notTakenConfig},
-		"older configuration": {viewOf(3), "/s/1", 4, notTakenConfig},
-		"no route":            {viewOf(4), "/nowhere", 4, notTakenRoute},
-		"a single request":    {viewOf(4), "/x/1", 4, notTakenRoute},
+		"older configuration": {testView(3), "/s/1", 4, notTakenConfig},
+		"no route":            {testView(4), "/nowhere", 4, notTakenRoute},
+		"a single request":    {testView(4), "/x/1", 4, notTakenRoute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			e := &engine{view: tt.view}
+			e := &stubEngine{view: tt.view}
 			req := request(time.Now())
 			req.Target = tt.path
-			msg := NewGatherer(e, e, func() bool { return false }).Search(t.Context(), encodeSearch("w1", req, tt.least, time.Now()))
+			msg := NewGatherer(e, e, func() bool { return false }).Search(t.Context(), encodeSearch("w1", req, tt.minVersion, time.Now()))
 			is.Equal(msg.GetNotTaken(), tt.want)
-			is.Equal(len(e.got), 0)
+			is.Equal(len(e.received), 0)
 		})
 	}
 }
 
 // A search that the configuration turned into a single request meanwhile has run: nothing else is said.
-func TestLeafsAnswerIsNoSearchs(t *testing.T) {
+func TestSingleRequestAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
-	e := &engine{view: viewOf(4), answer: &dispatch.Answer{Outcome: dispatch.Served, Leaf: &leafcall.Response{Status: 200}}}
+	e := &stubEngine{view: testView(4), answer: &dispatch.Answer{Outcome: dispatch.Served, Leaf: &leafcall.Response{Status: 200}}}
 	msg := NewGatherer(e, e, func() bool { return false }).Search(t.Context(), encodeSearch("w1", request(time.Now()), 4, time.Now()))
 	is.Equal(decodeAnswer(msg).Outcome, dispatch.Unknown)
 }
 
 // An end takes no more searches, and waits for those that run.
-func TestClose(t *testing.T) {
+func TestCloseDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leaving := false
-		e := &engine{view: viewOf(4), after: 100 * ms, answer: &dispatch.Answer{Outcome: dispatch.Served}}
+		e := &stubEngine{view: testView(4), delay: 100 * ms, answer: &dispatch.Answer{Outcome: dispatch.Served}}
 		g := NewGatherer(e, e, func() bool { return leaving })
 		go g.Search(t.Context(), encodeSearch("w1", request(time.Now()), 4, time.Now()))
 		synctest.Wait()
 		leaving = true
-		begun := time.Now()
+		start := time.Now()
 		g.Close(t.Context())
-		is.Equal(time.Since(begun), 100*ms)
+		is.Equal(time.Since(start), 100*ms)
 		msg := g.Search(t.Context(), encodeSearch("w1", request(time.Now()), 4, time.Now()))
 		is.Equal(msg.GetNotTaken(), notTakenLeaving)
 		is.True(msg.GetLoad().GetLeaving())
@@ -116,12 +116,12 @@
 }
 
 // A burst beyond the room of a gatherer is refused at once.
-func TestRoom(t *testing.T) {
+func TestGathererAtCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := &engine{view: viewOf(4), after: 100 * ms, answer: &dispatch.Answer{Outcome: dispatch.Served}}
+		e := &stubEngine{view: testView(4), delay: 100 * ms, answer: &dispatch.Answer{Outcome: dispatch.Served}}
 		g := NewGatherer(e, e, func() bool { return false })
-		for range searchesMost {
+		for range maxSearches {
 			go g.Search(t.Context(), encodeSearch("w1", request(time.Now()), 4, time.Now()))
 		}
 		synctest.Wait()
@@ -133,10 +133,10 @@
 }
 
 // The lag of an idle processor is nothing.
-func TestLagOfAFreeProcessor(t *testing.T) {
+func TestLagOfIdleProcessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := &engine{view: &directory.View{Config: catalog.New(1, nil, nil, catalog.Limits{})}}
+		e := &stubEngine{view: &directory.View{Config: catalog.New(1, nil, nil, catalog.Limits{})}}
 		g := NewGatherer(e, e, func() bool { return false })
 		g.SetPlan(Plan{IsGatherer: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/delegate/manager.go
+++ b/internal/delegate/manager.go
@@ -15,8 +15,8 @@
 	"github.com/burdockplank/burdockplank/internal/dispatch"
 )
 
-// triesMost bounds the gatherers that one search is offered to.
-const triesMost = 2
+// maxOffers bounds the gatherers that one search is offered to.
+const maxOffers = 2
 
 // Client is what is needed of a gatherer.
 type Client interface {
@@ -44,20 +44,20 @@
 // Manager answers callers' requests, and hands searches over where the plan says so. It is safe for
 // concurrent use.
 type Manager struct {
-	cfg   Config
-	ended *prometheus.CounterVec
-	// newest is the newest version of the configuration by which a search of this VM was served.
-	newest atomic.Uint64
+	cfg            Config
+	handoversEnded *prometheus.CounterVec
+	// newestServedVersion is the newest version of the configuration by which a search of this VM was served.
+	newestServedVersion atomic.Uint64
 	// wake tells Run of a gatherer that was lost.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// plan holds the gatherers that searches may go to; guarded by mu.
-	plan []*target
+	// targets holds the gatherers that searches may go to; guarded by mu.
+	targets []*target
 }
 
-// flight is a search in flight at a gatherer.
-type flight struct{ cancel context.CancelFunc }
+// inFlightSearch is a search in flight at a gatherer.
+type inFlightSearch struct{ cancel context.CancelFunc }
 
 // New returns a manager that hands nothing over until it has a plan.
 func New(cfg Config) *Manager {
@@ -65,7 +65,7 @@
 		Name: "burdock_handed_over_total", Help: "Searches offered to a stronger VM of the zone, by their end.",
 	}, []string{"end"})
 	cfg.Registry.MustRegister(ended)
-	return &Manager{cfg: cfg, ended: ended, wake: make(chan struct{}, 1)}
+	return &Manager{cfg: cfg, handoversEnded: ended, wake: make(chan struct{}, 1)}
 }
 
 // SetPlan takes a new plan. Searches in flight at gatherers that left it go on.
@@ -74,20 +74,20 @@
 	defer m.mu.Unlock()
 	plan := make([]*target, 0, len(p.ZoneGatherers)+len(p.OtherZoneGatherers))
 	for i, address := range slices.Concat(p.ZoneGatherers, p.OtherZoneGatherers) {
-		t := targetAt(m.plan, address)
+		t := findTarget(m.targets, address)
 		if t == nil {
-			t = &target{address: address, client: m.cfg.Dial(address), flights: make(map[*flight]struct{})}
+			t = &target{address: address, client: m.cfg.Dial(address), inFlight: make(map[*inFlightSearch]struct{})}
 			m.cfg.Log.Info("searches may go to a stronger VM", zap.String("peer", address), zap.Bool("last", i >= len(p.ZoneGatherers)), zap.Int("gatherers", p.GathererCount))
 		}
-		t.last = i >= len(p.ZoneGatherers)
+		t.fallback = i >= len(p.ZoneGatherers)
 		plan = append(plan, t)
 	}
-	for _, t := range m.plan {
-		if targetAt(plan, t.address) == nil {
+	for _, t := range m.targets {
+		if findTarget(plan, t.address) == nil {
 			m.cfg.Log.Info("searches no longer go to a VM", zap.String("peer", t.address), zap.Int("gatherers", p.GathererCount))
 		}
 	}
-	m.plan = plan
+	m.targets = plan
 }
 
 // Serve implements dispatch.Server.
@@ -100,96 +100,96 @@
 	if route == nil || !route.Search() {
 		return m.cfg.Local.Serve(ctx, req)
 	}
-	least := max(config.Version, m.newest.Load())
+	minVersion := max(config.Version, m.newestServedVersion.Load())
 	req.Lag = m.cfg.Lag()
 	var tried *target
-	for range triesMost {
-		t := m.choose(tried)
+	for range maxOffers {
+		t := m.chooseTarget(tried)
 		if t == nil {
 			break
 		}
 		tried = t
-		a, version, why := m.handOver(ctx, t, req, least, route.Waits(req.Remaining))
+		a, version, reason := m.handOver(ctx, t, req, minVersion, route.Waits(req.Remaining))
 		if a != nil {
 			a.Route = route
 			m.cfg.Observer.Ended(req, a, &dispatch.Trace{Version: version, Gatherer: t.address})
 			return a
 		}
-		req.Declined += t.address + ": " + why + ";"
+		req.Declined += t.address + ": " + reason + ";"
 	}
 	req.Lag = 0 // it is served here
 	return m.cfg.Local.Serve(ctx, req)
 }
 
-// choose returns the gatherer that is asked next, other than the one that didn't take the search.
-func (m *Manager) choose(except *target) *target {
+// chooseTarget returns the gatherer that is asked next, other than the one that didn't take the search.
+func (m *Manager) chooseTarget(except *target) *target {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return best(m.plan, except, time.Now())
+	return pickTarget(m.targets, except, time.Now())
 }
 
-// handOver lets the gatherer answer the search, and returns by which configuration it did; nil and why where it
+// handOver lets the gatherer answer the search, and returns by which configuration it did; nil and reason where it
 // surely has not run any of it. A search that may have run is not sent again: its calls would come on top of
 // those that each shard may get of one attempt.
-func (m *Manager) handOver(ctx context.Context, t *target, req *dispatch.Request, least uint64, waits time.Duration) (*dispatch.Answer, uint64, string) {
-	callCtx, f := m.begin(ctx, t, req.Arrived.Add(waits))
-	defer m.end(t, f)
-	quiet := time.AfterFunc(quietAfter, func() { m.watch(callCtx, t) })
-	defer quiet.Stop()
+func (m *Manager) handOver(ctx context.Context, t *target, req *dispatch.Request, minVersion uint64, timeout time.Duration) (*dispatch.Answer, uint64, string) {
+	callCtx, f := m.beginSearch(ctx, t, req.Arrived.Add(timeout))
+	defer m.endSearch(t, f)
+	pingTimer := time.AfterFunc(firstPingDelay, func() { m.pingWhileInFlight(callCtx, t) })
+	defer pingTimer.Stop()
 	var sent atomic.Bool
 	traced := httptrace.WithClientTrace(callCtx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
-	msg, err := t.client.Search(traced, encodeSearch(m.cfg.Self, req, least, time.Now()))
+	msg, err := t.client.Search(traced, encodeSearch(m.cfg.Self, req, minVersion, time.Now()))
 	if err != nil {
-		return m.failed(ctx, t, err, sent.Load()), 0, "no connection"
+		return m.handleError(ctx, t, err, sent.Load()), 0, "no connection"
 	}
-	m.noteLoad(t, msg.GetLoad())
-	if why := msg.GetNotTaken(); why != "" {
-		m.ended.WithLabelValues("not_taken").Inc()
-		return nil, 0, why
+	m.recordLoad(t, msg.GetLoad())
+	if reason := msg.GetNotTaken(); reason != "" {
+		m.handoversEnded.WithLabelValues("not_taken").Inc()
+		return nil, 0, reason
 	}
-	m.ended.WithLabelValues("answered").Inc()
-	m.noteVersion(t, msg.GetVersion())
+	m.handoversEnded.WithLabelValues("answered").Inc()
+	m.recordVersion(t, msg.GetVersion())
 	return decodeAnswer(msg), msg.GetVersion(), ""
 }
 
-// begin notes a search in flight and returns its context, which ends at the deadline: the gatherer answers a
+// beginSearch notes a search in flight and returns its context, which ends at the deadline: the gatherer answers a
 // little sooner, whatever its leaves do.
-func (m *Manager) begin(ctx context.Context, t *target, deadline time.Time) (context.Context, *flight) {
+func (m *Manager) beginSearch(ctx context.Context, t *target, deadline time.Time) (context.Context, *inFlightSearch) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
-	f := &flight{cancel}
+	f := &inFlightSearch{cancel}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t.flights[f] = struct{}{}
+	t.inFlight[f] = struct{}{}
 	return ctx, f
 }
 
-func (m *Manager) end(t *target, f *flight) {
+func (m *Manager) endSearch(t *target, f *inFlightSearch) {
 	f.cancel()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(t.flights, f)
+	delete(t.inFlight, f)
 }
 
-// failed is the end of a search that the gatherer didn't answer.
-func (m *Manager) failed(ctx context.Context, t *target, err error, sent bool) *dispatch.Answer {
+// handleError is the end of a search that the gatherer didn't answer.
+func (m *Manager) handleError(ctx context.Context, t *target, err error, sent bool) *dispatch.Answer {
 	if ctx.Err() != nil {
-		m.ended.WithLabelValues("caller_gone").Inc()
+		m.handoversEnded.WithLabelValues("caller_gone").Inc()
 		return &dispatch.Answer{Outcome: dispatch.CallerGone, Reason: dispatch.ReasonCallerGone}
 	}
-	m.lose(t, err)
+	m.handleLoss(t, err)
 	if !sent {
-		m.ended.WithLabelValues("not_sent").Inc()
+		m.handoversEnded.WithLabelValues("not_sent").Inc()
 		return nil
 	}
-	m.ended.WithLabelValues("lost").Inc()
+	m.handoversEnded.WithLabelValues("lost").Inc()
 	return &dispatch.Answer{Outcome: dispatch.Unknown, Reason: dispatch.ReasonGathererLost}
 }
 
-// noteVersion remembers by which configuration a search was served: none of this VM's is served by an older
+// recordVersion remembers by which configuration a search was served: none of this VM's is served by an older
 // one from then on.
-func (m *Manager) noteVersion(t *target, version uint64) {
-	for old := m.newest.Load(); version > old && !m.newest.CompareAndSwap(old, version); {
-		old = m.newest.Load()
+func (m *Manager) recordVersion(t *target, version uint64) {
+	for old := m.newestServedVersion.Load(); version > old && !m.newestServedVersion.CompareAndSwap(old, version); {
+		old = m.newestServedVersion.Load()
 	}
 	if c := m.cfg.Directory.Current().Config; c == nil || c.Version < version {
 		m.cfg.OnNewerConfig(t.address)
@@ -200,15 +200,15 @@
 func (m *Manager) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	type shown struct {
+	type gathererState struct {
 		Lost    bool  `json:"lost"`
 		Leaving bool  `json:"leaving"`
 		LagUs   int64 `json:"lag_us"`
 		Flights int   `json:"searches_in_flight"`
 	}
-	out := make(map[string]shown, len(m.plan))
-	for _, t := range m.plan {
-		out[t.address] = shown{t.lost, t.leaving, t.lag.Microseconds(), len(t.flights)}
+	out := make(map[string]gathererState, len(m.targets))
+	for _, t := range m.targets {
+		out[t.address] = gathererState{t.lost, t.leaving, t.lag.Microseconds(), len(t.inFlight)}
 	}
 	return out
 }
--- a/internal/delegate/messages.go
+++ b/internal/delegate/messages.go
@@ -10,11 +10,11 @@
 )
 
 // encodeSearch returns the message that hands the request over at now.
-func encodeSearch(from string, req *dispatch.Request, versionLeast uint64, now time.Time) *pb.FleetSearch {
+func encodeSearch(from string, req *dispatch.Request, minVersion uint64, now time.Time) *pb.FleetSearch {
 	msg := &pb.FleetSearch{
 		From: from, Id: req.ID, Method: req.Method, Host: req.Host, Target: req.Target, Body: req.Body,
 		RemainingUs: req.Remaining.Microseconds(), ElapsedUs: now.Sub(req.Arrived).Microseconds(),
-		NewConnection: req.NewConnection, RoundTripUs: req.RoundTrip.Microseconds(), LagUs: req.Lag.Microseconds(), VersionLeast: versionLeast,
+		NewConnection: req.NewConnection, RoundTripUs: req.RoundTrip.Microseconds(), LagUs: req.Lag.Microseconds(), VersionLeast: minVersion,
 	}
 	for name, values := range req.Header {
 		msg.Headers = append(msg.Headers, &pb.FleetHeader{Name: name, Values: values})
--- a/internal/delegate/plan.go
+++ b/internal/delegate/plan.go
@@ -11,13 +11,13 @@
 	"github.com/burdockplank/burdockplank/internal/peers"
 )
 
-// strongFrom is the multiple of the weakest VM's processor from which a VM of the same zone counts as strong:
+// largerVMRatio is the multiple of the weakest VM's processor from which a VM of the same zone counts as strong:
 // below it the hop of 1 to 2 ms at both ends takes what the stronger processor gains.
-const strongFrom = 2
+const largerVMRatio = 2
 
-// gatherersPart is the part of what the fleet may spend in extra calls and connections of searches that the
+// gatherersShare is the part of what the fleet may spend in extra calls and connections of searches that the
 // VMs which gather share. The rest is for searches that the others make where they reach none of these.
-const gatherersPart = 0.8
+const gatherersShare = 0.8
 
 // Plan says which VMs make the calls of searches.
 type Plan struct {
@@ -40,40 +40,40 @@
 		}
 	}
 	var p Plan
-	var elsewhere []string
+	var otherZones []string
 	for zone, vms := range zones {
-		strong := strongOf(vms)
-		if len(strong) == 0 {
+		larger := largerVMs(vms)
+		if len(larger) == 0 {
 			p.GathererCount += len(vms)
 			continue
 		}
-		p.GathererCount += len(strong)
-		p.DelegatorCount += len(vms) - len(strong)
+		p.GathererCount += len(larger)
+		p.DelegatorCount += len(vms) - len(larger)
 		if zone != self.Zone {
-			elsewhere = append(elsewhere, strong...)
+			otherZones = append(otherZones, larger...)
 			continue
 		}
-		p.IsGatherer = slices.Contains(strong, self.Address)
+		p.IsGatherer = slices.Contains(larger, self.Address)
 		if !p.IsGatherer {
-			p.ZoneGatherers = strong
+			p.ZoneGatherers = larger
 		}
 	}
 	if len(p.ZoneGatherers) > 0 {
-		slices.Sort(elsewhere)
-		p.OtherZoneGatherers = elsewhere
+		slices.Sort(otherZones)
+		p.OtherZoneGatherers = otherZones
 	}
 	return p
 }
 
-// strongOf returns the addresses of the VMs that are strong beside the weakest, in order.
-func strongOf(vms []peers.VM) []string {
-	weakest := slices.MinFunc(vms, func(a, b peers.VM) int { return cmp.Compare(a.Millicores, b.Millicores) }).Millicores
-	if weakest <= 0 {
+// largerVMs returns the addresses of the VMs that are strong beside the weakest, in order.
+func largerVMs(vms []peers.VM) []string {
+	smallest := slices.MinFunc(vms, func(a, b peers.VM) int { return cmp.Compare(a.Millicores, b.Millicores) }).Millicores
+	if smallest <= 0 {
 		return nil // of one nothing is known
 	}
 	var out []string
 	for _, vm := range vms {
-		if vm.Millicores >= strongFrom*weakest {
+		if vm.Millicores >= largerVMRatio*smallest {
 			out = append(out, vm.Address)
 		}
 	}
@@ -87,7 +87,7 @@
 		return 1 / float64(max(p.GathererCount, 1))
 	}
 	if len(p.ZoneGatherers) > 0 {
-		return (1 - gatherersPart) / float64(p.DelegatorCount)
+		return (1 - gatherersShare) / float64(p.DelegatorCount)
 	}
-	return gatherersPart / float64(p.GathererCount)
+	return gatherersShare / float64(p.GathererCount)
 }
--- a/internal/delegate/plan_test.go
+++ b/internal/delegate/plan_test.go
@@ -16,9 +16,9 @@
 	return peers.VM{Address: address, Zone: zone, Millicores: millicores}
 }
 
-func TestPlan(t *testing.T) {
-	strongZone := []peers.VM{vm("s2", "z", 800), vm("s1", "z", 800), vm("w1", "z", 192), vm("w2", "z", 192)}
-	twoZones := append(strongZone, vm("t1", "y", 800), vm("v1", "y", 192))
+func TestNewPlan(t *testing.T) {
+	mixedZone := []peers.VM{vm("s2", "z", 800), vm("s1", "z", 800), vm("w1", "z", 192), vm("w2", "z", 192)}
+	twoZones := append(mixedZone, vm("t1", "y", 800), vm("v1", "y", 192))
 	for name, tt := range map[string]struct {
 		self  peers.VM
 		fleet []peers.VM
@@ -26,9 +26,9 @@
 	}{
 		"alone":                  {vm("a", "z", 400), nil, Plan{GathererCount: 1}},
 		"all alike":              {vm("a", "z", 400), []peers.VM{vm("b", "z", 400), vm("c", "y", 400)}, Plan{GathererCount: 3}},
-		"weak beside strong":     {vm("w1", "z", 192), strongZone, Plan{ZoneGatherers: []string{"s1", "s2"}, GathererCount: 2, DelegatorCount: 2}},
-		"strong beside weak":     {vm("s1", "z", 800), strongZone, Plan{IsGatherer: true, GathererCount: 2, DelegatorCount: 2}},
-		"strong in another zone": {vm("w3", "y", 192), strongZone, Plan{GathererCount: 3, DelegatorCount: 2}},
+		"weak beside strong":     {vm("w1", "z", 192), mixedZone, Plan{ZoneGatherers: []string{"s1", "s2"}, GathererCount: 2, DelegatorCount: 2}},
+		"strong beside weak":     {vm("s1", "z", 800), mixedZone, Plan{IsGatherer: true, GathererCount: 2, DelegatorCount: 2}},
+		"strong in another zone": {vm("w3", "y", 192), mixedZone, Plan{GathererCount: 3, DelegatorCount: 2}},
 		"a little stronger":      {vm("a", "z", 400), []peers.VM{vm("b", "z", 700)}, Plan{GathererCount: 2}},
 		"unknown":                {vm("a", "z", 0), []peers.VM{vm("b", "z", 800)}, Plan{GathererCount: 2}},
 		"weak, strong ones in two zones": {
@@ -45,7 +45,7 @@
 
 // However strong the VMs are, what all of them may spend in extra calls is what the fleet may, and a VM that
 // hands over hands to VMs that take it.
-func TestPartsAreOneWhole(t *testing.T) {
+func TestSharesSumToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var fleet []peers.VM
 		for i := range rapid.IntRange(1, 40).Draw(t, "vms") {
