--- a/internal/node/compress_test.go
+++ b/internal/node/compress_test.go
@@ -19,18 +19,18 @@
 	"github.com/burdockplank/burdockplank/api/burdock/v1/burdockv1connect"
 )
 
-// answering gives every exchange the same answer.
-type answering struct {
+// fixedAnswerServer gives every exchange the same answer.
+type fixedAnswerServer struct {
 	burdockv1connect.UnimplementedFleetServiceHandler
 	msg *pb.FleetExchange
 }
 
-func (a answering) Exchange(context.Context, *pb.FleetExchange) (*pb.FleetExchange, error) {
+func (a fixedAnswerServer) Exchange(context.Context, *pb.FleetExchange) (*pb.FleetExchange, error) {
 	return a.msg, nil
 }
 
-// stateOf is an answer with the platform's whole state: an entry of some 250 bytes for each leaf.
-func stateOf(leaves int) *pb.FleetExchange {
+// fullState is an answer with the platform's whole state: an entry of some 250 bytes for each leaf.
+func fullState(leaves int) *pb.FleetExchange {
 	msg := &pb.FleetExchange{CompleteTo: 9, Full: true}
 	for i := range leaves {
 		id := fmt.Sprintf("i-%010x", uint64(i+1)*2654435761%(1<<40))
@@ -41,20 +41,20 @@
 	return msg
 }
 
-// seen is what passed through a server.
-type seen struct {
+// response is what passed through a server.
+type response struct {
 	encoding string
 	bytes    int
 }
 
 // serveState serves the message, and notes how the latest answer was encoded.
-func serveState(t testing.TB, msg *pb.FleetExchange) (address string, last *seen) {
-	last = new(seen)
-	_, h := burdockv1connect.NewFleetServiceHandler(answering{msg: msg}, answers()...)
+func serveState(t testing.TB, msg *pb.FleetExchange) (address string, last *response) {
+	last = new(response)
+	_, h := burdockv1connect.NewFleetServiceHandler(fixedAnswerServer{msg: msg}, fleetHandlerOptions()...)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
 		h.ServeHTTP(rec, r)
-		*last = seen{rec.Header().Get("Content-Encoding"), rec.Body.Len()}
+		*last = response{rec.Header().Get("Content-Encoding"), rec.Body.Len()}
 		for k, v := range rec.Header() {
 			w.Header()[k] = v
 		}
@@ -68,7 +68,7 @@
 // Exchanges are compressed unless they are small.
 func TestExchangesAreCompressed(t *testing.T) {
 	is := is.New(t)
-	state := stateOf(700)
+	state := fullState(700)
 	address, last := serveState(t, state)
 	dial := dialPeers("127.0.0.1")
 	got, err := dial(address).Exchange(t.Context(), &pb.FleetExchange{})
@@ -77,7 +77,7 @@
 	is.Equal(last.encoding, gzipName)
 	is.True(last.bytes < proto.Size(state)/4)
 
-	small, last := serveState(t, stateOf(1))
+	small, last := serveState(t, fullState(1))
 	_, err = dial(small).Exchange(t.Context(), &pb.FleetExchange{})
 	is.NoErr(err)
 	is.Equal(last.encoding, "")
@@ -85,11 +85,11 @@
 
 // Requests that name members aren't compressed: each of the hundreds of clients of a large fleet would allocate a
 // compressor of a megabyte.
-func TestUsualRequestsTakeNoCompressor(t *testing.T) {
+func TestTypicalRequestsAllocateNoCompressor(t *testing.T) {
 	is := is.New(t)
 	dial := dialPeers("127.0.0.1")
-	address, _ := serveState(t, stateOf(1))
-	req := stateOf(20)
+	address, _ := serveState(t, fullState(1))
+	req := fullState(20)
 	exchange := func() {
 		_, err := dial(address).Exchange(t.Context(), req)
 		is.NoErr(err)
@@ -105,8 +105,8 @@
 	is.True(after.TotalAlloc-before.TotalAlloc < clients<<18) // a quarter of a megabyte each, for all that it takes
 }
 
-// refuseAll refuses one request and tells what a header of it said.
-func refuseAll(t *testing.T, header string) (address string, said <-chan string) {
+// captureHeader refuses one request and tells what a header of it said.
+func captureHeader(t *testing.T, header string) (address string, said <-chan string) {
 	values := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		values <- r.Header.Get(header)
@@ -119,8 +119,8 @@
 // Much of the state is compressed on its way to a peer as well.
 func TestLargeRequestsAreCompressed(t *testing.T) {
 	is := is.New(t)
-	address, encoding := refuseAll(t, "Content-Encoding")
-	_, err := dialPeers("127.0.0.1")(address).Exchange(t.Context(), stateOf(700))
+	address, encoding := captureHeader(t, "Content-Encoding")
+	_, err := dialPeers("127.0.0.1")(address).Exchange(t.Context(), fullState(700))
 	is.True(err != nil)
 	is.Equal(<-encoding, gzipName)
 }
@@ -128,7 +128,7 @@
 // Searches that are handed over stay in the zone, and so aren't compressed.
 func TestSearchesHandedOverAreNotCompressed(t *testing.T) {
 	is := is.New(t)
-	address, accepted := refuseAll(t, "Accept-Encoding")
+	address, accepted := captureHeader(t, "Accept-Encoding")
 	_, err := dialGatherers("127.0.0.1")(address).Ping(t.Context(), &pb.FleetPing{})
 	is.True(err != nil)
 	is.True(!strings.Contains(<-accepted, gzipName))
@@ -138,8 +138,8 @@
 func BenchmarkWholeState(b *testing.B) {
 	for name, encoding := range map[string]string{"whole": "", "compressed": gzipName} {
 		b.Run(name, func(b *testing.B) {
-			msg := stateOf(700)
-			_, h := burdockv1connect.NewFleetServiceHandler(answering{msg: msg}, answers()...)
+			msg := fullState(700)
+			_, h := burdockv1connect.NewFleetServiceHandler(fixedAnswerServer{msg: msg}, fleetHandlerOptions()...)
 			for b.Loop() {
 				req := httptest.NewRequest(http.MethodPost, burdockv1connect.FleetServiceExchangeProcedure, bytes.NewReader(nil))
 				req.Header.Set("Content-Type", "application/proto")
--- a/internal/node/delegate_test.go
+++ b/internal/node/delegate_test.go
@@ -33,35 +33,35 @@
 
 // A weak VM hands its searches to the strong one of its zone and its callers get what they would get from
 // that; once it ends, orderly, the weak one makes them itself and no caller notices.
-func TestSearchesGoToTheStrongVM(t *testing.T) {
+func TestSearchesGoToTheLargerVM(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	strong := s.startSized(800)
-	weak := s.startSized(200)
+	s := newCluster(t)
+	larger := s.startSized(800)
+	smaller := s.startSized(200)
 	const answered = `burdock_handed_over_total{end="answered"}`
 	n := 0
 	search := func() {
 		n++
-		status, header, body, err := weak.get(http.MethodGet, "/s/1", fmt.Sprintf("r%d", n))
+		status, header, body, err := smaller.get(http.MethodGet, "/s/1", fmt.Sprintf("r%d", n))
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		is.Equal(header.Get("Missing-Parts"), "0")
 		is.Equal(body, "s2              s1              ")
 	}
-	within(t, 5*time.Second, "both ready", func() bool { return strong.ready() && weak.ready() })
-	within(t, 5*time.Second, "searches go to the strong VM", func() bool {
+	within(t, 5*time.Second, "both ready", func() bool { return larger.ready() && smaller.ready() })
+	within(t, 5*time.Second, "searches go to the larger VM", func() bool {
 		search()
-		return weak.metric(answered) != ""
+		return smaller.metric(answered) != ""
 	})
-	status, _, body, err := weak.get(http.MethodPost, "/x/1", "single")
+	status, _, body, err := smaller.get(http.MethodPost, "/x/1", "single")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "x               ")
-	strong.stop()
-	for begun := time.Now(); time.Since(begun) < 4*time.Second; time.Sleep(20 * time.Millisecond) {
+	larger.stop()
+	for start := time.Now(); time.Since(start) < 4*time.Second; time.Sleep(20 * time.Millisecond) {
 		search()
 	}
-	before := weak.metric(answered)
+	before := smaller.metric(answered)
 	search()
-	is.Equal(weak.metric(answered), before)
+	is.Equal(smaller.metric(answered), before)
 }
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// peerIdle is how long an idle connection to another VM is kept.
-	peerIdle = 10 * time.Second
-	// gathererDial bounds opening a connection to a stronger VM of the zone, gathererSilent how long bytes
+	// peerIdleTimeout is how long an idle connection to another VM is kept.
+	peerIdleTimeout = 10 * time.Second
+	// gathererDialTimeout bounds opening a connection to a stronger VM of the zone, gathererSilent how long bytes
 	// sent there may stay unacknowledged: a round trip takes 0.2 ms.
-	gathererDial, gathererSilent = 100 * time.Millisecond, 250 * time.Millisecond
-	// gathererIdle is how many idle connections to each are kept: a burst brings a weak VM some 5 searches at once.
-	gathererIdle = 8
+	gathererDialTimeout, gathererAckTimeout = 100 * time.Millisecond, 250 * time.Millisecond
+	// gathererMaxIdleConns is how many idle connections to each are kept: a burst brings a weak VM some 5 searches at once.
+	gathererMaxIdleConns = 8
 )
 
 // dialGatherers returns clients for searches handed over. Their connections find within some tenths of a
 // second that the other end is gone: a search waits for it.
 func dialGatherers(bind string) func(address string) delegate.Client {
 	dialer := rpc.Dialer(bind)
-	dialer.Timeout = gathererDial
-	dialer.Control = rpc.EndSilent(gathererSilent)
+	dialer.Timeout = gathererDialTimeout
+	dialer.Control = rpc.EndSilent(gathererAckTimeout)
 	shared := &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: gathererIdle, IdleConnTimeout: peerIdle, DisableCompression: true,
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: gathererMaxIdleConns, IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
 	}}
-	options := searched()
+	options := searchClientOptions()
 	return func(address string) delegate.Client {
 		return burdockv1connect.NewFleetServiceClient(shared, "http://"+address, options...)
 	}
@@ -40,9 +40,9 @@
 // VMs to each other took more bytes than all exchanges.
 func dialPeers(bind string) peers.Dial {
 	shared := &http.Client{Transport: &http.Transport{
-		DialContext: rpc.Dialer(bind).DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: peerIdle, DisableCompression: true,
+		DialContext: rpc.Dialer(bind).DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
 	}}
-	options := exchanged() // they hold the compressors
+	options := exchangeClientOptions() // they hold the compressors
 	return func(address string) peers.Client {
 		return burdockv1connect.NewFleetServiceClient(shared, "http://"+address, options...)
 	}
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -12,7 +12,7 @@
 // BenchmarkSearch measures a search of three shards through the whole program and the leaves' stand-ins
 // on loopback; with -cpuprofile it shows what a call to a leaf costs.
 func BenchmarkSearch(b *testing.B) {
-	s := newSite(b)
+	s := newCluster(b)
 	for _, l := range s.leaves {
 		body := []byte(fmt.Sprintf("%-160s", l.ID))
 		l.SetScript(func(int, *http.Request) hosted.Reply { return hosted.Reply{Body: body} })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,23 +46,23 @@
 const (
 	// Name of the program in logs.
 	Name = "burdock-node"
-	// memoryUsed is the part of the memory limit that the runtime's collector aims to stay within; the
+	// memoryTargetRatio is the part of the memory limit that the runtime's collector aims to stay within; the
 	// rest is for bytes in sockets.
-	memoryUsed = 0.6
-	// unnoticed is how long the balancer may go on sending new connections after this VM says that it
+	memoryTargetRatio = 0.6
+	// balancerLag is how long the balancer may go on sending new connections after this VM says that it
 	// isn't ready: two checks, a second apart, and some.
-	unnoticed = 2800 * time.Millisecond
-	// endMargin is kept of the grace period for the end of the process itself.
-	endMargin = 400 * time.Millisecond
-	// fleetPeriod is how often the number of VMs is looked at.
-	fleetPeriod = 500 * time.Millisecond
-	// idleMost is how long a caller's idle connection is kept where the configuration asks for less or
+	balancerLag = 2800 * time.Millisecond
+	// exitMargin is kept of the grace period for the end of the process itself.
+	exitMargin = 400 * time.Millisecond
+	// fleetPollInterval is how often the number of VMs is looked at.
+	fleetPollInterval = 500 * time.Millisecond
+	// callerIdleTimeout is how long a caller's idle connection is kept where the configuration asks for less or
 	// nothing: longer than callers reuse them, so that no request crosses the close.
-	idleMost = 75 * time.Second
-	// headerMost bounds how long the head of a request may take.
-	headerMost = 10 * time.Second
-	// logCloseLimit bounds writing the last lines.
-	logCloseLimit = 200 * time.Millisecond
+	callerIdleTimeout = 75 * time.Second
+	// headerReadTimeout bounds how long the head of a request may take.
+	headerReadTimeout = 10 * time.Second
+	// logFlushTimeout bounds writing the last lines.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 // Platform is what the platform's adapter brings.
@@ -83,45 +83,45 @@
 
 // Daemon is the process.
 type Daemon struct {
-	settings  *deployment.Settings
-	platform  Platform
-	metricsAt MetricsAddress
-	log       *zap.Logger
-	sink      *logging.Async
-	registry  *prometheus.Registry
+	settings       *deployment.Settings
+	platform       Platform
+	metricsAddress MetricsAddress
+	log            *zap.Logger
+	sink           *logging.Async
+	registry       *prometheus.Registry
 
-	mirror    *mirror.Mirror
-	updated   *notify.Notifier
-	directory *directory.Directory
-	peers     *peers.Manager
-	reader    *storeread.Reader
-	pool      *leafpool.Pool
-	table     *replica.Table
-	budgets   *retrybudget.Budgets
-	recorder  *decision.Recorder
-	engine    *dispatch.Engine
-	delegate  *delegate.Manager
-	gatherer  *delegate.Gatherer
-	refused   *prometheus.CounterVec
-	server    *http.Server
-	leaving   atomic.Bool
-	seeds     atomic.Pointer[[]string]
-	// size belongs to follow.
-	size fleetSize
+	mirror           *mirror.Mirror
+	directoryUpdated *notify.Notifier
+	directory        *directory.Directory
+	peers            *peers.Manager
+	reader           *storeread.Reader
+	pool             *leafpool.Pool
+	table            *replica.Table
+	budgets          *retrybudget.Budgets
+	recorder         *decision.Recorder
+	engine           *dispatch.Engine
+	delegate         *delegate.Manager
+	gatherer         *delegate.Gatherer
+	refusals         *prometheus.CounterVec
+	server           *http.Server
+	leaving          atomic.Bool
+	seeds            atomic.Pointer[[]string]
+	// fleetSize belongs to follow.
+	fleetSize fleetSize
 }
 
 // New builds the duties; nothing runs yet.
 func New(s *deployment.Settings, p Platform, metricsAt MetricsAddress, log *zap.Logger, sink *logging.Async, lines decision.Limits, reg *prometheus.Registry) *Daemon {
 	changed, updated := notify.New(), notify.New()
 	d := &Daemon{
-		settings: s, platform: p, metricsAt: metricsAt, log: log, sink: sink, registry: reg,
-		mirror: mirror.New(changed), updated: updated,
-		table: replica.New(), budgets: retrybudget.New(s.RetryBudget, time.Now), size: fleetSize{started: time.Now()},
-		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
+		settings: s, platform: p, metricsAddress: metricsAt, log: log, sink: sink, registry: reg,
+		mirror: mirror.New(changed), directoryUpdated: updated,
+		table: replica.New(), budgets: retrybudget.New(s.RetryBudget, time.Now), fleetSize: fleetSize{startedAt: time.Now()},
+		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "burdock_requests_refused_total", Help: "Requests refused at the callers' edge by reason.",
 		}, []string{"reason"}),
 	}
-	reg.MustRegister(d.refused)
+	reg.MustRegister(d.refusals)
 	d.seeds.Store(&s.Seeds)
 	d.directory = directory.New(d.mirror, changed, updated, p.Decoder, log, reg)
 	d.peers = peers.New(peers.Config{
@@ -139,16 +139,16 @@
 		Log: log, Registry: reg,
 	})
 	d.gatherer = delegate.NewGatherer(d.engine, d.directory, d.leaving.Load)
-	d.server = d.callersServer()
+	d.server = d.newCallerServer()
 	reg.MustRegister(newStateMetrics(d))
 	return d
 }
 
-func (d *Daemon) callersServer() *http.Server {
-	edge := d.platform.NewCallerHandler(d.delegate, d.limits, d.leaving.Load, func(reason string) { d.refused.WithLabelValues(reason).Inc() })
+func (d *Daemon) newCallerServer() *http.Server {
+	edge := d.platform.NewCallerHandler(d.delegate, d.limits, d.leaving.Load, func(reason string) { d.refusals.WithLabelValues(reason).Inc() })
 	n := negroni.New()
 	n.UseHandler(edge)
-	return &http.Server{Handler: n, ReadHeaderTimeout: headerMost, IdleTimeout: idleMost, ConnContext: d.platform.ConnContext}
+	return &http.Server{Handler: n, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: callerIdleTimeout, ConnContext: d.platform.ConnContext}
 }
 
 // limits of the configuration in force; none before the first.
@@ -167,18 +167,18 @@
 
 // Run runs the process until it is stopped.
 func (d *Daemon) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(float64(d.settings.MemoryBytes) * memoryUsed))
-	defer d.sink.Close(logCloseLimit)
+	debug.SetMemoryLimit(int64(float64(d.settings.MemoryBytes) * memoryTargetRatio))
+	defer d.sink.Close(logFlushTimeout)
 	callers, err := net.Listen("tcp", d.settings.CallersAddress)
 	if err != nil {
 		return eris.Wrap(err, "node: listen for callers")
 	}
 	runner := process.Runner{
-		Log: d.log, DrainLimit: d.settings.GracePeriod - endMargin, Drain: d.drain,
+		Log: d.log, DrainLimit: d.settings.GracePeriod - exitMargin, Drain: d.drain,
 		Duties: []process.Duty{
 			{Name: "settings", Run: d.reloadOnSignal},
 			{Name: "recorder", Run: d.recorder.Run},
-			{Name: "metrics", Run: d.serve(string(d.metricsAt), d.operatorHandler())},
+			{Name: "metrics", Run: d.serve(string(d.metricsAddress), d.operatorHandler())},
 			{Name: "peers' server", Run: d.serve(d.settings.PeersAddress, d.peersHandler())},
 			{Name: "peers", Run: d.peers.Run},
 			{Name: "store reader", Run: d.reader.Run},
@@ -205,7 +205,7 @@
 
 func (d *Daemon) peersHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(burdockv1connect.NewFleetServiceHandler(fleetService{d.peers, d.gatherer}, answers()...))
+	mux.Handle(burdockv1connect.NewFleetServiceHandler(fleetService{d.peers, d.gatherer}, fleetHandlerOptions()...))
 	return mux
 }
 
@@ -235,7 +235,7 @@
 func (d *Daemon) drain(ctx context.Context) {
 	d.leaving.Store(true)
 	d.peers.Leave()
-	wait.For(ctx, unnoticed)
+	wait.For(ctx, balancerLag)
 	d.gatherer.Close(ctx)
 	if err := d.server.Shutdown(ctx); err != nil {
 		d.log.Warn("requests were cut off by the end of the process", zap.Error(err))
@@ -245,14 +245,14 @@
 
 // follow passes changes of the directory and the fleet on to the pool and the budgets.
 func (d *Daemon) follow(ctx context.Context) error {
-	t := time.NewTicker(fleetPeriod)
+	t := time.NewTicker(fleetPollInterval)
 	defer t.Stop()
 	for {
-		next := d.updated.Changed()
+		next := d.directoryUpdated.Changed()
 		vms := d.applyPlan()
 		d.table.Forget(time.Now())
 		if vms == 1 {
-			d.reload() // the seeds may have changed without a signal
+			d.reloadSeeds() // the seeds may have changed without a signal
 		}
 		select {
 		case <-ctx.Done():
@@ -274,13 +274,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-hup:
-			d.log.Info("settings reloaded", zap.Bool("taken", d.reload()))
+			d.log.Info("settings reloaded", zap.Bool("taken", d.reloadSeeds()))
 		}
 	}
 }
 
-// reload takes new seeds from the settings and tells whether it could; the last ones stay otherwise.
-func (d *Daemon) reload() bool {
+// reloadSeeds takes new seeds from the settings and tells whether it could; the last ones stay otherwise.
+func (d *Daemon) reloadSeeds() bool {
 	seeds, err := d.platform.ReloadSeeds()
 	if err != nil {
 		d.log.Warn("settings not reloaded", zap.Error(err))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -37,8 +37,8 @@
 	ended    chan error
 }
 
-// site is a small deployment on loopback: a store, leaves, and VMs.
-type site struct {
+// cluster is a small deployment on loopback: a store, leaves, and VMs.
+type cluster struct {
 	t       testing.TB
 	store   *hosted.Store
 	leaves  map[string]*hosted.Leaf
@@ -48,7 +48,7 @@
 
 // The ports of a VM under test, below those that the kernel gives to outgoing connections.
 const (
-	callersPort = "8226"
+	callerPort  = "8226"
 	readyPort   = "8227"
 	peersPort   = "8224"
 	metricsPort = "9464"
@@ -62,9 +62,9 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// newSite starts three shards s0 to s2 of two leaves each, and a service x of two leaves.
-func newSite(t testing.TB) *site {
-	s := &site{t: t, store: hosted.NewStore(), leaves: make(map[string]*hosted.Leaf)}
+// newCluster starts three shards s0 to s2 of two leaves each, and a service x of two leaves.
+func newCluster(t testing.TB) *cluster {
+	s := &cluster{t: t, store: hosted.NewStore(), leaves: make(map[string]*hosted.Leaf)}
 	t.Cleanup(s.store.Close)
 	for _, service := range []string{"s0", "s1", "s2", "x", "later"} {
 		for _, replica := range []string{"a", "b"} {
@@ -83,7 +83,7 @@
 }
 
 // configure puts the next version in force, in which /x/ goes to the service.
-func (s *site) configure(single string) {
+func (s *cluster) configure(single string) {
 	s.version++
 	s.store.Configure(hosted.Config{
 		Version: s.version, Services: []string{"s0", "s1", "s2", "x", "later"}, Connections: 30,
@@ -96,7 +96,7 @@
 }
 
 // start runs a VM; one without a store is refused by it.
-func (s *site) start(withStore bool) *vm {
+func (s *cluster) start(withStore bool) *vm {
 	s.t.Helper()
 	v := s.prepare(withStore)
 	s.run(v)
@@ -104,7 +104,7 @@
 }
 
 // startSized runs a VM with so much of a processor.
-func (s *site) startSized(millicores int) *vm {
+func (s *cluster) startSized(millicores int) *vm {
 	s.t.Helper()
 	v := s.prepare(true)
 	v.settings.Millicores = millicores
@@ -113,7 +113,7 @@
 }
 
 // prepare returns a VM that doesn't run yet.
-func (s *site) prepare(withStore bool) *vm {
+func (s *cluster) prepare(withStore bool) *vm {
 	s.t.Helper()
 	ip := ownIP()
 	address := s.store.Address()
@@ -123,7 +123,7 @@
 	v := &vm{
 		settings: &deployment.Settings{
 			VMName: fmt.Sprintf("vm%d", len(s.vms)), Zone: "z", IP: ip,
-			CallersAddress: net.JoinHostPort(ip, callersPort), ReadinessAddress: net.JoinHostPort(ip, readyPort), PeersAddress: net.JoinHostPort(ip, peersPort), StoreAddress: address, MemoryBytes: 256 << 20,
+			CallersAddress: net.JoinHostPort(ip, callerPort), ReadinessAddress: net.JoinHostPort(ip, readyPort), PeersAddress: net.JoinHostPort(ip, peersPort), StoreAddress: address, MemoryBytes: 256 << 20,
 			RetryBudget: retrybudget.Limit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, GracePeriod: 6 * time.Second, ConfigApplyBound: 3 * time.Second,
 		},
 		metrics: net.JoinHostPort(ip, metricsPort),
@@ -137,7 +137,7 @@
 }
 
 // run runs the VM until the test ends.
-func (s *site) run(v *vm) {
+func (s *cluster) run(v *vm) {
 	p := node.Platform{
 		Store: platform.NewStore(v.settings.StoreAddress, v.settings.IP), Decoder: platform.Decoder{}, Dialer: platform.NewLeafDialer(v.settings.IP),
 		NewCallerHandler: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
@@ -192,7 +192,7 @@
 
 func TestServesCallers(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newCluster(t)
 	v := s.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	status, header, body, err := v.get(http.MethodGet, "/s/1", "r1")
@@ -225,7 +225,7 @@
 // A VM without any configuration refuses as not run, never as an unknown route, and isn't ready.
 func TestWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newCluster(t)
 	s.store.SetFault(hosted.Fault{Status: http.StatusServiceUnavailable})
 	v := s.start(true)
 	within(t, 3*time.Second, "serves", func() bool {
@@ -238,14 +238,14 @@
 }
 
 // A VM that the store refuses serves by what its peers tell, and takes changes within the bound.
-func TestVMThatTheStoreRefuses(t *testing.T) {
-	s := newSite(t)
+func TestVMRefusedByStore(t *testing.T) {
+	s := newCluster(t)
 	first := s.start(true)
 	within(t, 3*time.Second, "first ready", first.ready)
 	refused := s.start(false)
 	within(t, 3*time.Second, "the refused one ready", refused.ready)
 	s.configure("later")
-	begun := time.Now()
+	start := time.Now()
 	within(t, 3*time.Second, "both use the change", func() bool {
 		for _, v := range s.vms {
 			if _, _, body, err := v.get(http.MethodPost, "/x/1", "r"); err != nil || body != "later           " {
@@ -254,13 +254,13 @@
 		}
 		return true
 	})
-	t.Logf("after %v", time.Since(begun))
+	t.Logf("after %v", time.Since(start))
 }
 
 // A leaf that drains gets nothing soon after.
 func TestDrainingLeaf(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newCluster(t)
 	v := s.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	leaf := s.leaves["x-a"]
@@ -276,9 +276,9 @@
 }
 
 // SIGHUP in the middle of requests cuts none of them.
-func TestSignalToReload(t *testing.T) {
+func TestSIGHUPCutsNoRequests(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newCluster(t)
 	v := s.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	var wg sync.WaitGroup
@@ -298,7 +298,7 @@
 // must have noticed, closes kept ones after their answers, and ends within the grace period.
 func TestOrderlyStop(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newCluster(t)
 	for _, id := range []string{"x-a", "x-b"} {
 		s.leaves[id].SetScript(func(int, *http.Request) hosted.Reply {
 			return hosted.Reply{Delay: 800 * time.Millisecond, Body: []byte("slow")}
@@ -312,11 +312,11 @@
 		running <- fmt.Sprint(body, err)
 	}()
 	time.Sleep(100 * time.Millisecond)
-	begun := time.Now()
+	start := time.Now()
 	v.stop()
 	within(t, 500*time.Millisecond, "not ready", func() bool { return !v.ready() })
 	is.Equal(<-running, "slow<nil>")
-	for time.Since(begun) < 2500*time.Millisecond {
+	for time.Since(start) < 2500*time.Millisecond {
 		status, _, _, err := v.get(http.MethodGet, "/s/1", "r2")
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
@@ -326,7 +326,7 @@
 	case err := <-v.ended:
 		is.NoErr(err)
 		v.ended <- nil
-	case <-time.After(6*time.Second - time.Since(begun)):
+	case <-time.After(6*time.Second - time.Since(start)):
 		t.Fatal("not ended within the grace period")
 	}
 }
--- a/internal/node/shares_test.go
+++ b/internal/node/shares_test.go
@@ -14,25 +14,25 @@
 func TestFleetSizeSettles(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	f := fleetSize{started: now}
-	is.True(f.unsettled(1, now))
-	is.True(f.unsettled(40, now.Add(600*time.Millisecond)))
-	is.True(f.unsettled(40, now.Add(1500*time.Millisecond)))
-	is.True(!f.unsettled(40, now.Add(1600*time.Millisecond)))
-	is.True(f.unsettled(41, now.Add(2*time.Second)))
-	is.True(!f.unsettled(42, now.Add(settledMost)))
+	f := fleetSize{startedAt: now}
+	is.True(f.observe(1, now))
+	is.True(f.observe(40, now.Add(600*time.Millisecond)))
+	is.True(f.observe(40, now.Add(1500*time.Millisecond)))
+	is.True(!f.observe(40, now.Add(1600*time.Millisecond)))
+	is.True(f.observe(41, now.Add(2*time.Second)))
+	is.True(!f.observe(42, now.Add(maxSettleTime)))
 }
 
 // A shard that a route of single requests leads to as well belongs to those who gather: with its leaves' connections
 // divided by 295 VMs each may have one, which is more than the leaves take, and too few for those who gather.
-func TestShardThatServesSingleRequestsToo(t *testing.T) {
+func TestShardAlsoServingSingleRequests(t *testing.T) {
 	is := is.New(t)
-	s := shares{vms: 295, single: map[string]bool{"x": true, "s0": true}, shards: map[string]bool{"s0": true, "s1": true}}
+	s := shares{vmCount: 295, singleServices: map[string]bool{"x": true, "s0": true}, shardServices: map[string]bool{"s0": true, "s1": true}}
 	s.plan = delegate.Plan{IsGatherer: true, GathererCount: 15, DelegatorCount: 280}
-	is.Equal(s.connections("s0"), leafpool.Share{VMs: 15})
-	is.Equal(s.connections("s1"), leafpool.Share{VMs: 15})
-	is.Equal(s.connections("x"), leafpool.Share{VMs: 295})
+	is.Equal(s.connectionShare("s0"), leafpool.Share{VMs: 15})
+	is.Equal(s.connectionShare("s1"), leafpool.Share{VMs: 15})
+	is.Equal(s.connectionShare("x"), leafpool.Share{VMs: 295})
 	s.plan = delegate.Plan{ZoneGatherers: []string{"strong"}, GathererCount: 15, DelegatorCount: 280}
-	is.Equal(s.connections("s0"), leafpool.Share{VMs: 15, Rare: true})
-	is.Equal(s.connections("x"), leafpool.Share{VMs: 295})
+	is.Equal(s.connectionShare("s0"), leafpool.Share{VMs: 15, Rare: true})
+	is.Equal(s.connectionShare("x"), leafpool.Share{VMs: 295})
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -10,13 +10,13 @@
 
 // A VM whose readiness address is taken ends with the error, and doesn't go on half started: never
 // ready, and deaf to its stop.
-func TestTakenAddressEndsTheProcess(t *testing.T) {
+func TestAddressInUseEndsTheProcess(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newCluster(t)
 	v := s.prepare(true)
-	taken, err := net.Listen("tcp", v.settings.ReadinessAddress)
+	listener, err := net.Listen("tcp", v.settings.ReadinessAddress)
 	is.NoErr(err)
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = listener.Close() }()
 	s.run(v)
 	select {
 	case err := <-v.ended:
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -14,7 +14,7 @@
 	d *Daemon
 
 	configVersion, storeRevision, storeContactAge, callsInFlight *prometheus.Desc
-	leaves, extraLeft                                            *prometheus.Desc
+	leaves, extraCallsRemaining                                  *prometheus.Desc
 }
 
 func newStateMetrics(d *Daemon) *stateMetrics {
@@ -22,19 +22,19 @@
 		return prometheus.NewDesc(name, help, labels, nil)
 	}
 	return &stateMetrics{
-		d:               d,
-		configVersion:   desc("burdock_config_version", "Version of the configuration in force, 0 before the first."),
-		storeRevision:   desc("burdock_store_revision", "Revision of the store up to which the view is complete."),
-		storeContactAge: desc("burdock_store_contact_age_seconds", "Time since any VM of the zone that was heard of had an answer of the store; -1 for never."),
-		callsInFlight:   desc("burdock_leaf_calls_in_flight", "Calls to leaves in flight."),
-		leaves:          desc("burdock_leaves", "Leaves of a service that may take work.", "service"),
-		extraLeft:       desc("burdock_extra_calls_left", "Hedges and repeats that this VM may send to a service now.", "service"),
+		d:                   d,
+		configVersion:       desc("burdock_config_version", "Version of the configuration in force, 0 before the first."),
+		storeRevision:       desc("burdock_store_revision", "Revision of the store up to which the view is complete."),
+		storeContactAge:     desc("burdock_store_contact_age_seconds", "Time since any VM of the zone that was heard of had an answer of the store; -1 for never."),
+		callsInFlight:       desc("burdock_leaf_calls_in_flight", "Calls to leaves in flight."),
+		leaves:              desc("burdock_leaves", "Leaves of a service that may take work.", "service"),
+		extraCallsRemaining: desc("burdock_extra_calls_left", "Hedges and repeats that this VM may send to a service now.", "service"),
 	}
 }
 
 // Describe implements prometheus.Collector.
 func (m *stateMetrics) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{m.configVersion, m.storeRevision, m.storeContactAge, m.callsInFlight, m.leaves, m.extraLeft} {
+	for _, d := range []*prometheus.Desc{m.configVersion, m.storeRevision, m.storeContactAge, m.callsInFlight, m.leaves, m.extraCallsRemaining} {
 		out <- d
 	}
 }
@@ -52,15 +52,15 @@
 	gauge(m.configVersion, version)
 	gauge(m.storeRevision, float64(view.Revision))
 	age := -1.0
-	if _, since := m.d.peers.Zone(time.Now()); since < peers.Never {
-		age = since.Seconds()
+	if _, sinceContact := m.d.peers.Zone(time.Now()); sinceContact < peers.Never {
+		age = sinceContact.Seconds()
 	}
 	gauge(m.storeContactAge, age)
 	gauge(m.callsInFlight, float64(m.d.table.InFlight()))
 	for service, leaves := range view.Leaves {
 		gauge(m.leaves, float64(len(leaves)), service)
 	}
-	for service, left := range m.d.budgets.Left() {
-		gauge(m.extraLeft, left, service)
+	for service, remaining := range m.d.budgets.Left() {
+		gauge(m.extraCallsRemaining, remaining, service)
 	}
 }
