--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -24,10 +24,10 @@
 
 // Next returns the wait after one more failure.
 func (b *Backoff) Next() time.Duration {
-	most := b.Max
-	if most == 0 {
-		most = backoffMax
+	maxWait := b.Max
+	if maxWait == 0 {
+		maxWait = backoffMax
 	}
-	b.next = min(max(b.next*2, backoffMin), most)
+	b.next = min(max(b.next*2, backoffMin), maxWait)
 	return b.next/2 + rand.N(b.next/2)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-func TestReads(t *testing.T) {
+func TestWatchOutcomes(t *testing.T) {
 	tests := []struct {
 		name    string
 		status  int
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestListAndKeysAreReadWithoutWaiting(t *testing.T) {
+func TestReadURLs(t *testing.T) {
 	is := is.New(t)
 	var urls []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
