--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -49,25 +49,25 @@
 	for _, seed := range s.Seeds {
 		checkAddress(c, "seed", seed)
 	}
-	c.Require(s.Millicores >= 0 && s.Millicores <= millicoresMost, "processor", "want 0 to %d millicores, got %d", millicoresMost, s.Millicores)
-	c.Require(s.MemoryBytes >= memoryLeast, "memory", "want %d bytes at least, got %d", memoryLeast, s.MemoryBytes)
+	c.Require(s.Millicores >= 0 && s.Millicores <= maxMillicores, "processor", "want 0 to %d millicores, got %d", maxMillicores, s.Millicores)
+	c.Require(s.MemoryBytes >= minMemoryBytes, "memory", "want %d bytes at least, got %d", minMemoryBytes, s.MemoryBytes)
 	c.Require(s.RetryBudget.Ratio >= 0 && s.RetryBudget.Ratio <= 1, "retry budget's ratio", "want 0 to 1, got %g", s.RetryBudget.Ratio)
 	c.Require(s.RetryBudget.Slack >= 0, "retry budget's slack", "want 0 or more, got %g", s.RetryBudget.Slack)
-	c.Require(s.RetryBudget.Window >= windowLeast, "retry budget's window", "want %v at least, got %v", windowLeast, s.RetryBudget.Window)
-	c.Require(s.ConfigApplyBound >= boundLeast, "configuration's bound", "want %v at least, got %v", boundLeast, s.ConfigApplyBound)
-	c.Require(s.GracePeriod >= graceLeast && s.GracePeriod <= graceMost, "grace period", "want %v to %v, got %v", graceLeast, graceMost, s.GracePeriod)
+	c.Require(s.RetryBudget.Window >= minRetryWindow, "retry budget's window", "want %v at least, got %v", minRetryWindow, s.RetryBudget.Window)
+	c.Require(s.ConfigApplyBound >= minConfigApplyBound, "configuration's bound", "want %v at least, got %v", minConfigApplyBound, s.ConfigApplyBound)
+	c.Require(s.GracePeriod >= minGracePeriod && s.GracePeriod <= maxGracePeriod, "grace period", "want %v to %v, got %v", minGracePeriod, maxGracePeriod, s.GracePeriod)
 }
 
 const (
-	// memoryLeast is what the process takes without load, with room for its runtime.
-	memoryLeast = 32 << 20
-	// millicoresMost is far above any VM.
-	millicoresMost = 1_000_000
-	// graceLeast is what the balancer's two missed checks and a request need; graceMost is far above any
+	// minMemoryBytes is what the process takes without load, with room for its runtime.
+	minMemoryBytes = 32 << 20
+	// maxMillicores is far above any VM.
+	maxMillicores = 1_000_000
+	// minGracePeriod is what the balancer's two missed checks and a request need; graceMost is far above any
 	// orderly stop.
-	graceLeast, graceMost = time.Second, time.Hour
-	// windowLeast holds the spans that the budget counts in, boundLeast a poll of the store and its spread.
-	windowLeast, boundLeast = time.Second, 500 * time.Millisecond
+	minGracePeriod, maxGracePeriod = time.Second, time.Hour
+	// minRetryWindow holds the spans that the budget counts in, boundLeast a poll of the store and its spread.
+	minRetryWindow, minConfigApplyBound = time.Second, 500 * time.Millisecond
 )
 
 func checkAddress(c *settings.Checker, key, value string) {
