--- a/cmd/burdock-node/main.go
+++ b/cmd/burdock-node/main.go
@@ -64,9 +64,9 @@
 }
 
 func serve(s *deployment.Settings, c commandLine) int {
-	at := node.MetricsAddress(fmt.Sprintf("%s:%d", s.IP, c.MetricsPort))
-	lines := decision.Limits{Failed: c.LogFailed, Helped: c.LogHelped}
-	d, err := newDaemon(s, settingsPath(c.Settings), at, logLevel(c.LogLevel), lines)
+	metricsAddress := node.MetricsAddress(fmt.Sprintf("%s:%d", s.IP, c.MetricsPort))
+	logLimits := decision.Limits{Failed: c.LogFailed, Helped: c.LogHelped}
+	d, err := newDaemon(s, settingsPath(c.Settings), metricsAddress, logLevel(c.LogLevel), logLimits)
 	if err != nil {
 		return report(err, launch.ExitFailed)
 	}
--- a/cmd/burdock-node/providers.go
+++ b/cmd/burdock-node/providers.go
@@ -42,11 +42,11 @@
 			return platform.ConnContext(ctx, c)
 		},
 		ReloadSeeds: func() ([]string, error) {
-			now, err := platform.LoadSettings(string(path))
+			current, err := platform.LoadSettings(string(path))
 			if err != nil {
 				return nil, err
 			}
-			return now.Seeds, nil
+			return current.Seeds, nil
 		},
 	}
 }
--- a/cmd/burdock-node/wire.go
+++ b/cmd/burdock-node/wire.go
@@ -11,7 +11,7 @@
 	"github.com/burdockplank/burdockplank/internal/operator"
 )
 
-func newDaemon(s *deployment.Settings, path settingsPath, at node.MetricsAddress, level logLevel, lines decision.Limits) (*node.Daemon, error) {
+func newDaemon(s *deployment.Settings, path settingsPath, metricsAddress node.MetricsAddress, level logLevel, logLimits decision.Limits) (*node.Daemon, error) {
 	wire.Build(provideSink, provideLog, providePlatform, operator.NewRegistry, node.New)
 	return nil, nil
 }
--- a/cmd/burdock-node/wire_gen.go
+++ b/cmd/burdock-node/wire_gen.go
@@ -15,7 +15,7 @@
 
 // Injectors from wire.go:
 
-func newDaemon(s *deployment.Settings, path settingsPath, at node.MetricsAddress, level logLevel, lines decision.Limits) (*node.Daemon, error) {
+func newDaemon(s *deployment.Settings, path settingsPath, metricsAddress node.MetricsAddress, level logLevel, logLimits decision.Limits) (*node.Daemon, error) {
 	platform := providePlatform(s, path)
 	async := provideSink()
 	logger, err := provideLog(s, level, async)
@@ -23,6 +23,6 @@
 		return nil, err
 	}
 	registry := operator.NewRegistry()
-	daemon := node.New(s, platform, at, logger, async, lines, registry)
+	daemon := node.New(s, platform, metricsAddress, logger, async, logLimits, registry)
 	return daemon, nil
 }
