--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -111,10 +111,10 @@
 }
 
 // New builds the duties; nothing runs yet.
-func New(s *deployment.Settings, p Platform, metricsAt MetricsAddress, log *zap.Logger, sink *logging.Async, lines decision.Limits, reg *prometheus.Registry) *Daemon {
+func New(s *deployment.Settings, p Platform, metricsAddress MetricsAddress, log *zap.Logger, sink *logging.Async, logLimits decision.Limits, reg *prometheus.Registry) *Daemon {
 	changed, updated := notify.New(), notify.New()
 	d := &Daemon{
-		settings: s, platform: p, metricsAddress: metricsAt, log: log, sink: sink, registry: reg,
+		settings: s, platform: p, metricsAddress: metricsAddress, log: log, sink: sink, registry: reg,
 		mirror: mirror.New(changed), directoryUpdated: updated,
 		table: replica.New(), budgets: retrybudget.New(s.RetryBudget, time.Now), fleetSize: fleetSize{startedAt: time.Now()},
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -131,7 +131,7 @@
 	})
 	d.reader = storeread.New(p.Store, d.mirror, d.peers, s.PeersAddress, s.Zone, slices.Contains(s.Seeds, s.PeersAddress), s.ConfigApplyBound, log, reg)
 	d.pool = leafpool.New(p.Dialer, s.Zone, reg)
-	d.recorder = decision.New(log, sink, lines, reg)
+	d.recorder = decision.New(log, sink, logLimits, reg)
 	guard := crashguard.New(d.peers, time.Now, log)
 	d.engine = dispatch.New(s.Zone, d.directory, d.pool, d.table, d.budgets, guard, d.recorder)
 	d.delegate = delegate.New(delegate.Config{
