--- a/internal/delegate/gatherer.go
+++ b/internal/delegate/gatherer.go
@@ -11,7 +11,7 @@
 	"github.com/burdockplank/burdockplank/internal/wait"
 )
 
-// The reasons why a search is not taken.
+// Reasons for declining a search.
 const (
 	notTakenLeaving = "leaving"
 	notTakenConfig  = "older configuration"
@@ -20,18 +20,18 @@
 )
 
 const (
-	// maxSearches bounds the searches that are answered for others at once. Each holds some 200 KB of buffers
-	// and parts; a burst of twice the usual load keeps a gatherer at 10.
+	// maxSearches bounds the searches for other VMs in flight. Each holds about 200 KB of buffers and parts; a
+	// burst of twice the typical load keeps a gatherer at 10.
 	maxSearches = 96
-	// lagInterval is how often the lag is measured; on half a core it takes 0.1% of it.
+	// lagInterval is the time between two measurements of the lag. On half a core, measuring takes 0.1% of it.
 	lagInterval = 20 * time.Millisecond
-	// lagWeight is the weight of a new measurement.
+	// lagWeight is the weight of a new measurement in the moving average of the lag.
 	lagWeight = 0.25
-	// idleInterval is how often a VM that gathers for nobody looks whether it still does.
+	// idleInterval is how often a VM that is not a gatherer checks whether it has become one.
 	idleInterval = 500 * time.Millisecond
 )
 
-// Gatherer answers searches of other VMs. It is safe for concurrent use.
+// Gatherer answers searches for other VMs. It is safe for concurrent use.
 type Gatherer struct {
 	local      dispatch.Server
 	directory  dispatch.Directory
@@ -40,21 +40,23 @@
 	lag        atomic.Int64
 
 	mu sync.Mutex
-	// running counts the searches; closed refuses more, and idle is closed once none runs then. Guarded by mu.
+	// running counts the searches in flight. closed makes admit decline further ones. drained is closed once
+	// closed is set and no search is in flight. All are guarded by mu.
 	running int
 	closed  bool
 	drained chan struct{}
 }
 
-// NewGatherer returns a gatherer; leaving tells whether this VM is about to end.
+// NewGatherer returns a gatherer that answers searches with local. leaving reports whether this VM is about to
+// stop.
 func NewGatherer(local dispatch.Server, d dispatch.Directory, leaving func() bool) *Gatherer {
 	return &Gatherer{local: local, directory: d, leaving: leaving, drained: make(chan struct{})}
 }
 
-// SetPlan tells whether others hand searches to this VM.
+// SetPlan records whether other VMs hand searches over to this one.
 func (g *Gatherer) SetPlan(p Plan) { g.isGatherer.Store(p.IsGatherer) }
 
-// Search answers a search for another VM, or says why it doesn't take it.
+// Search answers a search for another VM, or returns the reason for declining it, with this VM's load.
 func (g *Gatherer) Search(ctx context.Context, msg *pb.FleetSearch) *pb.FleetSearchAnswer {
 	out := g.search(ctx, msg)
 	out.Load = g.Ping()
@@ -78,7 +80,7 @@
 	return encodeAnswer(a, config.Version)
 }
 
-// admit counts a search, or says why there is no room for it.
+// admit counts a search as in flight, or returns the reason for declining it.
 func (g *Gatherer) admit() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,6 +94,7 @@
 	return ""
 }
 
+// release ends a search that admit counted.
 func (g *Gatherer) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,7 +104,7 @@
 	}
 }
 
-// Close takes no more searches and waits for those that run, as long as ctx lasts.
+// Close declines further searches and waits until none is in flight or ctx ends.
 func (g *Gatherer) Close(ctx context.Context) {
 	g.mu.Lock()
 	if !g.closed {
@@ -117,12 +120,12 @@
 	}
 }
 
-// Ping tells of this VM's load.
+// Ping returns this VM's load.
 func (g *Gatherer) Ping() *pb.FleetPong {
 	return &pb.FleetPong{LagUs: g.lag.Load(), Leaving: g.leaving()}
 }
 
-// Run measures how late the processor gets to what is due, until ctx ends.
+// Run measures how late timers fire on this VM's processor, until ctx ends.
 func (g *Gatherer) Run(ctx context.Context) error {
 	for {
 		tick := lagInterval
--- a/internal/delegate/gatherer_test.go
+++ b/internal/delegate/gatherer_test.go
@@ -15,14 +15,14 @@
 	"github.com/burdockplank/burdockplank/internal/leafcall"
 )
 
-// stubEngine answers all with one answer after a while.
+// stubEngine gives every request the same answer after a delay.
 type stubEngine struct {
 	view   *directory.View
 	delay  time.Duration
 	answer *dispatch.Answer
 
 	mu sync.Mutex
-	// received holds the requests; guarded by mu.
+	// received holds the requests. It is guarded by mu.
 	received []*dispatch.Request
 }
 
@@ -43,8 +43,8 @@
 	}
 }
 
-// What a gatherer is asked is what the caller asked, with the time that has passed; and the answer comes back
-// as it was.
+// The gatherer receives the caller's request unchanged, with the time elapsed since its arrival, and its answer
+// comes back unchanged.
 func TestSearchRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -87,7 +87,8 @@
 	}
 }
 
-// A search that the configuration turned into a single request meanwhile has run: nothing else is said.
+// A configuration change may turn a search into a single request on its way. The request may have run then, so
+// the outcome reported is unknown.
 func TestSingleRequestAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
 	e := &stubEngine{view: testView(4), answer: &dispatch.Answer{Outcome: dispatch.Served, Leaf: &leafcall.Response{Status: 200}}}
@@ -95,7 +96,7 @@
 	is.Equal(decodeAnswer(msg).Outcome, dispatch.Unknown)
 }
 
-// An end takes no more searches, and waits for those that run.
+// Close declines further searches and waits for those in flight.
 func TestCloseDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -111,11 +112,11 @@
 		msg := g.Search(t.Context(), encodeSearch("w1", request(time.Now()), 4, time.Now()))
 		is.Equal(msg.GetNotTaken(), notTakenLeaving)
 		is.True(msg.GetLoad().GetLeaving())
-		g.Close(t.Context()) // nothing runs
+		g.Close(t.Context()) // returns at once: none is in flight
 	})
 }
 
-// A burst beyond the room of a gatherer is refused at once.
+// Searches above maxSearches are declined at once.
 func TestGathererAtCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -132,7 +133,7 @@
 	})
 }
 
-// The lag of an idle processor is nothing.
+// On an idle processor timers fire on time and the lag is 0.
 func TestLagOfIdleProcessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/delegate/health.go
+++ b/internal/delegate/health.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// firstPingDelay is how long a search may be with a gatherer until that is asked whether it runs. Half of the
-	// searches are answered by then or soon after; pings of all would double the messages.
+	// firstPingDelay is how long a search may be in flight at a gatherer before the gatherer is pinged. Half of
+	// the searches are answered by then or soon after; pinging for all of them would double the messages.
 	firstPingDelay = 40 * time.Millisecond
-	// pingTimeout is how long a gatherer may take to say that it runs. The way there and back takes 0.2 ms in a
-	// zone; a gatherer that takes longer than this serves nobody in time.
+	// pingTimeout bounds the answer to a ping. The round trip takes 0.2 ms within a zone; a gatherer that takes
+	// longer than this timeout serves no search in time.
 	pingTimeout = 100 * time.Millisecond
-	// pingPeriod is the time between two pings while a search goes on.
+	// pingPeriod is the time between two pings while a search is in flight.
 	pingPeriod = 150 * time.Millisecond
-	// lostPingPeriod is the time between two pings of a gatherer that is lost.
+	// lostPingPeriod is the time between two pings of a gatherer that is marked lost.
 	lostPingPeriod = 250 * time.Millisecond
 )
 
-// pingWhileInFlight pings the gatherer until the search is over.
+// pingWhileInFlight pings the gatherer until ctx, which is that of the search, ends.
 func (m *Manager) pingWhileInFlight(ctx context.Context, t *target) {
 	for ctx.Err() == nil {
 		m.checkInFlight(ctx, t)
@@ -32,16 +32,17 @@
 	}
 }
 
-// handleLoss gives a gatherer no more searches until it answers a ping, and has the others asked whether they run: what
-// took one often took more, such as a cut between zones, and each found by its own would cost another search.
+// handleLoss marks the gatherer lost until it answers a ping, and requests pings of the others. A failure of
+// one gatherer often affects more of them, such as a cut between zones, and finding each through its own search
+// would cost another search.
 func (m *Manager) handleLoss(t *target, err error) {
 	if m.markLost(t, err) {
 		m.requestChecks(t)
 	}
 }
 
-// markLost notes that a gatherer is lost and ends the searches that it has: a caller that hears at once may still be
-// served in time by another VM. It tells whether that is new.
+// markLost marks the gatherer lost and cancels the searches in flight there: a caller that hears of it at once
+// may still be served in time by another VM. It returns false where the gatherer was marked already.
 func (m *Manager) markLost(t *target, err error) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,7 +57,7 @@
 	return true
 }
 
-// requestChecks has Run ask those to which searches would go in place of the lost one.
+// requestChecks has Run ping the gatherers that searches would go to in place of the lost one.
 func (m *Manager) requestChecks(lost *target) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,14 +70,15 @@
 	}
 }
 
-// checkInFlight asks a gatherer that has been quiet whether it runs, and loses it where it doesn't say so.
+// checkInFlight pings a gatherer that has not answered a search yet, and handles its loss where it does not
+// answer the ping.
 func (m *Manager) checkInFlight(ctx context.Context, t *target) {
-	if err := m.probe(ctx, t); err != nil && ctx.Err() == nil { // the search still waits
+	if err := m.probe(ctx, t); err != nil && ctx.Err() == nil { // the search is still in flight
 		m.handleLoss(t, err)
 	}
 }
 
-// probe pings a gatherer and notes its load.
+// probe pings a gatherer once and records its load.
 func (m *Manager) probe(ctx context.Context, t *target) error {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -94,7 +96,7 @@
 	t.setLoad(microseconds(load.GetLagUs()), load.GetLeaving(), time.Now())
 }
 
-// Run pings gatherers that are lost, doubted or about to end until they answer, until ctx ends.
+// Run pings the gatherers that are lost, about to stop or due for a check, until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	for {
 		var wg sync.WaitGroup
@@ -111,7 +113,7 @@
 	}
 }
 
-// targetsToCheck returns the gatherers to ask; the doubted ones are asked once.
+// targetsToCheck returns the gatherers to ping, and clears their pending checks: such a check takes one ping.
 func (m *Manager) targetsToCheck() []*target {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +127,7 @@
 	return out
 }
 
-// checkTarget asks a gatherer, and loses or regains it by its answer.
+// checkTarget pings a gatherer, and marks it lost or regained according to the result.
 func (m *Manager) checkTarget(ctx context.Context, t *target) {
 	if err := m.probe(ctx, t); err != nil {
 		if ctx.Err() == nil {
--- a/internal/delegate/manager.go
+++ b/internal/delegate/manager.go
@@ -18,48 +18,48 @@
 // maxOffers bounds the gatherers that one search is offered to.
 const maxOffers = 2
 
-// Client is what is needed of a gatherer.
+// Client calls a gatherer.
 type Client interface {
 	Search(ctx context.Context, req *pb.FleetSearch) (*pb.FleetSearchAnswer, error)
 	Ping(ctx context.Context, req *pb.FleetPing) (*pb.FleetPong, error)
 }
 
-// Config is what the duty works on.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
 	// Self is the address of this VM.
 	Self string
-	// Local answers what isn't handed over.
+	// Local answers the requests that are not handed over.
 	Local     dispatch.Server
 	Directory dispatch.Directory
 	Observer  dispatch.Observer
 	Dial      func(address string) Client
-	// OnNewerConfig is told that the VM at the address has a newer configuration.
+	// OnNewerConfig is called with the address of a VM that has a newer configuration.
 	OnNewerConfig func(address string)
-	// Lag tells by how much this VM is late with its work.
+	// Lag returns how late this VM is with its work.
 	Lag      func() time.Duration
 	Log      *zap.Logger
 	Registry prometheus.Registerer
 }
 
-// Manager answers callers' requests, and hands searches over where the plan says so. It is safe for
-// concurrent use.
+// Manager answers callers' requests, and hands searches over where the plan says so. It is safe for concurrent
+// use.
 type Manager struct {
 	cfg            Config
 	handoversEnded *prometheus.CounterVec
-	// newestServedVersion is the newest version of the configuration by which a search of this VM was served.
+	// newestServedVersion is the newest version of the configuration that served a search of this VM.
 	newestServedVersion atomic.Uint64
-	// wake tells Run of a gatherer that was lost.
+	// wake makes Run check the gatherers at once after one was lost.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// targets holds the gatherers that searches may go to; guarded by mu.
+	// targets holds the gatherers that searches may go to. It is guarded by mu.
 	targets []*target
 }
 
 // inFlightSearch is a search in flight at a gatherer.
 type inFlightSearch struct{ cancel context.CancelFunc }
 
-// New returns a manager that hands nothing over until it has a plan.
+// New returns a manager that hands nothing over until SetPlan is called.
 func New(cfg Config) *Manager {
 	ended := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "burdock_handed_over_total", Help: "Searches offered to a stronger VM of the zone, by their end.",
@@ -68,7 +68,7 @@
 	return &Manager{cfg: cfg, handoversEnded: ended, wake: make(chan struct{}, 1)}
 }
 
-// SetPlan takes a new plan. Searches in flight at gatherers that left it go on.
+// SetPlan replaces the plan. Searches in flight at gatherers that are no longer in the plan continue.
 func (m *Manager) SetPlan(p Plan) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,20 +117,22 @@
 		}
 		req.Declined += t.address + ": " + reason + ";"
 	}
-	req.Lag = 0 // it is served here
+	req.Lag = 0 // the lag concerns only searches that are handed over
 	return m.cfg.Local.Serve(ctx, req)
 }
 
-// chooseTarget returns the gatherer that is asked next, other than the one that didn't take the search.
+// chooseTarget returns the gatherer to offer the search to next, other than except, which declined it. It
+// returns nil where there is none.
 func (m *Manager) chooseTarget(except *target) *target {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return pickTarget(m.targets, except, time.Now())
 }
 
-// handOver lets the gatherer answer the search, and returns by which configuration it did; nil and reason where it
-// surely has not run any of it. A search that may have run is not sent again: its calls would come on top of
-// those that each shard may get of one attempt.
+// handOver sends the search to the gatherer and returns the answer with the version of the configuration that
+// served it. It returns a nil answer and the reason where the gatherer has certainly not run any of the search.
+// A search that may have run is not sent again: its calls would come on top of those that each shard may get
+// within one attempt.
 func (m *Manager) handOver(ctx context.Context, t *target, req *dispatch.Request, minVersion uint64, timeout time.Duration) (*dispatch.Answer, uint64, string) {
 	callCtx, f := m.beginSearch(ctx, t, req.Arrived.Add(timeout))
 	defer m.endSearch(t, f)
@@ -152,8 +154,8 @@
 	return decodeAnswer(msg), msg.GetVersion(), ""
 }
 
-// beginSearch notes a search in flight and returns its context, which ends at the deadline: the gatherer answers a
-// little sooner, whatever its leaves do.
+// beginSearch records a search in flight and returns its context, which ends at the deadline. The gatherer
+// answers slightly before that, whatever its leaves do.
 func (m *Manager) beginSearch(ctx context.Context, t *target, deadline time.Time) (context.Context, *inFlightSearch) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	f := &inFlightSearch{cancel}
@@ -163,6 +165,7 @@
 	return ctx, f
 }
 
+// endSearch releases the context of the search and removes it from those in flight.
 func (m *Manager) endSearch(t *target, f *inFlightSearch) {
 	f.cancel()
 	m.mu.Lock()
@@ -170,7 +173,8 @@
 	delete(t.inFlight, f)
 }
 
-// handleError is the end of a search that the gatherer didn't answer.
+// handleError handles a search that the gatherer did not answer. It returns the caller's answer, or nil where
+// the search was not sent and may be offered again.
 func (m *Manager) handleError(ctx context.Context, t *target, err error, sent bool) *dispatch.Answer {
 	if ctx.Err() != nil {
 		m.handoversEnded.WithLabelValues("caller_gone").Inc()
@@ -185,8 +189,8 @@
 	return &dispatch.Answer{Outcome: dispatch.Unknown, Reason: dispatch.ReasonGathererLost}
 }
 
-// recordVersion remembers by which configuration a search was served: none of this VM's is served by an older
-// one from then on.
+// recordVersion records which version of the configuration served a search, so that no later search of this VM
+// is served by an older one. It reports the gatherer to OnNewerConfig where this VM's configuration is older.
 func (m *Manager) recordVersion(t *target, version uint64) {
 	for old := m.newestServedVersion.Load(); version > old && !m.newestServedVersion.CompareAndSwap(old, version); {
 		old = m.newestServedVersion.Load()
@@ -196,7 +200,7 @@
 	}
 }
 
-// Dump shows the gatherers of the plan.
+// Dump returns the state of the gatherers of the plan by address.
 func (m *Manager) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/delegate/manager_test.go
+++ b/internal/delegate/manager_test.go
@@ -25,25 +25,26 @@
 
 const ms = time.Millisecond
 
-// fakeGatherer is a stronger VM as the client of another one sees it.
+// fakeGatherer is a larger VM as the client of another VM sees it.
 type fakeGatherer struct {
-	// delay is how long a search takes; unreachable ones take no connection, silent ones don't answer.
+	// delay is how long a search takes. An unreachable gatherer accepts no connection, a silent one does not
+	// answer.
 	delay       time.Duration
 	unreachable bool
 	silent      atomic.Bool
-	// lostAfter ends a search without an answer, where it isn't 0.
+	// lostAfter, where it is not 0, fails a search after this time without an answer.
 	lostAfter time.Duration
 	answer    *pb.FleetSearchAnswer
 	pong      *pb.FleetPong
 
 	mu sync.Mutex
-	// What it was asked; guarded by mu.
+	// Calls received; guarded by mu.
 	searches  []*pb.FleetSearch
 	pings     int
 	cancelled int
 }
 
-// record notes what the gatherer was asked.
+// record updates the counts of received calls under mu.
 func (g *fakeGatherer) record(note func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,7 +60,8 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// respondAfter waits as the gatherer would, and tells whether it answers.
+// respondAfter waits for d, or for an hour where the gatherer is silent, and returns the error of ctx where ctx
+// ends first.
 func (g *fakeGatherer) respondAfter(ctx context.Context, d time.Duration) error {
 	if g.silent.Load() {
 		d = time.Hour
@@ -97,7 +99,7 @@
 	return g.pong, g.respondAfter(ctx, 0)
 }
 
-// fixture is a weak VM beside two strong ones, in virtual time.
+// fixture is a smaller VM with two larger ones in its zone, in virtual time.
 type fixture struct {
 	m             *Manager
 	s1, s2        *fakeGatherer
@@ -107,13 +109,13 @@
 	newerConfigs  []string
 
 	mu sync.Mutex
-	// ended holds the traces of searches handed over; guarded by mu.
+	// traces holds the traces of searches that were handed over. It is guarded by mu.
 	traces []*dispatch.Trace
 }
 
 func (w *fixture) Current() *directory.View { return w.view }
 
-// Serve is the local engine.
+// Serve implements dispatch.Server as the local engine.
 func (w *fixture) Serve(_ context.Context, r *dispatch.Request) *dispatch.Answer {
 	w.localSearches++
 	w.declined = r.Declined
@@ -148,7 +150,7 @@
 	})
 }
 
-// testView has a search route /s/ and a single one /x/.
+// testView returns a view with a search route /s/ and a single-request route /x/.
 func testView(version uint64) *directory.View {
 	return &directory.View{Config: catalog.New(version, []*catalog.Route{
 		{Name: "s", Host: "h", Prefix: "/s/", Idempotent: true, Shards: []string{"s0", "s1"}, Target: 150 * ms, Timeout: 800 * ms, MaxAttempts: 2},
@@ -182,7 +184,8 @@
 	})
 }
 
-// Single requests, unknown routes and all where there is no configuration stay with this VM.
+// Single requests and unknown routes are served by this VM, and so is every request while there is no
+// configuration.
 func TestOtherRequestsAreServedLocally(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -194,7 +197,7 @@
 	})
 }
 
-// What a gatherer surely has not begun is offered to the other one, and then made here.
+// A search that a gatherer has certainly not started is offered to the other gatherer, and then served locally.
 func TestUnstartedSearchIsOfferedAgain(t *testing.T) {
 	for name, set := range map[string]func(g *fakeGatherer){
 		"unreachable": func(g *fakeGatherer) { g.unreachable = true },
@@ -211,14 +214,14 @@
 				set(w.s2)
 				w.search(t.Context(), "/s/1")
 				is.Equal(w.localSearches, 1)
-				is.True(strings.Contains(w.declined, "s2: ")) // so that its line tells
+				is.True(strings.Contains(w.declined, "s2: ")) // for the log line of the request
 			})
 		})
 	}
 }
 
-// A search that a gatherer lost may have run at the leaves: it isn't made again under the same attempt, and
-// its caller hears at once.
+// A search that was lost with its gatherer may have run at the leaves. It is not made again under the same
+// attempt, and its caller gets the answer at once.
 func TestLostSearchIsNotRetried(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -232,8 +235,8 @@
 	})
 }
 
-// A gatherer gone silent is found by a ping long before a search's time is over, loses all that it has, and
-// gets searches again once it answers.
+// A ping finds a silent gatherer long before the search times out. The gatherer loses all its searches, and
+// gets new ones once it answers again.
 func TestSilentGatherer(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -243,7 +246,7 @@
 		is.Equal(a.Outcome, dispatch.Unknown)
 		is.Equal(elapsed, firstPingDelay+pingTimeout)
 		_, elapsed = w.search(t.Context(), "/s/1")
-		is.Equal(elapsed, pingTimeout) // the other one, which was asked as soon as the first was lost
+		is.Equal(elapsed, pingTimeout) // the other gatherer, which was pinged as soon as the first was lost
 		a, elapsed = w.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Served)
 		is.Equal(elapsed, time.Duration(0))
@@ -259,7 +262,7 @@
 	})
 }
 
-// A gatherer that goes silent later, after it has answered a ping, is found all the same.
+// A gatherer that becomes silent after it has answered a ping is found by a later one.
 func TestGathererSilentAfterPing(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -274,7 +277,7 @@
 	})
 }
 
-// A search of which a gatherer that answers pings never tells the end gets its final answer in time.
+// A gatherer answers pings but never the search. The search still ends within its timeout.
 func TestSearchTimesOut(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -285,7 +288,7 @@
 	})
 }
 
-// Pings don't go out for searches that are answered soon.
+// Searches that are answered within firstPingDelay cause no pings.
 func TestNoPingsForFastSearches(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -296,7 +299,7 @@
 	})
 }
 
-// A VM whose processor is behind, or that is about to end, gets nothing while that lasts.
+// A gatherer whose processor lags, or that is about to stop, gets no searches while that lasts.
 func TestBusyAndLeavingGatherersGetNoSearches(t *testing.T) {
 	for name, load := range map[string]*pb.FleetPong{
 		"behind":  {LagUs: (maxLag + ms).Microseconds()},
@@ -316,8 +319,8 @@
 	}
 }
 
-// Searches of a VM are never served by an older configuration than one before: a gatherer that lags gets to
-// know what it needs, and this VM asks for what it lacks.
+// No search of a VM is served by an older configuration than an earlier one. A gatherer that lags learns the
+// version that it needs, and this VM fetches the one that it lacks.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -330,7 +333,7 @@
 	})
 }
 
-// A caller that leaves ends the search at the gatherer.
+// A caller that disconnects ends its search at the gatherer.
 func TestCallerCancels(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -341,11 +344,11 @@
 		is.Equal(elapsed, 10*ms)
 		is.Equal(w.s1.cancelled+w.s2.cancelled, 1)
 		w.search(t.Context(), "/s/1")
-		is.Equal(w.localSearches, 0) // that says nothing of the gatherer
+		is.Equal(w.localSearches, 0) // the gatherer is not marked lost
 	})
 }
 
-// Searches are shared out, and go to the gatherer with fewer of this VM's in flight.
+// Both gatherers get searches, and more go to the one with fewer of this VM's searches in flight.
 func TestLeastLoadedGatherer(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -361,7 +364,7 @@
 	})
 }
 
-// Strong VMs of other zones get searches only where those of the own zone can't take them.
+// Gatherers of other zones get searches only where those of the own zone can't take them.
 func TestOtherZonesAreFallback(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
@@ -379,8 +382,8 @@
 	})
 }
 
-// One gatherer that is lost makes doubt of those beside it: when a whole zone is cut off, one search pays for it
-// and not one for each gatherer there.
+// The loss of one gatherer makes the manager ping the others of its zone: when a whole zone is cut off, this
+// costs one search rather than one for each gatherer there.
 func TestGatherersOfAZoneAreLostTogether(t *testing.T) {
 	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
--- a/internal/delegate/messages.go
+++ b/internal/delegate/messages.go
@@ -9,7 +9,7 @@
 	"github.com/burdockplank/burdockplank/internal/dispatch"
 )
 
-// encodeSearch returns the message that hands the request over at now.
+// encodeSearch returns the message that hands the request over at the time now.
 func encodeSearch(from string, req *dispatch.Request, minVersion uint64, now time.Time) *pb.FleetSearch {
 	msg := &pb.FleetSearch{
 		From: from, Id: req.ID, Method: req.Method, Host: req.Host, Target: req.Target, Body: req.Body,
@@ -38,9 +38,9 @@
 	return req
 }
 
-// encodeAnswer returns the message of a search's end.
+// encodeAnswer returns the message with the answer to a search.
 func encodeAnswer(a *dispatch.Answer, version uint64) *pb.FleetSearchAnswer {
-	if a.Leaf != nil { // the configuration made a single request of it meanwhile, and it may have run
+	if a.Leaf != nil { // a configuration change made it a single request, which may have run
 		a = &dispatch.Answer{Outcome: dispatch.Unknown, Reason: a.Reason}
 	}
 	return &pb.FleetSearchAnswer{
@@ -49,7 +49,7 @@
 	}
 }
 
-// decodeAnswer returns the answer of a search that was taken.
+// decodeAnswer returns the answer to a search that the gatherer accepted.
 func decodeAnswer(msg *pb.FleetSearchAnswer) *dispatch.Answer {
 	return &dispatch.Answer{
 		Outcome: dispatch.Outcome(msg.GetOutcome()), Reason: dispatch.Reason(msg.GetReason()), Signatures: msg.GetSignatures(),
--- a/internal/delegate/plan.go
+++ b/internal/delegate/plan.go
@@ -1,7 +1,7 @@
-// Package delegate hands the searches that a weak VM gets from callers to a strong VM of its availability
-// zone. A search makes a call to each of 36 or 54 shards, which takes some 5 ms of a core: 25 ms of a VM that
-// has a fifth of one, out of a target of 80 to 150 ms. And the few VMs that make all calls see each leaf often
-// enough to know its state, and need few connections.
+// Package delegate hands the searches that a smaller VM receives from callers over to a larger VM of its
+// availability zone, the gatherer. A search makes a call to each of 36 or 54 shards, which takes about 5 ms of
+// a core: 25 ms on a VM that has a fifth of one, out of a latency target of 80 to 150 ms. The few VMs that make
+// all calls also see each leaf often enough to know its state, and need few connections.
 package delegate
 
 import (
@@ -11,27 +11,30 @@
 	"github.com/burdockplank/burdockplank/internal/peers"
 )
 
-// largerVMRatio is the multiple of the weakest VM's processor from which a VM of the same zone counts as strong:
-// below it the hop of 1 to 2 ms at both ends takes what the stronger processor gains.
+// largerVMRatio is the multiple of the smallest VM's processor share from which a VM of the same zone counts as
+// larger. Below it, the 1 to 2 ms that the extra hop costs at both ends outweigh the gain from the larger
+// processor.
 const largerVMRatio = 2
 
-// gatherersShare is the part of what the fleet may spend in extra calls and connections of searches that the
-// VMs which gather share. The rest is for searches that the others make where they reach none of these.
+// gatherersShare is the fraction of the fleet's allowance of extra calls and connections for searches that the
+// gatherers share. The rest is for searches that the other VMs make themselves when they reach no gatherer.
 const gatherersShare = 0.8
 
-// Plan says which VMs make the calls of searches.
+// Plan states which VMs make the calls of searches.
 type Plan struct {
-	// ZoneGatherers are the strong VMs of the own zone, in order of their addresses; empty where this VM gathers itself.
+	// ZoneGatherers are the addresses of the larger VMs of the VM's own zone, sorted. It is empty where this VM
+	// makes the calls itself.
 	ZoneGatherers []string
-	// OtherZoneGatherers are those of other zones, for searches that none of To can take.
+	// OtherZoneGatherers are those of the other zones, for searches that no VM of ZoneGatherers can take.
 	OtherZoneGatherers []string
-	// IsGatherer is set where VMs of the own zone hand their searches to this one.
+	// IsGatherer is set where VMs of the own zone hand their searches over to this one.
 	IsGatherer bool
-	// GathererCount is how many VMs of the fleet make the calls of searches, Others how many hand theirs over.
+	// GathererCount is the number of VMs of the fleet that make the calls of searches, DelegatorCount the
+	// number that hand theirs over.
 	GathererCount, DelegatorCount int
 }
 
-// NewPlan returns the plan of the VM self among the fleet, which holds the live VMs with or without self.
+// NewPlan returns the plan of the VM self. fleet holds the live VMs, with or without self.
 func NewPlan(self peers.VM, fleet []peers.VM) Plan {
 	zones := map[string][]peers.VM{self.Zone: {self}}
 	for _, vm := range fleet {
@@ -65,11 +68,12 @@
 	return p
 }
 
-// largerVMs returns the addresses of the VMs that are strong beside the weakest, in order.
+// largerVMs returns the sorted addresses of the VMs that are larger than the smallest one by largerVMRatio or
+// more.
 func largerVMs(vms []peers.VM) []string {
 	smallest := slices.MinFunc(vms, func(a, b peers.VM) int { return cmp.Compare(a.Millicores, b.Millicores) }).Millicores
 	if smallest <= 0 {
-		return nil // of one nothing is known
+		return nil // the size of at least one VM is unknown
 	}
 	var out []string
 	for _, vm := range vms {
@@ -81,7 +85,7 @@
 	return out
 }
 
-// Share is the part of the fleet's extra calls of searches that this VM may send.
+// Share returns the fraction of the fleet's extra calls for searches that this VM may send.
 func (p Plan) Share() float64 {
 	if p.DelegatorCount == 0 {
 		return 1 / float64(max(p.GathererCount, 1))
--- a/internal/delegate/plan_test.go
+++ b/internal/delegate/plan_test.go
@@ -25,16 +25,16 @@
 		want  Plan
 	}{
 		"alone":                  {vm("a", "z", 400), nil, Plan{GathererCount: 1}},
-		"all alike":              {vm("a", "z", 400), []peers.VM{vm("b", "z", 400), vm("c", "y", 400)}, Plan{GathererCount: 3}},
-		"weak beside strong":     {vm("w1", "z", 192), mixedZone, Plan{ZoneGatherers: []string{"s1", "s2"}, GathererCount: 2, DelegatorCount: 2}},
-		"strong beside weak":     {vm("s1", "z", 800), mixedZone, Plan{IsGatherer: true, GathererCount: 2, DelegatorCount: 2}},
-		"strong in another zone": {vm("w3", "y", 192), mixedZone, Plan{GathererCount: 3, DelegatorCount: 2}},
-		"a little stronger":      {vm("a", "z", 400), []peers.VM{vm("b", "z", 700)}, Plan{GathererCount: 2}},
+		"equal sizes":            {vm("a", "z", 400), []peers.VM{vm("b", "z", 400), vm("c", "y", 400)}, Plan{GathererCount: 3}},
+		"smaller beside larger":  {vm("w1", "z", 192), mixedZone, Plan{ZoneGatherers: []string{"s1", "s2"}, GathererCount: 2, DelegatorCount: 2}},
+		"larger beside smaller":  {vm("s1", "z", 800), mixedZone, Plan{IsGatherer: true, GathererCount: 2, DelegatorCount: 2}},
+		"larger in another zone": {vm("w3", "y", 192), mixedZone, Plan{GathererCount: 3, DelegatorCount: 2}},
+		"slightly larger":        {vm("a", "z", 400), []peers.VM{vm("b", "z", 700)}, Plan{GathererCount: 2}},
 		"unknown":                {vm("a", "z", 0), []peers.VM{vm("b", "z", 800)}, Plan{GathererCount: 2}},
-		"weak, strong ones in two zones": {
+		"smaller, larger ones in two zones": {
 			vm("v1", "y", 192), twoZones, Plan{ZoneGatherers: []string{"t1"}, OtherZoneGatherers: []string{"s1", "s2"}, GathererCount: 3, DelegatorCount: 3},
 		},
-		"strong, strong ones in two zones": {vm("t1", "y", 800), twoZones, Plan{IsGatherer: true, GathererCount: 3, DelegatorCount: 3}},
+		"larger, larger ones in two zones": {vm("t1", "y", 800), twoZones, Plan{IsGatherer: true, GathererCount: 3, DelegatorCount: 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -43,8 +43,8 @@
 	}
 }
 
-// However strong the VMs are, what all of them may spend in extra calls is what the fleet may, and a VM that
-// hands over hands to VMs that take it.
+// Whatever the sizes of the VMs, the shares of all VMs add up to the fleet's allowance of extra calls, and a VM
+// hands searches over only to VMs that accept them.
 func TestSharesSumToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var fleet []peers.VM
@@ -62,12 +62,12 @@
 			sum += p.Share()
 			for _, to := range slices.Concat(p.ZoneGatherers, p.OtherZoneGatherers) {
 				if !plans[to].IsGatherer {
-					t.Fatalf("%v hands to %s, which doesn't gather", self, to)
+					t.Fatalf("%v hands searches over to %s, which is not a gatherer", self, to)
 				}
 			}
 		}
 		if math.Abs(sum-1) > 1e-9 {
-			t.Fatalf("parts of %v are %v together", fleet, sum)
+			t.Fatalf("shares of %v add up to %v, want 1", fleet, sum)
 		}
 	})
 }
--- a/internal/delegate/target.go
+++ b/internal/delegate/target.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// maxLag is the lag of a gatherer's processor from which it gets no searches: its calls would end late by
-	// as much. A timer that is due fires within a millisecond or two where the processor is free.
+	// maxLag is the lag of a gatherer's processor above which it gets no searches: its calls would end late by
+	// as much. On a processor with free capacity, a timer fires within 1 to 2 ms of its due time.
 	maxLag = 12 * time.Millisecond
-	// lagMaxAge is how long a reported lag is believed; then one search tells anew.
+	// lagMaxAge is how long a reported lag is valid. After that, one search obtains a new report.
 	lagMaxAge = 400 * time.Millisecond
 )
 
-// target is what a VM knows of a gatherer. All fields are guarded by the Manager's mu.
+// target holds what a VM knows about a gatherer. All fields are guarded by the Manager's mu.
 type target struct {
 	address string
 	client  Client
-	// fallback is set for one that gets a search only where all others can't take it.
+	// fallback is set for a gatherer that gets a search only where none of the others can take it.
 	fallback bool
-	// inFlight holds what ends each search in flight there.
+	// inFlight holds the searches in flight at the gatherer.
 	inFlight map[*inFlightSearch]struct{}
 	// lost is set from a failure until a ping is answered.
 	lost bool
-	// checkPending is set where it is to be asked whether it runs, for another one was lost.
+	// checkPending is set where the gatherer is due for a ping because another one was lost.
 	checkPending  bool
 	leaving       bool
 	lag           time.Duration
 	lagReportedAt time.Time
 }
 
-// findTarget returns the target at the address, nil where there is none.
+// findTarget returns the target with the address, or nil.
 func findTarget(targets []*target, address string) *target {
 	for _, t := range targets {
 		if t.address == address {
@@ -40,19 +40,20 @@
 	return nil
 }
 
-// usable tells whether it may get a search.
+// usable reports whether the gatherer may get a search.
 func (t *target) usable(now time.Time) bool {
 	busy := t.lag > maxLag && now.Sub(t.lagReportedAt) < lagMaxAge
 	return !t.lost && !t.leaving && !busy
 }
 
-// setLoad takes what the gatherer told of its load.
+// setLoad records the load that the gatherer reported.
 func (t *target) setLoad(lag time.Duration, leaving bool, now time.Time) {
 	t.lag, t.lagReportedAt, t.leaving = lag, now, leaving
 }
 
-// pickTarget returns the usable target with the fewest searches of this VM in flight, by chance among equals, the last
-// ones after all others; nil where there is none but the excepted one.
+// pickTarget returns the usable target with the fewest searches of this VM in flight, chosen at random among
+// equals, with fallback targets after all others. It skips except and returns nil where no other target is
+// usable.
 func pickTarget(from []*target, except *target, now time.Time) *target {
 	var out *target
 	equal := 0
@@ -73,7 +74,7 @@
 	return out
 }
 
-// preferredTo tells whether t is to get a search rather than the other one.
+// preferredTo reports whether t should get a search rather than other.
 func (t *target) preferredTo(other *target) bool {
 	if t.fallback != other.fallback {
 		return other.fallback
