--- a/internal/node/compress_test.go
+++ b/internal/node/compress_test.go
@@ -29,7 +29,7 @@
 	return a.msg, nil
 }
 
-// fullState is an answer with the platform's whole state: an entry of some 250 bytes for each leaf.
+// fullState returns an answer with the platform's full state: an entry of about 250 bytes for each leaf.
 func fullState(leaves int) *pb.FleetExchange {
 	msg := &pb.FleetExchange{CompleteTo: 9, Full: true}
 	for i := range leaves {
@@ -41,13 +41,13 @@
 	return msg
 }
 
-// response is what passed through a server.
+// response describes a response of the server as sent.
 type response struct {
 	encoding string
 	bytes    int
 }
 
-// serveState serves the message, and notes how the latest answer was encoded.
+// serveState serves the message and records the encoding and size of the latest response.
 func serveState(t testing.TB, msg *pb.FleetExchange) (address string, last *response) {
 	last = new(response)
 	_, h := burdockv1connect.NewFleetServiceHandler(fixedAnswerServer{msg: msg}, fleetHandlerOptions()...)
@@ -83,8 +83,8 @@
 	is.Equal(last.encoding, "")
 }
 
-// Requests that name members aren't compressed: each of the hundreds of clients of a large fleet would allocate a
-// compressor of a megabyte.
+// Requests that name members are not compressed. Otherwise each of the hundreds of clients in a large fleet
+// would allocate a compressor of a megabyte.
 func TestTypicalRequestsAllocateNoCompressor(t *testing.T) {
 	is := is.New(t)
 	dial := dialPeers("127.0.0.1")
@@ -102,10 +102,10 @@
 		exchange()
 	}
 	runtime.ReadMemStats(&after)
-	is.True(after.TotalAlloc-before.TotalAlloc < clients<<18) // a quarter of a megabyte each, for all that it takes
+	is.True(after.TotalAlloc-before.TotalAlloc < clients<<18) // at most a quarter of a megabyte for each exchange in total
 }
 
-// captureHeader refuses one request and tells what a header of it said.
+// captureHeader refuses one request and delivers the value of its header.
 func captureHeader(t *testing.T, header string) (address string, said <-chan string) {
 	values := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -116,7 +116,7 @@
 	return s.Listener.Addr().String(), values
 }
 
-// Much of the state is compressed on its way to a peer as well.
+// A request with a large part of the state is compressed as well.
 func TestLargeRequestsAreCompressed(t *testing.T) {
 	is := is.New(t)
 	address, encoding := captureHeader(t, "Content-Encoding")
@@ -125,7 +125,7 @@
 	is.Equal(<-encoding, gzipName)
 }
 
-// Searches that are handed over stay in the zone, and so aren't compressed.
+// Searches that are handed over stay in the zone, so they are not compressed.
 func TestSearchesHandedOverAreNotCompressed(t *testing.T) {
 	is := is.New(t)
 	address, accepted := captureHeader(t, "Accept-Encoding")
@@ -134,7 +134,7 @@
 	is.True(!strings.Contains(<-accepted, gzipName))
 }
 
-// BenchmarkWholeState tells what it costs to give another VM the state of a platform of 700 leaves.
+// BenchmarkWholeState measures the cost of sending another VM the state of a platform of 700 leaves.
 func BenchmarkWholeState(b *testing.B) {
 	for name, encoding := range map[string]string{"whole": "", "compressed": gzipName} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/node/delegate_test.go
+++ b/internal/node/delegate_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// metric returns the value of a metric with its labels as it stands in the text of a scrape, empty where it
-// doesn't.
+// metric returns the value of a metric with its labels, as the text of a scrape has it, or an empty string
+// where it is absent.
 func (v *vm) metric(name string) string {
 	resp, err := http.Get("http://" + v.metrics + "/metrics")
 	if err != nil {
@@ -31,8 +31,9 @@
 	return ""
 }
 
-// A weak VM hands its searches to the strong one of its zone and its callers get what they would get from
-// that; once it ends, orderly, the weak one makes them itself and no caller notices.
+// A smaller VM hands its searches over to the larger one of its zone, and its callers get the same answers as
+// from that one. After an orderly stop of the larger VM the smaller one makes the searches itself, and no
+// caller gets an error.
 func TestSearchesGoToTheLargerVM(t *testing.T) {
 	is := is.New(t)
 	s := newCluster(t)
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -13,15 +13,16 @@
 const (
 	// peerIdleTimeout is how long an idle connection to another VM is kept.
 	peerIdleTimeout = 10 * time.Second
-	// gathererDialTimeout bounds opening a connection to a stronger VM of the zone, gathererSilent how long bytes
-	// sent there may stay unacknowledged: a round trip takes 0.2 ms.
+	// gathererDialTimeout bounds opening a connection to a larger VM, and gathererAckTimeout how long sent
+	// bytes may stay unacknowledged. A round trip within the zone takes 0.2 ms.
 	gathererDialTimeout, gathererAckTimeout = 100 * time.Millisecond, 250 * time.Millisecond
-	// gathererMaxIdleConns is how many idle connections to each are kept: a burst brings a weak VM some 5 searches at once.
+	// gathererMaxIdleConns bounds the idle connections kept to each gatherer. A burst brings a smaller VM about
+	// 5 searches at once.
 	gathererMaxIdleConns = 8
 )
 
-// dialGatherers returns clients for searches handed over. Their connections find within some tenths of a
-// second that the other end is gone: a search waits for it.
+// dialGatherers returns a function that creates clients for handing searches over. Their connections detect
+// within a few tenths of a second that the other end is gone, because a search waits for it.
 func dialGatherers(bind string) func(address string) delegate.Client {
 	dialer := rpc.Dialer(bind)
 	dialer.Timeout = gathererDialTimeout
@@ -35,14 +36,14 @@
 	}
 }
 
-// dialPeers returns clients that share one transport. It speaks HTTP/1.1: a connection gone silent is
-// found and closed by the timeout of its exchange, while the pings of HTTP/2 over the connections of 60
-// VMs to each other took more bytes than all exchanges.
+// dialPeers returns a function that creates clients for exchanges, which share one transport. It speaks
+// HTTP/1.1: the timeout of an exchange detects and closes a connection that has become silent, while the pings
+// of HTTP/2 over the connections of 60 VMs to each other took more bytes than all exchanges.
 func dialPeers(bind string) peers.Dial {
 	shared := &http.Client{Transport: &http.Transport{
 		DialContext: rpc.Dialer(bind).DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
 	}}
-	options := exchangeClientOptions() // they hold the compressors
+	options := exchangeClientOptions() // shared by all clients, since they hold the compressors
 	return func(address string) peers.Client {
 		return burdockv1connect.NewFleetServiceClient(shared, "http://"+address, options...)
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -9,7 +9,7 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// fleetService serves other VMs.
+// fleetService serves the calls of other VMs.
 type fleetService struct {
 	peers    *peers.Manager
 	gatherer *delegate.Gatherer
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -9,8 +9,8 @@
 	"github.com/burdockplank/burdockplank/internal/standin/hosted"
 )
 
-// BenchmarkSearch measures a search of three shards through the whole program and the leaves' stand-ins
-// on loopback; with -cpuprofile it shows what a call to a leaf costs.
+// BenchmarkSearch measures a search of three shards through the whole program and stand-ins of the leaves on
+// loopback. With -cpuprofile it shows the cost of a call to a leaf.
 func BenchmarkSearch(b *testing.B) {
 	s := newCluster(b)
 	for _, l := range s.leaves {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is the one process of a VM on the users' platform: it builds the duties, runs them, and
-// ends them in order.
+// Package node implements the single process of a VM on the users' platform. It builds the duties, runs them,
+// and stops them in order.
 package node
 
 import (
@@ -44,44 +44,45 @@
 )
 
 const (
-	// Name of the program in logs.
+	// Name is the name of the program in logs.
 	Name = "burdock-node"
-	// memoryTargetRatio is the part of the memory limit that the runtime's collector aims to stay within; the
+	// memoryTargetRatio is the fraction of the memory limit that is set as the Go runtime's soft limit. The
 	// rest is for bytes in sockets.
 	memoryTargetRatio = 0.6
-	// balancerLag is how long the balancer may go on sending new connections after this VM says that it
-	// isn't ready: two checks, a second apart, and some.
+	// balancerLag is how long the balancer may continue to send new connections after this VM reports that it
+	// is not ready: two checks, a second apart, with a margin.
 	balancerLag = 2800 * time.Millisecond
-	// exitMargin is kept of the grace period for the end of the process itself.
+	// exitMargin is the part of the grace period that is kept for the exit of the process itself.
 	exitMargin = 400 * time.Millisecond
-	// fleetPollInterval is how often the number of VMs is looked at.
+	// fleetPollInterval is how often the number of VMs is checked.
 	fleetPollInterval = 500 * time.Millisecond
-	// callerIdleTimeout is how long a caller's idle connection is kept where the configuration asks for less or
-	// nothing: longer than callers reuse them, so that no request crosses the close.
+	// callerIdleTimeout is how long a caller's idle connection is kept, also where the configuration sets a
+	// shorter idle timeout or none. It is longer than the time within which callers reuse connections, so that
+	// no request crosses the close.
 	callerIdleTimeout = 75 * time.Second
-	// headerReadTimeout bounds how long the head of a request may take.
+	// headerReadTimeout bounds the time to read the head of a request.
 	headerReadTimeout = 10 * time.Second
-	// logFlushTimeout bounds writing the last lines.
+	// logFlushTimeout bounds writing the remaining log lines at the exit.
 	logFlushTimeout = 200 * time.Millisecond
 )
 
-// Platform is what the platform's adapter brings.
+// Platform holds the components that the platform's adapter provides.
 type Platform struct {
 	Store   storeread.Store
 	Decoder directory.Decoder
 	Dialer  leafcall.Dialer
-	// NewCallerHandler builds the handler for callers, Ready the one for the balancer.
+	// NewCallerHandler returns the handler for callers, NewReadinessHandler the one for the balancer.
 	NewCallerHandler    func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(reason string)) http.Handler
 	NewReadinessHandler func(ready func() bool) http.Handler
 	ConnContext         func(ctx context.Context, c net.Conn) context.Context
-	// ReloadSeeds reads the seeds anew, which may have changed.
+	// ReloadSeeds reads the seeds again from the settings, where they may have changed.
 	ReloadSeeds func() ([]string, error)
 }
 
-// MetricsAddress is where metrics and the dump of the state are served.
+// MetricsAddress is the address (IP:PORT) that serves the metrics and the dump of the state.
 type MetricsAddress string
 
-// Daemon is the process.
+// Daemon is the process of a VM.
 type Daemon struct {
 	settings       *deployment.Settings
 	platform       Platform
@@ -106,11 +107,11 @@
 	server           *http.Server
 	leaving          atomic.Bool
 	seeds            atomic.Pointer[[]string]
-	// fleetSize belongs to follow.
+	// fleetSize is used only by the goroutine of follow.
 	fleetSize fleetSize
 }
 
-// New builds the duties; nothing runs yet.
+// New builds the duties and starts none of them.
 func New(s *deployment.Settings, p Platform, metricsAddress MetricsAddress, log *zap.Logger, sink *logging.Async, logLimits decision.Limits, reg *prometheus.Registry) *Daemon {
 	changed, updated := notify.New(), notify.New()
 	d := &Daemon{
@@ -144,6 +145,7 @@
 	return d
 }
 
+// newCallerServer returns the HTTP server for callers.
 func (d *Daemon) newCallerServer() *http.Server {
 	edge := d.platform.NewCallerHandler(d.delegate, d.limits, d.leaving.Load, func(reason string) { d.refusals.WithLabelValues(reason).Inc() })
 	n := negroni.New()
@@ -151,7 +153,7 @@
 	return &http.Server{Handler: n, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: callerIdleTimeout, ConnContext: d.platform.ConnContext}
 }
 
-// limits of the configuration in force; none before the first.
+// limits returns the limits of the configuration in force, or none before the first one.
 func (d *Daemon) limits() catalog.Limits {
 	if c := d.directory.Current().Config; c != nil {
 		return c.Limits
@@ -159,13 +161,13 @@
 	return catalog.Limits{}
 }
 
-// ready tells whether the balancer may send new connections.
+// ready reports whether the balancer may send new connections.
 func (d *Daemon) ready() bool {
 	v := d.directory.Current()
 	return !d.leaving.Load() && v.Config != nil && len(v.Leaves) > 0
 }
 
-// Run runs the process until it is stopped.
+// Run runs the process until it is stopped or a duty fails.
 func (d *Daemon) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(float64(d.settings.MemoryBytes) * memoryTargetRatio))
 	defer d.sink.Close(logFlushTimeout)
@@ -209,7 +211,7 @@
 	return mux
 }
 
-// serve returns a duty that serves h at the address for other programs of the deployment.
+// serve returns a duty that serves h at the address to other programs of the deployment.
 func (d *Daemon) serve(address string, h http.Handler) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		l, err := net.Listen("tcp", address)
@@ -220,8 +222,8 @@
 	}
 }
 
-// serveUntil serves until ctx ends or the server is shut down. The end of ctx cuts off what still runs:
-// an orderly stop has shut the server down before.
+// serveUntil serves until ctx ends or the server is shut down. The end of ctx cuts off the requests in flight;
+// in an orderly stop, the server has been shut down before.
 func serveUntil(ctx context.Context, server *http.Server, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
@@ -231,19 +233,20 @@
 	return nil
 }
 
-// drain goes on serving while the balancer notices that this VM leaves, then ends what runs.
+// drain continues to serve until the balancer must have noticed that this VM is leaving, and then waits for the
+// requests in flight.
 func (d *Daemon) drain(ctx context.Context) {
 	d.leaving.Store(true)
 	d.peers.Leave()
 	wait.For(ctx, balancerLag)
 	d.gatherer.Close(ctx)
 	if err := d.server.Shutdown(ctx); err != nil {
-		d.log.Warn("requests were cut off by the end of the process", zap.Error(err))
+		d.log.Warn("drain ended with requests in flight; closing their connections", zap.Error(err))
 		_ = d.server.Close()
 	}
 }
 
-// follow passes changes of the directory and the fleet on to the pool and the budgets.
+// follow applies changes of the directory and the fleet to the pool and the budgets.
 func (d *Daemon) follow(ctx context.Context) error {
 	t := time.NewTicker(fleetPollInterval)
 	defer t.Stop()
@@ -252,7 +255,7 @@
 		vms := d.applyPlan()
 		d.table.Forget(time.Now())
 		if vms == 1 {
-			d.reloadSeeds() // the seeds may have changed without a signal
+			d.reloadSeeds() // no peer is known, and the seeds may have changed without a signal
 		}
 		select {
 		case <-ctx.Done():
@@ -263,7 +266,7 @@
 	}
 }
 
-// reloadOnSignal reads the settings anew at each SIGHUP until ctx ends. Requests go on meanwhile: only
+// reloadOnSignal reads the settings again at each SIGHUP until ctx ends. Requests are served meanwhile: only
 // the seeds may change in a running process.
 func (d *Daemon) reloadOnSignal(ctx context.Context) error {
 	hup := make(chan os.Signal, 1)
@@ -279,11 +282,12 @@
 	}
 }
 
-// reloadSeeds takes new seeds from the settings and tells whether it could; the last ones stay otherwise.
+// reloadSeeds replaces the seeds with those of the settings and reports whether that succeeded. After a failure
+// the previous seeds stay in use.
 func (d *Daemon) reloadSeeds() bool {
 	seeds, err := d.platform.ReloadSeeds()
 	if err != nil {
-		d.log.Warn("settings not reloaded", zap.Error(err))
+		d.log.Warn("settings not reloaded; keeping the previous seeds", zap.Error(err))
 		return false
 	}
 	d.seeds.Store(&seeds)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -29,7 +29,7 @@
 	"github.com/burdockplank/burdockplank/platform"
 )
 
-// vm is one daemon under test.
+// vm is a daemon under test.
 type vm struct {
 	settings *deployment.Settings
 	metrics  string
@@ -37,7 +37,7 @@
 	ended    chan error
 }
 
-// cluster is a small deployment on loopback: a store, leaves, and VMs.
+// cluster is a small deployment on loopback: a store, leaves and VMs.
 type cluster struct {
 	t       testing.TB
 	store   *hosted.Store
@@ -56,13 +56,13 @@
 	closedPort = "8229"
 )
 
-// ownIP returns an address of loopback that no other VM has, of this or another run: a port that was free
-// a moment ago at a shared address may be taken by a connection of a test beside.
+// ownIP returns a loopback address that no other VM has, of this or another run. At a shared address, a port
+// that was free a moment ago may be taken by a connection of a test that runs at the same time.
 func ownIP() string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// newCluster starts three shards s0 to s2 of two leaves each, and a service x of two leaves.
+// newCluster starts three shards s0 to s2 and the services x and later, of two leaves each.
 func newCluster(t testing.TB) *cluster {
 	s := &cluster{t: t, store: hosted.NewStore(), leaves: make(map[string]*hosted.Leaf)}
 	t.Cleanup(s.store.Close)
@@ -82,7 +82,7 @@
 	return s
 }
 
-// configure puts the next version in force, in which /x/ goes to the service.
+// configure puts the next version of the configuration in force, in which /x/ goes to the service single.
 func (s *cluster) configure(single string) {
 	s.version++
 	s.store.Configure(hosted.Config{
@@ -95,7 +95,7 @@
 	})
 }
 
-// start runs a VM; one without a store is refused by it.
+// start runs a VM. Without a store, its connections to the store are refused.
 func (s *cluster) start(withStore bool) *vm {
 	s.t.Helper()
 	v := s.prepare(withStore)
@@ -103,7 +103,7 @@
 	return v
 }
 
-// startSized runs a VM with so much of a processor.
+// startSized runs a VM with the processor share in millicores.
 func (s *cluster) startSized(millicores int) *vm {
 	s.t.Helper()
 	v := s.prepare(true)
@@ -112,7 +112,7 @@
 	return v
 }
 
-// prepare returns a VM that doesn't run yet.
+// prepare returns a VM that is not running yet.
 func (s *cluster) prepare(withStore bool) *vm {
 	s.t.Helper()
 	ip := ownIP()
@@ -156,12 +156,12 @@
 		select {
 		case <-v.ended:
 		case <-time.After(10 * time.Second):
-			s.t.Error("a VM does not end")
+			s.t.Error("a VM still runs 10 s after its stop")
 		}
 	})
 }
 
-// get asks the VM and returns the status, the headers and the body.
+// get sends a request to the VM and returns the status, the headers and the body.
 func (v *vm) get(method, path, id string) (int, http.Header, string, error) {
 	req, err := http.NewRequest(method, "http://"+v.settings.CallersAddress+path, nil)
 	if err != nil {
@@ -222,7 +222,7 @@
 	is.True(dump["connections"] != nil)
 }
 
-// A VM without any configuration refuses as not run, never as an unknown route, and isn't ready.
+// A VM without any configuration refuses requests as not run, never as an unknown route, and is not ready.
 func TestWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
 	s := newCluster(t)
@@ -237,7 +237,8 @@
 	within(t, 3*time.Second, "ready once the store is back", v.ready)
 }
 
-// A VM that the store refuses serves by what its peers tell, and takes changes within the bound.
+// A VM that the store refuses serves with the state that its peers have, and applies changes within the bound
+// of 3 s.
 func TestVMRefusedByStore(t *testing.T) {
 	s := newCluster(t)
 	first := s.start(true)
@@ -257,7 +258,7 @@
 	t.Logf("after %v", time.Since(start))
 }
 
-// A leaf that drains gets nothing soon after.
+// A leaf that drains gets no more requests soon after.
 func TestDrainingLeaf(t *testing.T) {
 	is := is.New(t)
 	s := newCluster(t)
@@ -275,7 +276,7 @@
 	is.Equal(len(leaf.Requests()), before)
 }
 
-// SIGHUP in the middle of requests cuts none of them.
+// A SIGHUP while requests are in flight cuts off none of them.
 func TestSIGHUPCutsNoRequests(t *testing.T) {
 	is := is.New(t)
 	s := newCluster(t)
@@ -294,8 +295,9 @@
 	wg.Wait()
 }
 
-// A stop answers what runs, says at once that it isn't ready, serves new connections until the balancer
-// must have noticed, closes kept ones after their answers, and ends within the grace period.
+// An orderly stop answers the requests in flight, makes the VM not ready at once, serves new connections until
+// the balancer must have noticed, closes kept connections after their answers, and ends within the grace
+// period.
 func TestOrderlyStop(t *testing.T) {
 	is := is.New(t)
 	s := newCluster(t)
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -10,18 +10,18 @@
 	"github.com/burdockplank/burdockplank/internal/peers"
 )
 
-// shares says which part this VM has in what the fleet may use of each service.
+// shares holds this VM's share in what the fleet may use of each service.
 type shares struct {
 	plan delegate.Plan
-	// vmCount of the fleet.
+	// vmCount is the number of VMs of the fleet, this one included.
 	vmCount int
-	// singleServices and shards are the services of single requests and of searches.
+	// singleServices and shardServices are the services of single requests and of searches.
 	singleServices, shardServices map[string]bool
-	// unsettled is set while the fleet isn't known yet.
+	// unsettled is set while the number of VMs is still changing after the start.
 	unsettled bool
 }
 
-// extraCallShare is the part of a service's slack of extra calls.
+// extraCallShare returns the fraction of a service's allowance of extra calls that this VM may use.
 func (s shares) extraCallShare(service string) float64 {
 	if s.shardServices[service] {
 		return s.plan.Share()
@@ -29,8 +29,9 @@
 	return 1 / float64(s.vmCount)
 }
 
-// connectionShare is the share in the connections to a service's leaves. Those of a service that no route names
-// yet may become shards, and a shard belongs to the VMs that gather, whatever else leads to it.
+// connectionShare returns this VM's share in the connections to a service's leaves. A service that no route
+// names yet may become a shard, and the connections to a shard belong to the gatherers, whatever other routes
+// lead to it.
 func (s shares) connectionShare(service string) leafpool.Share {
 	if s.singleServices[service] && !s.shardServices[service] {
 		return leafpool.Share{VMs: s.vmCount, Unsettled: s.unsettled}
@@ -39,20 +40,21 @@
 }
 
 const (
-	// settleInterval is how long the number of VMs must stay the same before it counts as known: in a fleet of 300
-	// that start together each VM hears of most of the others within a second, in some three exchanges.
+	// settleInterval is how long the number of VMs must stay the same before it counts as settled. In a fleet
+	// of 300 that start together, each VM hears of most of the others within a second, in about three
+	// exchanges.
 	settleInterval = time.Second
-	// maxSettleTime is how long after its start a VM goes by what it knows in any case.
+	// maxSettleTime is the time after the start at which the number of VMs counts as settled in any case.
 	maxSettleTime = 3 * time.Second
 )
 
-// fleetSize follows the number of VMs after the start of this one.
+// fleetSize tracks the number of VMs after the start of this one.
 type fleetSize struct {
 	startedAt, changedAt time.Time
 	vmCount              int
 }
 
-// observe notes the number of VMs and tells whether it is likely to change yet.
+// observe records the number of VMs and reports whether it is still likely to change.
 func (f *fleetSize) observe(vms int, now time.Time) bool {
 	if vms != f.vmCount {
 		f.vmCount, f.changedAt = vms, now
@@ -60,7 +62,7 @@
 	return now.Sub(f.startedAt) < maxSettleTime && now.Sub(f.changedAt) < settleInterval
 }
 
-// applyPlan divides the work among the VMs that are known now, and returns how many there are.
+// applyPlan distributes the work among the VMs known now, and returns their number.
 func (d *Daemon) applyPlan() int {
 	fleet := d.peers.VMs()
 	view := d.directory.Current()
@@ -77,8 +79,8 @@
 	return s.vmCount
 }
 
-// callableLeaves returns the leaves that may be called, those included that no route names yet: their
-// connections are open when one does.
+// callableLeaves returns the leaves that may be called. It includes those that no route names yet, so that
+// their connections are open when one does.
 func callableLeaves(v *directory.View) []catalog.Leaf {
 	var out []catalog.Leaf
 	for _, lists := range []map[string][]catalog.Leaf{v.Leaves, v.Lapsed} {
@@ -89,6 +91,7 @@
 	return out
 }
 
+// connectionLimits returns the connection limit of each service.
 func connectionLimits(c *catalog.Config) map[string]int {
 	out := make(map[string]int)
 	if c == nil {
--- a/internal/node/shares_test.go
+++ b/internal/node/shares_test.go
@@ -10,7 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/leafpool"
 )
 
-// The fleet counts as known once no VM shows up for a while, and some seconds after the start in any case.
+// The number of VMs counts as settled once it has not changed for settleInterval, and at maxSettleTime after
+// the start in any case.
 func TestFleetSizeSettles(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -23,8 +24,9 @@
 	is.True(!f.observe(42, now.Add(maxSettleTime)))
 }
 
-// A shard that a route of single requests leads to as well belongs to those who gather: with its leaves' connections
-// divided by 295 VMs each may have one, which is more than the leaves take, and too few for those who gather.
+// The connections to a shard that a route of single requests also leads to belong to the gatherers. Divided by
+// 295 VMs, each VM would still get one, which is more than the leaves accept in total and too few for the
+// gatherers.
 func TestShardAlsoServingSingleRequests(t *testing.T) {
 	is := is.New(t)
 	s := shares{vmCount: 295, singleServices: map[string]bool{"x": true, "s0": true}, shardServices: map[string]bool{"s0": true, "s1": true}}
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// A VM whose readiness address is taken ends with the error, and doesn't go on half started: never
-// ready, and deaf to its stop.
+// A VM whose readiness address is in use must end with the error. It must not continue partly started, never
+// ready and without reacting to a stop.
 func TestAddressInUseEndsTheProcess(t *testing.T) {
 	is := is.New(t)
 	s := newCluster(t)
@@ -23,6 +23,6 @@
 		is.True(err != nil)
 		v.ended <- nil
 	case <-time.After(5 * time.Second):
-		t.Fatal("goes on without its readiness address")
+		t.Fatal("still runs after 5 s without its readiness address")
 	}
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -8,8 +8,8 @@
 	"github.com/burdockplank/burdockplank/internal/peers"
 )
 
-// stateMetrics shows what the process believes, read at each scrape. Labels are bounded by the services
-// that the configuration and the store name.
+// stateMetrics exports the current state of the process, read at each scrape. Its labels are bounded by the
+// services that the configuration and the store name.
 type stateMetrics struct {
 	d *Daemon
 
