--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// backoffMin is the longest first wait, backoffMax the longest of all unless a reader has its own.
+	// backoffMin bounds the first wait. backoffMax bounds all of them unless the Backoff has its own maximum.
 	backoffMin = 250 * time.Millisecond
 	backoffMax = 8 * time.Second
 )
 
-// Backoff gives the waits between reads that fail: doubled each time up to a bound, each drawn at
-// random from the upper half, so that readers which failed together don't come back together.
+// Backoff computes the waits between failed reads: exponential backoff that doubles up to a maximum, with each
+// wait drawn at random from the upper half, so that readers that failed together do not retry together.
 type Backoff struct {
-	// Max is the longest wait; backoffMax where it is 0.
+	// Max is the longest wait. 0 means backoffMax.
 	Max  time.Duration
 	next time.Duration
 }
 
-// Reset follows a read that went well.
+// Reset starts again at the shortest wait, after a successful read.
 func (b *Backoff) Reset() { b.next = 0 }
 
-// Next returns the wait after one more failure.
+// Next returns the wait after another failure.
 func (b *Backoff) Next() time.Duration {
 	maxWait := b.Max
 	if maxWait == 0 {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,5 @@
-// Package platform reads the operator's configuration service: keys and the list of VMs and
-// upstreams, by single reads and by long polls. It never writes.
+// Package platform reads the operator's configuration service: keys, and the list of VMs and upstreams, by
+// single reads and by long polls. It never writes.
 package platform
 
 import (
@@ -19,14 +19,15 @@
 )
 
 const (
-	// maxValueBytes is the longest value that the platform holds.
+	// maxValueBytes is the size of the longest value that the platform stores.
 	maxValueBytes = 1 << 20
 	// maxListBytes bounds the list: 10,000 entries of 400 bytes.
 	maxListBytes = 4 << 20
-	// readTimeout bounds a read; a long poll has it on top of its wait.
+	// readTimeout bounds a single read. A long poll may take this long beyond its wait.
 	readTimeout = 2 * time.Second
-	// readRate and readBurst bound the reads of one process, so that no fault here can use up what
-	// all readers share. The burst lets a first bundle through, section by section.
+	// readRate, in reads per second, and readBurst bound the reads of one process, so that no fault in it can
+	// use up the capacity that all readers share. The burst admits a first bundle, which is read section by
+	// section.
 	readRate  = 10
 	readBurst = 400
 
@@ -35,16 +36,16 @@
 	pathList       = "/v1/list"
 )
 
-// ErrNotFound says that the platform answered that the key does not exist.
+// ErrNotFound reports that the platform answered that the key does not exist.
 var ErrNotFound = errors.New("not found")
 
-// Error is a read that failed.
+// Error is a failed read.
 type Error struct {
-	// Path of the read, which tells the key.
+	// Path is the path of the read, which contains the key.
 	Path string
-	// Address of the platform.
+	// Address is the address of the platform.
 	Address string
-	// Status is the HTTP status, 0 where there was no answer.
+	// Status is the HTTP status, or 0 where there was no answer.
 	Status int
 	Err    error
 }
@@ -57,18 +58,18 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Answered tells whether the platform itself answered, so that it was reached.
+// Answered reports whether the platform itself answered a read that returned err, so that it is reachable.
 func Answered(err error) bool { return err == nil || errors.Is(err, ErrNotFound) }
 
 // Value is the answer to a read.
 type Value struct {
 	Revision uint64
 	Body     []byte
-	// Changed is false where a long poll ended without a change; there is no body then.
+	// Changed is false where a long poll ended without a change. Body is empty then.
 	Changed bool
 }
 
-// Client reads one platform. It is safe for concurrent use.
+// Client reads from one platform. It is safe for concurrent use.
 type Client struct {
 	address string
 	http    *http.Client
@@ -76,7 +77,8 @@
 	metrics *metrics
 }
 
-// New returns a client of the platform at address (HOST:PORT) whose connections come from bind.
+// New returns a client of the platform at address (HOST:PORT) whose connections come from the address bind. It
+// registers its metrics with reg unless reg is nil.
 func New(address, bind string, reg prometheus.Registerer) *Client {
 	d := rpc.Dialer(bind)
 	return &Client{
@@ -87,22 +89,22 @@
 	}
 }
 
-// Get reads a key. The error is ErrNotFound, in an *Error, where the key does not exist.
+// Get reads a key. Where the key does not exist, the error is an *Error that wraps ErrNotFound.
 func (c *Client) Get(ctx context.Context, key string) (Value, error) {
 	return c.read(ctx, readKey, pathKeys+key, nil, readTimeout, maxValueBytes)
 }
 
-// Watch waits until the key's revision is above after, at most for wait.
+// Watch waits until the key's revision is above after, for wait at most.
 func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error) {
 	return c.read(ctx, watchKey, pathKeys+key, pollQuery(after, wait), wait+readTimeout, maxValueBytes)
 }
 
-// List reads the list as JSON.
+// List reads the list, which is JSON.
 func (c *Client) List(ctx context.Context) (Value, error) {
 	return c.read(ctx, readList, pathList, nil, readTimeout, maxListBytes)
 }
 
-// WatchList waits until the list's revision is above after, at most for wait.
+// WatchList waits until the list's revision is above after, for wait at most.
 func (c *Client) WatchList(ctx context.Context, after uint64, wait time.Duration) (Value, error) {
 	return c.read(ctx, watchList, pathList, pollQuery(after, wait), wait+readTimeout, maxListBytes)
 }
@@ -111,7 +113,7 @@
 	return url.Values{"after": {strconv.FormatUint(after, 10)}, "wait": {wait.String()}}
 }
 
-// read does one read and counts it.
+// read waits for the rate limit, does one read within the time limit and counts it in the metrics.
 func (c *Client) read(ctx context.Context, kind readKind, path string, query url.Values, limit time.Duration, maxBytes int64) (Value, error) {
 	if err := c.limit.Wait(ctx); err != nil {
 		return Value{}, &Error{Path: path, Address: c.address, Err: err}
@@ -141,7 +143,7 @@
 	return v, resp.StatusCode, err
 }
 
-// readValue turns an answer into a value.
+// readValue converts an HTTP response to a value.
 func readValue(resp *http.Response, maxBytes int64) (v Value, err error) {
 	revision := resp.Header.Get(headerRevision)
 	if v.Revision, err = strconv.ParseUint(revision, 10, 64); err != nil {
--- a/internal/platform/metrics.go
+++ b/internal/platform/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// readKind is a metric label.
+// readKind is a value of the metric label kind.
 type readKind string
 
 const (
