--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment holds what a VM is told of itself and its surroundings when its process starts,
-// free of the format in which it is told.
+// Package deployment holds what the process of a VM learns at its start about itself and its environment,
+// independent of the format of the settings file.
 package deployment
 
 import (
@@ -10,28 +10,28 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// Settings of one VM.
+// Settings are the settings of one VM.
 type Settings struct {
-	// VMName is its name, Zone its availability zone.
+	// VMName is the VM's name, Zone its availability zone.
 	VMName, Zone string
 	// IP is the VM's own address, from which it opens connections.
 	IP string
-	// CallersAddress, Ready and Peers are the addresses (IP:PORT) at which callers, the balancer's readiness
-	// check and the other VMs are served.
+	// CallersAddress, ReadinessAddress and PeersAddress are the addresses (IP:PORT) that serve callers, the
+	// balancer's readiness check and the other VMs.
 	CallersAddress, ReadinessAddress, PeersAddress string
-	// Seeds are addresses of other VMs to ask first; some may be stale or down.
+	// Seeds are addresses of other VMs to contact first. Some may be stale or down.
 	Seeds []string
-	// StoreAddress is the address of the platform's store.
+	// StoreAddress is the address (IP:PORT) of the platform's store.
 	StoreAddress string
-	// Millicores of the processor that the VM has; 0 where it isn't told.
+	// Millicores is the VM's processor share in thousandths of a core, or 0 where it is unknown.
 	Millicores int
 	// MemoryBytes is the process's memory limit.
 	MemoryBytes int64
-	// RetryBudget is what the whole fleet may send in extra calls to a service.
+	// RetryBudget limits the extra calls of the whole fleet to a service.
 	RetryBudget retrybudget.Limit
 	// GracePeriod is the time from SIGTERM to SIGKILL.
 	GracePeriod time.Duration
-	// ConfigApplyBound is the time within which a change of the configuration is in force everywhere.
+	// ConfigApplyBound is the time within which a change of the configuration must be in force on all VMs.
 	ConfigApplyBound time.Duration
 }
 
@@ -50,23 +50,24 @@
 		checkAddress(c, "seed", seed)
 	}
 	c.Require(s.Millicores >= 0 && s.Millicores <= maxMillicores, "processor", "want 0 to %d millicores, got %d", maxMillicores, s.Millicores)
-	c.Require(s.MemoryBytes >= minMemoryBytes, "memory", "want %d bytes at least, got %d", minMemoryBytes, s.MemoryBytes)
+	c.Require(s.MemoryBytes >= minMemoryBytes, "memory", "want at least %d bytes, got %d", minMemoryBytes, s.MemoryBytes)
 	c.Require(s.RetryBudget.Ratio >= 0 && s.RetryBudget.Ratio <= 1, "retry budget's ratio", "want 0 to 1, got %g", s.RetryBudget.Ratio)
 	c.Require(s.RetryBudget.Slack >= 0, "retry budget's slack", "want 0 or more, got %g", s.RetryBudget.Slack)
-	c.Require(s.RetryBudget.Window >= minRetryWindow, "retry budget's window", "want %v at least, got %v", minRetryWindow, s.RetryBudget.Window)
-	c.Require(s.ConfigApplyBound >= minConfigApplyBound, "configuration's bound", "want %v at least, got %v", minConfigApplyBound, s.ConfigApplyBound)
+	c.Require(s.RetryBudget.Window >= minRetryWindow, "retry budget's window", "want at least %v, got %v", minRetryWindow, s.RetryBudget.Window)
+	c.Require(s.ConfigApplyBound >= minConfigApplyBound, "configuration's bound", "want at least %v, got %v", minConfigApplyBound, s.ConfigApplyBound)
 	c.Require(s.GracePeriod >= minGracePeriod && s.GracePeriod <= maxGracePeriod, "grace period", "want %v to %v, got %v", minGracePeriod, maxGracePeriod, s.GracePeriod)
 }
 
 const (
-	// minMemoryBytes is what the process takes without load, with room for its runtime.
+	// minMemoryBytes is the memory of the process without load, with room for its runtime.
 	minMemoryBytes = 32 << 20
 	// maxMillicores is far above any VM.
 	maxMillicores = 1_000_000
-	// minGracePeriod is what the balancer's two missed checks and a request need; graceMost is far above any
+	// minGracePeriod covers the balancer's two failed checks and a request. maxGracePeriod is far above any
 	// orderly stop.
 	minGracePeriod, maxGracePeriod = time.Second, time.Hour
-	// minRetryWindow holds the spans that the budget counts in, boundLeast a poll of the store and its spread.
+	// minRetryWindow covers the intervals that the retry budget counts in, minConfigApplyBound a poll of the
+	// store and the distribution of its result.
 	minRetryWindow, minConfigApplyBound = time.Second, 500 * time.Millisecond
 )
 
