--- a/cmd/burdock-node/main.go
+++ b/cmd/burdock-node/main.go
@@ -1,7 +1,8 @@
-// Command burdock-node is the one process of a VM on the users' platform: it serves callers from the
-// leaves, reads the platform's store and shares what it read with the other VMs.
-// Exit codes: 0 the process ended in order or the settings are good, 1 it failed while running, 2
-// settings or command line are refused.
+// Command burdock-node is the single process of a VM on the users' platform. It serves callers from the leaves,
+// reads the platform's store and shares the state it read with the other VMs.
+//
+// Exit codes: 0 after an orderly stop or where --check finds valid settings, 1 after a failure while running, 2
+// where the settings or the command line are refused.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/burdockplank/burdockplank/platform"
 )
 
-// commandLine is what the program takes.
+// commandLine defines the flags of the program. Kong derives their names from those of the fields.
 type commandLine struct {
 	Settings    string           `help:"The platform's settings file (TOML); by default where the platform says." placeholder:"FILE"`
 	MetricsPort uint16           `help:"Port of metrics and state dump on the VM's address." default:"9464"`
@@ -76,7 +77,7 @@
 	return 0
 }
 
-// report prints the error in one line and returns the code.
+// report prints the error in one line to standard error and returns the code.
 func report(err error, code int) int {
 	_, _ = fmt.Fprintln(os.Stderr, node.Name+":", err)
 	return code
--- a/cmd/burdock-node/providers.go
+++ b/cmd/burdock-node/providers.go
@@ -16,7 +16,7 @@
 	"github.com/burdockplank/burdockplank/platform"
 )
 
-// settingsPath and logLevel are typed for the wiring.
+// settingsPath and logLevel are separate types so that Wire can distinguish them.
 type (
 	settingsPath string
 	logLevel     string
@@ -28,7 +28,7 @@
 	return logging.NewAsyncLog(node.Name, s.VMName, string(level), sink)
 }
 
-// providePlatform gathers what the adapter brings.
+// providePlatform returns the components of the platform's adapter.
 func providePlatform(s *deployment.Settings, path settingsPath) node.Platform {
 	return node.Platform{
 		Store:   platform.NewStore(s.StoreAddress, s.IP),
