--- a/internal/delegate/health.go
+++ b/internal/delegate/health.go
@@ -96,7 +96,8 @@
 	t.setLoad(microseconds(load.GetLagUs()), load.GetLeaving(), time.Now())
 }
 
-// Run pings the gatherers that are lost, about to stop or due for a check, until ctx ends.
+// Run pings the gatherers that are lost or about to stop every lostPingPeriod, and those due for a check once,
+// until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	for {
 		var wg sync.WaitGroup
--- a/internal/delegate/manager_test.go
+++ b/internal/delegate/manager_test.go
@@ -113,38 +113,38 @@
 	traces []*dispatch.Trace
 }
 
-func (w *fixture) Current() *directory.View { return w.view }
+func (f *fixture) Current() *directory.View { return f.view }
 
 // Serve implements dispatch.Server as the local engine.
-func (w *fixture) Serve(_ context.Context, r *dispatch.Request) *dispatch.Answer {
-	w.localSearches++
-	w.declined = r.Declined
+func (f *fixture) Serve(_ context.Context, r *dispatch.Request) *dispatch.Answer {
+	f.localSearches++
+	f.declined = r.Declined
 	return &dispatch.Answer{Outcome: dispatch.Served}
 }
 
 // Ended implements dispatch.Observer.
-func (w *fixture) Ended(_ *dispatch.Request, _ *dispatch.Answer, t *dispatch.Trace) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.traces = append(w.traces, t)
+func (f *fixture) Ended(_ *dispatch.Request, _ *dispatch.Answer, t *dispatch.Trace) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.traces = append(f.traces, t)
 }
 
-func runFixture(t *testing.T, f func(t *testing.T, w *fixture)) {
+func runFixture(t *testing.T, test func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &fixture{s1: newGatherer(), s2: newGatherer()}
-		w.view = testView(3)
-		w.m = New(Config{
-			Self: "w1", Local: w, Directory: w, Observer: w, Log: zap.NewNop(), Registry: prometheus.NewRegistry(),
-			Dial:          func(address string) Client { return map[string]Client{"s1": w.s1, "s2": w.s2}[address] },
-			OnNewerConfig: func(address string) { w.newerConfigs = append(w.newerConfigs, address) },
+		f := &fixture{s1: newGatherer(), s2: newGatherer()}
+		f.view = testView(3)
+		f.m = New(Config{
+			Self: "w1", Local: f, Directory: f, Observer: f, Log: zap.NewNop(), Registry: prometheus.NewRegistry(),
+			Dial:          func(address string) Client { return map[string]Client{"s1": f.s1, "s2": f.s2}[address] },
+			OnNewerConfig: func(address string) { f.newerConfigs = append(f.newerConfigs, address) },
 			Lag:           func() time.Duration { return 0 },
 		})
-		w.m.SetPlan(Plan{ZoneGatherers: []string{"s1", "s2"}, GathererCount: 2, DelegatorCount: 1})
+		f.m.SetPlan(Plan{ZoneGatherers: []string{"s1", "s2"}, GathererCount: 2, DelegatorCount: 1})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
-		go func() { defer close(done); _ = w.m.Run(ctx) }()
-		f(t, w)
+		go func() { defer close(done); _ = f.m.Run(ctx) }()
+		test(t, f)
 		cancel()
 		<-done
 	})
@@ -158,9 +158,9 @@
 	}, nil, catalog.Limits{})}
 }
 
-func (w *fixture) search(ctx context.Context, path string) (*dispatch.Answer, time.Duration) {
+func (f *fixture) search(ctx context.Context, path string) (*dispatch.Answer, time.Duration) {
 	start := time.Now()
-	a := w.m.Serve(ctx, &dispatch.Request{
+	a := f.m.Serve(ctx, &dispatch.Request{
 		ID: "r", Method: "GET", Host: "h", Path: path, Target: path + "?q", Header: http.Header{"A": {"1", "2"}},
 		Remaining: 800 * ms, Arrived: start.Add(-2 * ms),
 	})
@@ -168,32 +168,32 @@
 }
 
 func TestSearchIsHandedOver(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		a, elapsed := w.search(t.Context(), "/s/1")
+		a, elapsed := f.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Served)
 		is.Equal(a.Signatures, []string{"sig"})
 		is.Equal(a.Route.Name, "s")
 		is.Equal(elapsed, 30*ms)
-		is.Equal(w.localSearches, 0)
-		is.Equal(len(w.s1.searches)+len(w.s2.searches), 1)
-		got := append(w.s1.searches, w.s2.searches...)[0]
+		is.Equal(f.localSearches, 0)
+		is.Equal(len(f.s1.searches)+len(f.s2.searches), 1)
+		got := append(f.s1.searches, f.s2.searches...)[0]
 		is.Equal(got.GetElapsedUs(), int64(2000))
 		is.Equal(got.GetVersionLeast(), uint64(3))
-		is.True(w.traces[0].Gatherer != "")
+		is.True(f.traces[0].Gatherer != "")
 	})
 }
 
 // Single requests and unknown routes are served by this VM, and so is every request while there is no
 // configuration.
 func TestOtherRequestsAreServedLocally(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.search(t.Context(), "/x/1")
-		w.search(t.Context(), "/nowhere")
-		w.view = &directory.View{}
-		w.search(t.Context(), "/s/1")
-		is.Equal(w.localSearches, 3)
+		f.search(t.Context(), "/x/1")
+		f.search(t.Context(), "/nowhere")
+		f.view = &directory.View{}
+		f.search(t.Context(), "/s/1")
+		is.Equal(f.localSearches, 3)
 	})
 }
 
@@ -204,17 +204,17 @@
 		"not taken":   func(g *fakeGatherer) { g.answer = &pb.FleetSearchAnswer{NotTaken: notTakenBusy} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			runFixture(t, func(t *testing.T, w *fixture) {
+			runFixture(t, func(t *testing.T, f *fixture) {
 				is := is.New(t)
-				set(w.s1)
+				set(f.s1)
 				for range 4 {
-					a, _ := w.search(t.Context(), "/s/1")
+					a, _ := f.search(t.Context(), "/s/1")
 					is.Equal(a.Outcome, dispatch.Served)
 				}
-				set(w.s2)
-				w.search(t.Context(), "/s/1")
-				is.Equal(w.localSearches, 1)
-				is.True(strings.Contains(w.declined, "s2: ")) // for the log line of the request
+				set(f.s2)
+				f.search(t.Context(), "/s/1")
+				is.Equal(f.localSearches, 1)
+				is.True(strings.Contains(f.declined, "s2: ")) // for the log line of the request
 			})
 		})
 	}
@@ -223,55 +223,55 @@
 // A search that was lost with its gatherer may have run at the leaves. It is not made again under the same
 // attempt, and its caller gets the answer at once.
 func TestLostSearchIsNotRetried(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.s1.lostAfter, w.s2.lostAfter = 10*ms, 10*ms
-		a, elapsed := w.search(t.Context(), "/s/1")
+		f.s1.lostAfter, f.s2.lostAfter = 10*ms, 10*ms
+		a, elapsed := f.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Unknown)
 		is.Equal(a.Reason, dispatch.ReasonGathererLost)
 		is.Equal(elapsed, 10*ms)
-		is.Equal(w.localSearches, 0)
-		is.Equal(len(w.s1.searches)+len(w.s2.searches), 1)
+		is.Equal(f.localSearches, 0)
+		is.Equal(len(f.s1.searches)+len(f.s2.searches), 1)
 	})
 }
 
 // A ping finds a silent gatherer long before the search times out. The gatherer loses all its searches, and
 // gets new ones once it answers again.
 func TestSilentGatherer(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.s1.silent.Store(true)
-		w.s2.silent.Store(true)
-		a, elapsed := w.search(t.Context(), "/s/1")
+		f.s1.silent.Store(true)
+		f.s2.silent.Store(true)
+		a, elapsed := f.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Unknown)
 		is.Equal(elapsed, firstPingDelay+pingTimeout)
-		_, elapsed = w.search(t.Context(), "/s/1")
+		_, elapsed = f.search(t.Context(), "/s/1")
 		is.Equal(elapsed, pingTimeout) // the other gatherer, which was pinged as soon as the first was lost
-		a, elapsed = w.search(t.Context(), "/s/1")
+		a, elapsed = f.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Served)
 		is.Equal(elapsed, time.Duration(0))
-		is.Equal(w.localSearches, 1)
-		dump, err := json.Marshal(w.m.Dump())
+		is.Equal(f.localSearches, 1)
+		dump, err := json.Marshal(f.m.Dump())
 		is.NoErr(err)
 		is.True(strings.Contains(string(dump), `"s1":{"lost":true`))
-		w.s1.silent.Store(false)
+		f.s1.silent.Store(false)
 		time.Sleep(2*lostPingPeriod + 2*pingTimeout)
-		before := len(w.s1.searches)
-		w.search(t.Context(), "/s/1")
-		is.Equal(len(w.s1.searches), before+1)
+		before := len(f.s1.searches)
+		f.search(t.Context(), "/s/1")
+		is.Equal(len(f.s1.searches), before+1)
 	})
 }
 
 // A gatherer that becomes silent after it has answered a ping is found by a later one.
 func TestGathererSilentAfterPing(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.s1.delay, w.s2.delay = time.Hour, time.Hour
+		f.s1.delay, f.s2.delay = time.Hour, time.Hour
 		time.AfterFunc(100*ms, func() {
-			w.s1.silent.Store(true)
-			w.s2.silent.Store(true)
+			f.s1.silent.Store(true)
+			f.s2.silent.Store(true)
 		})
-		a, elapsed := w.search(t.Context(), "/s/1")
+		a, elapsed := f.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Unknown)
 		is.True(elapsed > 100*ms && elapsed < 100*ms+pingPeriod+2*pingTimeout)
 	})
@@ -279,10 +279,10 @@
 
 // A gatherer answers pings but never the search. The search still ends within its timeout.
 func TestSearchTimesOut(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.s1.delay, w.s2.delay = time.Hour, time.Hour
-		a, elapsed := w.search(t.Context(), "/s/1")
+		f.s1.delay, f.s2.delay = time.Hour, time.Hour
+		a, elapsed := f.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Unknown)
 		is.True(elapsed <= 800*ms) // the route's timeout
 	})
@@ -290,12 +290,12 @@
 
 // Searches that are answered within firstPingDelay cause no pings.
 func TestNoPingsForFastSearches(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
 		for range 10 {
-			w.search(t.Context(), "/s/1")
+			f.search(t.Context(), "/s/1")
 		}
-		is.Equal(w.s1.pings+w.s2.pings, 0)
+		is.Equal(f.s1.pings+f.s2.pings, 0)
 	})
 }
 
@@ -306,14 +306,14 @@
 		"leaving": {Leaving: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runFixture(t, func(t *testing.T, w *fixture) {
+			runFixture(t, func(t *testing.T, f *fixture) {
 				is := is.New(t)
-				w.s1.answer.Load, w.s1.pong = load, load
+				f.s1.answer.Load, f.s1.pong = load, load
 				for range 12 {
-					w.search(t.Context(), "/s/1")
+					f.search(t.Context(), "/s/1")
 				}
-				is.True(len(w.s1.searches) <= 1)
-				is.Equal(w.localSearches, 0)
+				is.True(len(f.s1.searches) <= 1)
+				is.Equal(f.localSearches, 0)
 			})
 		})
 	}
@@ -322,78 +322,78 @@
 // No search of a VM is served by an older configuration than an earlier one. A gatherer that lags learns the
 // version that it needs, and this VM fetches the one that it lacks.
 func TestConfigurationNeverGoesBack(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.s2.unreachable = true
-		w.s1.answer.Version = 7
-		w.search(t.Context(), "/s/1")
-		is.Equal(w.newerConfigs, []string{"s1"})
-		w.search(t.Context(), "/s/1")
-		is.Equal(w.s1.searches[1].GetVersionLeast(), uint64(7))
+		f.s2.unreachable = true
+		f.s1.answer.Version = 7
+		f.search(t.Context(), "/s/1")
+		is.Equal(f.newerConfigs, []string{"s1"})
+		f.search(t.Context(), "/s/1")
+		is.Equal(f.s1.searches[1].GetVersionLeast(), uint64(7))
 	})
 }
 
 // A caller that disconnects ends its search at the gatherer.
 func TestCallerCancels(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*ms)
 		defer cancel()
-		a, elapsed := w.search(ctx, "/s/1")
+		a, elapsed := f.search(ctx, "/s/1")
 		is.Equal(a.Outcome, dispatch.CallerGone)
 		is.Equal(elapsed, 10*ms)
-		is.Equal(w.s1.cancelled+w.s2.cancelled, 1)
-		w.search(t.Context(), "/s/1")
-		is.Equal(w.localSearches, 0) // the gatherer is not marked lost
+		is.Equal(f.s1.cancelled+f.s2.cancelled, 1)
+		f.search(t.Context(), "/s/1")
+		is.Equal(f.localSearches, 0) // the gatherer is not marked lost
 	})
 }
 
 // Both gatherers get searches, and more go to the one with fewer of this VM's searches in flight.
 func TestLeastLoadedGatherer(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.s1.delay = 300 * ms
+		f.s1.delay = 300 * ms
 		for range 10 {
-			go w.search(t.Context(), "/s/1")
+			go f.search(t.Context(), "/s/1")
 			time.Sleep(35 * ms)
 		}
 		time.Sleep(400 * ms)
 		synctest.Wait()
-		is.True(len(w.s1.searches) < len(w.s2.searches))
-		is.True(len(w.s1.searches) > 0)
+		is.True(len(f.s1.searches) < len(f.s2.searches))
+		is.True(len(f.s1.searches) > 0)
 	})
 }
 
 // Gatherers of other zones get searches only where those of the own zone can't take them.
 func TestOtherZonesAreFallback(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.m.SetPlan(Plan{ZoneGatherers: []string{"s1"}, OtherZoneGatherers: []string{"s2"}, GathererCount: 2, DelegatorCount: 1})
+		f.m.SetPlan(Plan{ZoneGatherers: []string{"s1"}, OtherZoneGatherers: []string{"s2"}, GathererCount: 2, DelegatorCount: 1})
 		for range 5 {
-			w.search(t.Context(), "/s/1")
+			f.search(t.Context(), "/s/1")
 		}
-		is.Equal(len(w.s1.searches), 5)
-		w.s1.unreachable = true
-		a, elapsed := w.search(t.Context(), "/s/1")
+		is.Equal(len(f.s1.searches), 5)
+		f.s1.unreachable = true
+		a, elapsed := f.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Served)
 		is.Equal(elapsed, 30*ms)
-		is.Equal(len(w.s2.searches), 1)
-		is.Equal(w.localSearches, 0)
+		is.Equal(len(f.s2.searches), 1)
+		is.Equal(f.localSearches, 0)
 	})
 }
 
 // The loss of one gatherer makes the manager ping the others of its zone: when a whole zone is cut off, this
 // costs one search rather than one for each gatherer there.
 func TestGatherersOfAZoneAreLostTogether(t *testing.T) {
-	runFixture(t, func(t *testing.T, w *fixture) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		is := is.New(t)
-		w.s1.silent.Store(true)
-		w.s2.silent.Store(true)
-		w.search(t.Context(), "/s/1")
+		f.s1.silent.Store(true)
+		f.s2.silent.Store(true)
+		f.search(t.Context(), "/s/1")
 		time.Sleep(pingTimeout + ms)
-		a, elapsed := w.search(t.Context(), "/s/1")
+		a, elapsed := f.search(t.Context(), "/s/1")
 		is.Equal(a.Outcome, dispatch.Served)
 		is.Equal(elapsed, time.Duration(0))
-		is.Equal(w.localSearches, 1)
+		is.Equal(f.localSearches, 1)
 	})
 }
