--- a/internal/node/delegate_test.go
+++ b/internal/node/delegate_test.go
@@ -36,9 +36,9 @@
 // caller gets an error.
 func TestSearchesGoToTheLargerVM(t *testing.T) {
 	is := is.New(t)
-	s := newCluster(t)
-	larger := s.startSized(800)
-	smaller := s.startSized(200)
+	c := newCluster(t)
+	larger := c.startSized(800)
+	smaller := c.startSized(200)
 	const answered = `burdock_handed_over_total{end="answered"}`
 	n := 0
 	search := func() {
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -12,12 +12,12 @@
 // BenchmarkSearch measures a search of three shards through the whole program and stand-ins of the leaves on
 // loopback. With -cpuprofile it shows the cost of a call to a leaf.
 func BenchmarkSearch(b *testing.B) {
-	s := newCluster(b)
-	for _, l := range s.leaves {
+	c := newCluster(b)
+	for _, l := range c.leaves {
 		body := []byte(fmt.Sprintf("%-160s", l.ID))
 		l.SetScript(func(int, *http.Request) hosted.Reply { return hosted.Reply{Body: body} })
 	}
-	v := s.start(true)
+	v := c.start(true)
 	within(b, 3*time.Second, "ready", v.ready)
 	time.Sleep(time.Second)
 	b.ReportAllocs()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -64,8 +64,8 @@
 
 // newCluster starts three shards s0 to s2 and the services x and later, of two leaves each.
 func newCluster(t testing.TB) *cluster {
-	s := &cluster{t: t, store: hosted.NewStore(), leaves: make(map[string]*hosted.Leaf)}
-	t.Cleanup(s.store.Close)
+	c := &cluster{t: t, store: hosted.NewStore(), leaves: make(map[string]*hosted.Leaf)}
+	t.Cleanup(c.store.Close)
 	for _, service := range []string{"s0", "s1", "s2", "x", "later"} {
 		for _, replica := range []string{"a", "b"} {
 			id := service + "-" + replica
@@ -74,19 +74,19 @@
 				return hosted.Reply{Delay: 5 * time.Millisecond, Body: []byte(body)}
 			})
 			t.Cleanup(l.Close)
-			s.leaves[id] = l
-			s.store.Enter(l, service, "z", "ready", l.Address())
+			c.leaves[id] = l
+			c.store.Enter(l, service, "z", "ready", l.Address())
 		}
 	}
-	s.configure("x")
-	return s
+	c.configure("x")
+	return c
 }
 
 // configure puts the next version of the configuration in force, in which /x/ goes to the service single.
-func (s *cluster) configure(single string) {
-	s.version++
-	s.store.Configure(hosted.Config{
-		Version: s.version, Services: []string{"s0", "s1", "s2", "x", "later"}, Connections: 30,
+func (c *cluster) configure(single string) {
+	c.version++
+	c.store.Configure(hosted.Config{
+		Version: c.version, Services: []string{"s0", "s1", "s2", "x", "later"}, Connections: 30,
 		Routes: []hosted.Route{
 			{Name: "s", Host: "h", Prefix: "/s/", Idempotent: true, Timeout: 800 * time.Millisecond, Target: 150 * time.Millisecond,
 				Shards: []string{"s0", "s1", "s2"}, Priority: 1, MaxAttempts: 2, Top: 2, LeastPart: 0.6},
@@ -96,33 +96,33 @@
 }
 
 // start runs a VM. Without a store, its connections to the store are refused.
-func (s *cluster) start(withStore bool) *vm {
-	s.t.Helper()
-	v := s.prepare(withStore)
-	s.run(v)
+func (c *cluster) start(withStore bool) *vm {
+	c.t.Helper()
+	v := c.prepare(withStore)
+	c.run(v)
 	return v
 }
 
 // startSized runs a VM with the processor share in millicores.
-func (s *cluster) startSized(millicores int) *vm {
-	s.t.Helper()
-	v := s.prepare(true)
+func (c *cluster) startSized(millicores int) *vm {
+	c.t.Helper()
+	v := c.prepare(true)
 	v.settings.Millicores = millicores
-	s.run(v)
+	c.run(v)
 	return v
 }
 
 // prepare returns a VM that is not running yet.
-func (s *cluster) prepare(withStore bool) *vm {
-	s.t.Helper()
+func (c *cluster) prepare(withStore bool) *vm {
+	c.t.Helper()
 	ip := ownIP()
-	address := s.store.Address()
+	address := c.store.Address()
 	if !withStore {
 		address = net.JoinHostPort(ip, closedPort)
 	}
 	v := &vm{
 		settings: &deployment.Settings{
-			VMName: fmt.Sprintf("vm%d", len(s.vms)), Zone: "z", IP: ip,
+			VMName: fmt.Sprintf("vm%d", len(c.vms)), Zone: "z", IP: ip,
 			CallersAddress: net.JoinHostPort(ip, callerPort), ReadinessAddress: net.JoinHostPort(ip, readyPort), PeersAddress: net.JoinHostPort(ip, peersPort), StoreAddress: address, MemoryBytes: 256 << 20,
 			RetryBudget: retrybudget.Limit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, GracePeriod: 6 * time.Second, ConfigApplyBound: 3 * time.Second,
 		},
@@ -130,14 +130,14 @@
 		ended:   make(chan error, 1),
 	}
 	v.settings.Seeds = []string{v.settings.PeersAddress}
-	if len(s.vms) > 0 {
-		v.settings.Seeds = []string{s.vms[0].settings.PeersAddress}
+	if len(c.vms) > 0 {
+		v.settings.Seeds = []string{c.vms[0].settings.PeersAddress}
 	}
 	return v
 }
 
 // run runs the VM until the test ends.
-func (s *cluster) run(v *vm) {
+func (c *cluster) run(v *vm) {
 	p := node.Platform{
 		Store: platform.NewStore(v.settings.StoreAddress, v.settings.IP), Decoder: platform.Decoder{}, Dialer: platform.NewLeafDialer(v.settings.IP),
 		NewCallerHandler: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
@@ -150,13 +150,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	v.stop = cancel
 	go func() { v.ended <- d.Run(ctx) }()
-	s.vms = append(s.vms, v)
-	s.t.Cleanup(func() {
+	c.vms = append(c.vms, v)
+	c.t.Cleanup(func() {
 		cancel()
 		select {
 		case <-v.ended:
 		case <-time.After(10 * time.Second):
-			s.t.Error("a VM still runs 10 s after its stop")
+			c.t.Error("a VM still runs 10 s after its stop")
 		}
 	})
 }
@@ -192,8 +192,8 @@
 
 func TestServesCallers(t *testing.T) {
 	is := is.New(t)
-	s := newCluster(t)
-	v := s.start(true)
+	c := newCluster(t)
+	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	status, header, body, err := v.get(http.MethodGet, "/s/1", "r1")
 	is.NoErr(err)
@@ -225,30 +225,30 @@
 // A VM without any configuration refuses requests as not run, never as an unknown route, and is not ready.
 func TestWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
-	s := newCluster(t)
-	s.store.SetFault(hosted.Fault{Status: http.StatusServiceUnavailable})
-	v := s.start(true)
+	c := newCluster(t)
+	c.store.SetFault(hosted.Fault{Status: http.StatusServiceUnavailable})
+	v := c.start(true)
 	within(t, 3*time.Second, "serves", func() bool {
 		status, header, _, err := v.get(http.MethodGet, "/s/1", "r1")
 		return err == nil && status == http.StatusServiceUnavailable && header.Get("Retry-After") != ""
 	})
 	is.True(!v.ready())
-	s.store.SetFault(hosted.Fault{})
+	c.store.SetFault(hosted.Fault{})
 	within(t, 3*time.Second, "ready once the store is back", v.ready)
 }
 
 // A VM that the store refuses serves with the state that its peers have, and applies changes within the bound
 // of 3 s.
 func TestVMRefusedByStore(t *testing.T) {
-	s := newCluster(t)
-	first := s.start(true)
+	c := newCluster(t)
+	first := c.start(true)
 	within(t, 3*time.Second, "first ready", first.ready)
-	refused := s.start(false)
+	refused := c.start(false)
 	within(t, 3*time.Second, "the refused one ready", refused.ready)
-	s.configure("later")
+	c.configure("later")
 	start := time.Now()
 	within(t, 3*time.Second, "both use the change", func() bool {
-		for _, v := range s.vms {
+		for _, v := range c.vms {
 			if _, _, body, err := v.get(http.MethodPost, "/x/1", "r"); err != nil || body != "later           " {
 				return false
 			}
@@ -261,11 +261,11 @@
 // A leaf that drains gets no more requests soon after.
 func TestDrainingLeaf(t *testing.T) {
 	is := is.New(t)
-	s := newCluster(t)
-	v := s.start(true)
+	c := newCluster(t)
+	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
-	leaf := s.leaves["x-a"]
-	s.store.Enter(leaf, "x", "z", "draining", leaf.Address())
+	leaf := c.leaves["x-a"]
+	c.store.Enter(leaf, "x", "z", "draining", leaf.Address())
 	time.Sleep(time.Second)
 	before := len(leaf.Requests())
 	for i := range 20 {
@@ -279,8 +279,8 @@
 // A SIGHUP while requests are in flight cuts off none of them.
 func TestSIGHUPCutsNoRequests(t *testing.T) {
 	is := is.New(t)
-	s := newCluster(t)
-	v := s.start(true)
+	c := newCluster(t)
+	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	var wg sync.WaitGroup
 	for i := range 20 {
@@ -300,13 +300,13 @@
 // period.
 func TestOrderlyStop(t *testing.T) {
 	is := is.New(t)
-	s := newCluster(t)
+	c := newCluster(t)
 	for _, id := range []string{"x-a", "x-b"} {
-		s.leaves[id].SetScript(func(int, *http.Request) hosted.Reply {
+		c.leaves[id].SetScript(func(int, *http.Request) hosted.Reply {
 			return hosted.Reply{Delay: 800 * time.Millisecond, Body: []byte("slow")}
 		})
 	}
-	v := s.start(true)
+	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	running := make(chan string, 1)
 	go func() {
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -12,12 +12,12 @@
 // ready and without reacting to a stop.
 func TestAddressInUseEndsTheProcess(t *testing.T) {
 	is := is.New(t)
-	s := newCluster(t)
-	v := s.prepare(true)
+	c := newCluster(t)
+	v := c.prepare(true)
 	listener, err := net.Listen("tcp", v.settings.ReadinessAddress)
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	s.run(v)
+	c.run(v)
 	select {
 	case err := <-v.ended:
 		is.True(err != nil)
