--- a/internal/delegate/manager.go
+++ b/internal/delegate/manager.go
@@ -72,7 +72,7 @@
 func (m *Manager) SetPlan(p Plan) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	plan := make([]*target, 0, len(p.ZoneGatherers)+len(p.OtherZoneGatherers))
+	targets := make([]*target, 0, len(p.ZoneGatherers)+len(p.OtherZoneGatherers))
 	for i, address := range slices.Concat(p.ZoneGatherers, p.OtherZoneGatherers) {
 		t := findTarget(m.targets, address)
 		if t == nil {
@@ -80,14 +80,14 @@
 			m.cfg.Log.Info("searches may go to a stronger VM", zap.String("peer", address), zap.Bool("last", i >= len(p.ZoneGatherers)), zap.Int("gatherers", p.GathererCount))
 		}
 		t.fallback = i >= len(p.ZoneGatherers)
-		plan = append(plan, t)
+		targets = append(targets, t)
 	}
 	for _, t := range m.targets {
-		if findTarget(plan, t.address) == nil {
+		if findTarget(targets, t.address) == nil {
 			m.cfg.Log.Info("searches no longer go to a VM", zap.String("peer", t.address), zap.Int("gatherers", p.GathererCount))
 		}
 	}
-	m.targets = plan
+	m.targets = targets
 }
 
 // Serve implements dispatch.Server.
@@ -205,10 +205,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	type gathererState struct {
-		Lost    bool  `json:"lost"`
-		Leaving bool  `json:"leaving"`
-		LagUs   int64 `json:"lag_us"`
-		Flights int   `json:"searches_in_flight"`
+		Lost     bool  `json:"lost"`
+		Leaving  bool  `json:"leaving"`
+		LagUs    int64 `json:"lag_us"`
+		InFlight int   `json:"searches_in_flight"`
 	}
 	out := make(map[string]gathererState, len(m.targets))
 	for _, t := range m.targets {
