--- a/cmd/burdock-node/providers.go
+++ b/cmd/burdock-node/providers.go
@@ -16,7 +16,7 @@
 	"github.com/burdockplank/burdockplank/platform"
 )
 
-// settingsPath and logLevel are typed for the wiring.
+// settingsPath and logLevel are separate types so that Wire can distinguish them.
 type (
 	settingsPath string
 	logLevel     string
@@ -25,28 +25,28 @@
 func provideSink() *logging.Async { return logging.NewAsync(os.Stdout) }
 
 func provideLog(s *deployment.Settings, level logLevel, sink *logging.Async) (*zap.Logger, error) {
-	return logging.NewAsyncLog(node.Name, s.VM, string(level), sink)
+	return logging.NewAsyncLog(node.Name, s.VMName, string(level), sink)
 }
 
-// providePlatform gathers what the adapter brings.
+// providePlatform returns the components of the platform's adapter.
 func providePlatform(s *deployment.Settings, path settingsPath) node.Platform {
 	return node.Platform{
-		Store:   platform.NewStore(s.Store, s.IP),
+		Store:   platform.NewStore(s.StoreAddress, s.IP),
 		Decoder: platform.Decoder{},
 		Dialer:  platform.NewLeafDialer(s.IP),
-		Callers: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
+		NewCallerHandler: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
 			return platform.NewEdge(s, limits, leaving, refused)
 		},
-		Ready: platform.Ready,
+		NewReadinessHandler: platform.NewReadinessHandler,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return platform.ConnContext(ctx, c)
 		},
-		Reload: func() ([]string, error) {
-			now, err := platform.LoadSettings(string(path))
+		ReloadSeeds: func() ([]string, error) {
+			current, err := platform.LoadSettings(string(path))
 			if err != nil {
 				return nil, err
 			}
-			return now.Seeds, nil
+			return current.Seeds, nil
 		},
 	}
 }
--- a/internal/delegate/gatherer.go
+++ b/internal/delegate/gatherer.go
@@ -11,7 +11,7 @@
 	"github.com/burdockplank/burdockplank/internal/wait"
 )
 
-// The reasons why a search is not taken.
+// Reasons for declining a search.
 const (
 	notTakenLeaving = "leaving"
 	notTakenConfig  = "older configuration"
@@ -20,41 +20,43 @@
 )
 
 const (
-	// searchesMost bounds the searches that are answered for others at once. Each holds some 200 KB of buffers
-	// and parts; a burst of twice the usual load keeps a gatherer at 10.
-	searchesMost = 96
-	// lagTick is how often the lag is measured; on half a core it takes 0.1% of it.
-	lagTick = 20 * time.Millisecond
-	// lagWeight is the weight of a new measurement.
+	// maxSearches bounds the searches for other VMs in flight. Each holds about 200 KB of buffers and parts; a
+	// burst of twice the typical load keeps a gatherer at 10.
+	maxSearches = 96
+	// lagInterval is the time between two measurements of the lag. On half a core, measuring takes 0.1% of it.
+	lagInterval = 20 * time.Millisecond
+	// lagWeight is the weight of a new measurement in the moving average of the lag.
 	lagWeight = 0.25
-	// idleTick is how often a VM that gathers for nobody looks whether it still does.
-	idleTick = 500 * time.Millisecond
+	// idleInterval is how often a VM that is not a gatherer checks whether it has become one.
+	idleInterval = 500 * time.Millisecond
 )
 
-// Gatherer answers searches of other VMs. It is safe for concurrent use.
+// Gatherer answers searches for other VMs. It is safe for concurrent use.
 type Gatherer struct {
-	local     dispatch.Server
-	directory dispatch.Directory
-	leaving   func() bool
-	gathers   atomic.Bool
-	lag       atomic.Int64
+	local      dispatch.Server
+	directory  dispatch.Directory
+	leaving    func() bool
+	isGatherer atomic.Bool
+	lag        atomic.Int64
 
 	mu sync.Mutex
-	// running counts the searches; closed refuses more, and idle is closed once none runs then. Guarded by mu.
+	// running counts the searches in flight. closed makes admit decline further ones. drained is closed once
+	// closed is set and no search is in flight. All are guarded by mu.
 	running int
 	closed  bool
-	idle    chan struct{}
+	drained chan struct{}
 }
 
-// NewGatherer returns a gatherer; leaving tells whether this VM is about to end.
+// NewGatherer returns a gatherer that answers searches with local. leaving reports whether this VM is about to
+// stop.
 func NewGatherer(local dispatch.Server, d dispatch.Directory, leaving func() bool) *Gatherer {
-	return &Gatherer{local: local, directory: d, leaving: leaving, idle: make(chan struct{})}
+	return &Gatherer{local: local, directory: d, leaving: leaving, drained: make(chan struct{})}
 }
 
-// SetPlan tells whether others hand searches to this VM.
-func (g *Gatherer) SetPlan(p Plan) { g.gathers.Store(p.Gathers) }
+// SetPlan records whether other VMs hand searches over to this one.
+func (g *Gatherer) SetPlan(p Plan) { g.isGatherer.Store(p.IsGatherer) }
 
-// Search answers a search for another VM, or says why it doesn't take it.
+// Search answers a search for another VM, or returns the reason for declining it, with this VM's load.
 func (g *Gatherer) Search(ctx context.Context, msg *pb.FleetSearch) *pb.FleetSearchAnswer {
 	out := g.search(ctx, msg)
 	out.Load = g.Ping()
@@ -70,64 +72,65 @@
 	if route := dispatch.Match(config, req); route == nil || !route.Search() {
 		return &pb.FleetSearchAnswer{NotTaken: notTakenRoute}
 	}
-	if why := g.begin(); why != "" {
-		return &pb.FleetSearchAnswer{NotTaken: why}
+	if reason := g.admit(); reason != "" {
+		return &pb.FleetSearchAnswer{NotTaken: reason}
 	}
-	defer g.end()
+	defer g.release()
 	a := g.local.Serve(ctx, req)
 	return encodeAnswer(a, config.Version)
 }
 
-// begin counts a search, or says why there is no room for it.
-func (g *Gatherer) begin() string {
+// admit counts a search as in flight, or returns the reason for declining it.
+func (g *Gatherer) admit() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
 	case g.closed:
 		return notTakenLeaving
-	case g.running >= searchesMost:
+	case g.running >= maxSearches:
 		return notTakenBusy
 	}
 	g.running++
 	return ""
 }
 
-func (g *Gatherer) end() {
+// release ends a search that admit counted.
+func (g *Gatherer) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running--
 	if g.closed && g.running == 0 {
-		close(g.idle)
+		close(g.drained)
 	}
 }
 
-// Close takes no more searches and waits for those that run, as long as ctx lasts.
+// Close declines further searches and waits until none is in flight or ctx ends.
 func (g *Gatherer) Close(ctx context.Context) {
 	g.mu.Lock()
 	if !g.closed {
 		g.closed = true
 		if g.running == 0 {
-			close(g.idle)
+			close(g.drained)
 		}
 	}
 	g.mu.Unlock()
 	select {
-	case <-g.idle:
+	case <-g.drained:
 	case <-ctx.Done():
 	}
 }
 
-// Ping tells of this VM's load.
+// Ping returns this VM's load.
 func (g *Gatherer) Ping() *pb.FleetPong {
 	return &pb.FleetPong{LagUs: g.lag.Load(), Leaving: g.leaving()}
 }
 
-// Run measures how late the processor gets to what is due, until ctx ends.
+// Run measures how late timers fire on this VM's processor, until ctx ends.
 func (g *Gatherer) Run(ctx context.Context) error {
 	for {
-		tick := lagTick
-		if !g.gathers.Load() {
-			tick = idleTick
+		tick := lagInterval
+		if !g.isGatherer.Load() {
+			tick = idleInterval
 		}
 		due := time.Now().Add(tick)
 		if !wait.For(ctx, tick) {
--- a/internal/delegate/plan.go
+++ b/internal/delegate/plan.go
@@ -1,7 +1,7 @@
-// Package delegate hands the searches that a weak VM gets from callers to a strong VM of its availability
-// zone. A search makes a call to each of 36 or 54 shards, which takes some 5 ms of a core: 25 ms of a VM that
-// has a fifth of one, out of a target of 80 to 150 ms. And the few VMs that make all calls see each leaf often
-// enough to know its state, and need few connections.
+// Package delegate hands the searches that a smaller VM receives from callers over to a larger VM of its
+// availability zone, the gatherer. A search makes a call to each of 36 or 54 shards, which takes about 5 ms of
+// a core: 25 ms on a VM that has a fifth of one, out of a latency target of 80 to 150 ms. The few VMs that make
+// all calls also see each leaf often enough to know its state, and need few connections.
 package delegate
 
 import (
@@ -11,27 +11,30 @@
 	"github.com/burdockplank/burdockplank/internal/peers"
 )
 
-// strongFrom is the multiple of the weakest VM's processor from which a VM of the same zone counts as strong:
-// below it the hop of 1 to 2 ms at both ends takes what the stronger processor gains.
-const strongFrom = 2
+// largerVMRatio is the multiple of the smallest VM's processor share from which a VM of the same zone counts as
+// larger. Below it, the 1 to 2 ms that the extra hop costs at both ends outweigh the gain from the larger
+// processor.
+const largerVMRatio = 2
 
-// gatherersPart is the part of what the fleet may spend in extra calls and connections of searches that the
-// VMs which gather share. The rest is for searches that the others make where they reach none of these.
-const gatherersPart = 0.8
+// gatherersShare is the fraction of the fleet's allowance of extra calls and connections for searches that the
+// gatherers share. The rest is for searches that the other VMs make themselves when they reach no gatherer.
+const gatherersShare = 0.8
 
-// Plan says which VMs make the calls of searches.
+// Plan states which VMs make the calls of searches.
 type Plan struct {
-	// To are the strong VMs of the own zone, in order of their addresses; empty where this VM gathers itself.
-	To []string
-	// Else are those of other zones, for searches that none of To can take.
-	Else []string
-	// Gathers is set where VMs of the own zone hand their searches to this one.
-	Gathers bool
-	// Gatherers is how many VMs of the fleet make the calls of searches, Others how many hand theirs over.
-	Gatherers, Others int
+	// ZoneGatherers are the addresses of the larger VMs of the VM's own zone, sorted. It is empty where this VM
+	// makes the calls itself.
+	ZoneGatherers []string
+	// OtherZoneGatherers are those of the other zones, for searches that no VM of ZoneGatherers can take.
+	OtherZoneGatherers []string
+	// IsGatherer is set where VMs of the own zone hand their searches over to this one.
+	IsGatherer bool
+	// GathererCount is the number of VMs of the fleet that make the calls of searches, DelegatorCount the
+	// number that hand theirs over.
+	GathererCount, DelegatorCount int
 }
 
-// NewPlan returns the plan of the VM self among the fleet, which holds the live VMs with or without self.
+// NewPlan returns the plan of the VM self. fleet holds the live VMs, with or without self.
 func NewPlan(self peers.VM, fleet []peers.VM) Plan {
 	zones := map[string][]peers.VM{self.Zone: {self}}
 	for _, vm := range fleet {
@@ -40,40 +43,41 @@
 		}
 	}
 	var p Plan
-	var elsewhere []string
+	var otherZones []string
 	for zone, vms := range zones {
-		strong := strongOf(vms)
-		if len(strong) == 0 {
-			p.Gatherers += len(vms)
+		larger := largerVMs(vms)
+		if len(larger) == 0 {
+			p.GathererCount += len(vms)
 			continue
 		}
-		p.Gatherers += len(strong)
-		p.Others += len(vms) - len(strong)
+		p.GathererCount += len(larger)
+		p.DelegatorCount += len(vms) - len(larger)
 		if zone != self.Zone {
-			elsewhere = append(elsewhere, strong...)
+			otherZones = append(otherZones, larger...)
 			continue
 		}
-		p.Gathers = slices.Contains(strong, self.Address)
-		if !p.Gathers {
-			p.To = strong
+		p.IsGatherer = slices.Contains(larger, self.Address)
+		if !p.IsGatherer {
+			p.ZoneGatherers = larger
 		}
 	}
-	if len(p.To) > 0 {
-		slices.Sort(elsewhere)
-		p.Else = elsewhere
+	if len(p.ZoneGatherers) > 0 {
+		slices.Sort(otherZones)
+		p.OtherZoneGatherers = otherZones
 	}
 	return p
 }
 
-// strongOf returns the addresses of the VMs that are strong beside the weakest, in order.
-func strongOf(vms []peers.VM) []string {
-	weakest := slices.MinFunc(vms, func(a, b peers.VM) int { return cmp.Compare(a.Millicores, b.Millicores) }).Millicores
-	if weakest <= 0 {
-		return nil // of one nothing is known
+// largerVMs returns the sorted addresses of the VMs that are larger than the smallest one by largerVMRatio or
+// more.
+func largerVMs(vms []peers.VM) []string {
+	smallest := slices.MinFunc(vms, func(a, b peers.VM) int { return cmp.Compare(a.Millicores, b.Millicores) }).Millicores
+	if smallest <= 0 {
+		return nil // the size of at least one VM is unknown
 	}
 	var out []string
 	for _, vm := range vms {
-		if vm.Millicores >= strongFrom*weakest {
+		if vm.Millicores >= largerVMRatio*smallest {
 			out = append(out, vm.Address)
 		}
 	}
@@ -81,13 +85,13 @@
 	return out
 }
 
-// Part is the part of the fleet's extra calls of searches that this VM may send.
-func (p Plan) Part() float64 {
-	if p.Others == 0 {
-		return 1 / float64(max(p.Gatherers, 1))
+// Share returns the fraction of the fleet's extra calls for searches that this VM may send.
+func (p Plan) Share() float64 {
+	if p.DelegatorCount == 0 {
+		return 1 / float64(max(p.GathererCount, 1))
 	}
-	if len(p.To) > 0 {
-		return (1 - gatherersPart) / float64(p.Others)
+	if len(p.ZoneGatherers) > 0 {
+		return (1 - gatherersShare) / float64(p.DelegatorCount)
 	}
-	return gatherersPart / float64(p.Gatherers)
+	return gatherersShare / float64(p.GathererCount)
 }
--- a/internal/node/delegate_test.go
+++ b/internal/node/delegate_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// metric returns the value of a metric with its labels as it stands in the text of a scrape, empty where it
-// doesn't.
+// metric returns the value of a metric with its labels, as the text of a scrape has it, or an empty string
+// where it is absent.
 func (v *vm) metric(name string) string {
 	resp, err := http.Get("http://" + v.metrics + "/metrics")
 	if err != nil {
@@ -31,37 +31,38 @@
 	return ""
 }
 
-// A weak VM hands its searches to the strong one of its zone and its callers get what they would get from
-// that; once it ends, orderly, the weak one makes them itself and no caller notices.
-func TestSearchesGoToTheStrongVM(t *testing.T) {
+// A smaller VM hands its searches over to the larger one of its zone, and its callers get the same answers as
+// from that one. After an orderly stop of the larger VM the smaller one makes the searches itself, and no
+// caller gets an error.
+func TestSearchesGoToTheLargerVM(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	strong := s.startSized(800)
-	weak := s.startSized(200)
+	c := newCluster(t)
+	larger := c.startSized(800)
+	smaller := c.startSized(200)
 	const answered = `burdock_handed_over_total{end="answered"}`
 	n := 0
 	search := func() {
 		n++
-		status, header, body, err := weak.get(http.MethodGet, "/s/1", fmt.Sprintf("r%d", n))
+		status, header, body, err := smaller.get(http.MethodGet, "/s/1", fmt.Sprintf("r%d", n))
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		is.Equal(header.Get("Missing-Parts"), "0")
 		is.Equal(body, "s2              s1              ")
 	}
-	within(t, 5*time.Second, "both ready", func() bool { return strong.ready() && weak.ready() })
-	within(t, 5*time.Second, "searches go to the strong VM", func() bool {
+	within(t, 5*time.Second, "both ready", func() bool { return larger.ready() && smaller.ready() })
+	within(t, 5*time.Second, "searches go to the larger VM", func() bool {
 		search()
-		return weak.metric(answered) != ""
+		return smaller.metric(answered) != ""
 	})
-	status, _, body, err := weak.get(http.MethodPost, "/x/1", "single")
+	status, _, body, err := smaller.get(http.MethodPost, "/x/1", "single")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "x               ")
-	strong.stop()
-	for begun := time.Now(); time.Since(begun) < 4*time.Second; time.Sleep(20 * time.Millisecond) {
+	larger.stop()
+	for start := time.Now(); time.Since(start) < 4*time.Second; time.Sleep(20 * time.Millisecond) {
 		search()
 	}
-	before := weak.metric(answered)
+	before := smaller.metric(answered)
 	search()
-	is.Equal(weak.metric(answered), before)
+	is.Equal(smaller.metric(answered), before)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -29,7 +29,7 @@
 	"github.com/burdockplank/burdockplank/platform"
 )
 
-// vm is one daemon under test.
+// vm is a daemon under test.
 type vm struct {
 	settings *deployment.Settings
 	metrics  string
@@ -37,8 +37,8 @@
 	ended    chan error
 }
 
-// site is a small deployment on loopback: a store, leaves, and VMs.
-type site struct {
+// cluster is a small deployment on loopback: a store, leaves and VMs.
+type cluster struct {
 	t       testing.TB
 	store   *hosted.Store
 	leaves  map[string]*hosted.Leaf
@@ -48,7 +48,7 @@
 
 // The ports of a VM under test, below those that the kernel gives to outgoing connections.
 const (
-	callersPort = "8226"
+	callerPort  = "8226"
 	readyPort   = "8227"
 	peersPort   = "8224"
 	metricsPort = "9464"
@@ -56,16 +56,16 @@
 	closedPort = "8229"
 )
 
-// ownIP returns an address of loopback that no other VM has, of this or another run: a port that was free
-// a moment ago at a shared address may be taken by a connection of a test beside.
+// ownIP returns a loopback address that no other VM has, of this or another run. At a shared address, a port
+// that was free a moment ago may be taken by a connection of a test that runs at the same time.
 func ownIP() string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// newSite starts three shards s0 to s2 of two leaves each, and a service x of two leaves.
-func newSite(t testing.TB) *site {
-	s := &site{t: t, store: hosted.NewStore(), leaves: make(map[string]*hosted.Leaf)}
-	t.Cleanup(s.store.Close)
+// newCluster starts three shards s0 to s2 and the services x and later, of two leaves each.
+func newCluster(t testing.TB) *cluster {
+	c := &cluster{t: t, store: hosted.NewStore(), leaves: make(map[string]*hosted.Leaf)}
+	t.Cleanup(c.store.Close)
 	for _, service := range []string{"s0", "s1", "s2", "x", "later"} {
 		for _, replica := range []string{"a", "b"} {
 			id := service + "-" + replica
@@ -74,19 +74,19 @@
 				return hosted.Reply{Delay: 5 * time.Millisecond, Body: []byte(body)}
 			})
 			t.Cleanup(l.Close)
-			s.leaves[id] = l
-			s.store.Enter(l, service, "z", "ready", l.Address())
+			c.leaves[id] = l
+			c.store.Enter(l, service, "z", "ready", l.Address())
 		}
 	}
-	s.configure("x")
-	return s
+	c.configure("x")
+	return c
 }
 
-// configure puts the next version in force, in which /x/ goes to the service.
-func (s *site) configure(single string) {
-	s.version++
-	s.store.Configure(hosted.Config{
-		Version: s.version, Services: []string{"s0", "s1", "s2", "x", "later"}, Connections: 30,
+// configure puts the next version of the configuration in force, in which /x/ goes to the service single.
+func (c *cluster) configure(single string) {
+	c.version++
+	c.store.Configure(hosted.Config{
+		Version: c.version, Services: []string{"s0", "s1", "s2", "x", "later"}, Connections: 30,
 		Routes: []hosted.Route{
 			{Name: "s", Host: "h", Prefix: "/s/", Idempotent: true, Timeout: 800 * time.Millisecond, Target: 150 * time.Millisecond,
 				Shards: []string{"s0", "s1", "s2"}, Priority: 1, MaxAttempts: 2, Top: 2, LeastPart: 0.6},
@@ -95,75 +95,75 @@
 	})
 }
 
-// start runs a VM; one without a store is refused by it.
-func (s *site) start(withStore bool) *vm {
-	s.t.Helper()
-	v := s.prepare(withStore)
-	s.run(v)
+// start runs a VM. Without a store, its connections to the store are refused.
+func (c *cluster) start(withStore bool) *vm {
+	c.t.Helper()
+	v := c.prepare(withStore)
+	c.run(v)
 	return v
 }
 
-// startSized runs a VM with so much of a processor.
-func (s *site) startSized(millicores int) *vm {
-	s.t.Helper()
-	v := s.prepare(true)
+// startSized runs a VM with the processor share in millicores.
+func (c *cluster) startSized(millicores int) *vm {
+	c.t.Helper()
+	v := c.prepare(true)
 	v.settings.Millicores = millicores
-	s.run(v)
+	c.run(v)
 	return v
 }
 
-// prepare returns a VM that doesn't run yet.
-func (s *site) prepare(withStore bool) *vm {
-	s.t.Helper()
+// prepare returns a VM that is not running yet.
+func (c *cluster) prepare(withStore bool) *vm {
+	c.t.Helper()
 	ip := ownIP()
-	address := s.store.Address()
+	address := c.store.Address()
 	if !withStore {
 		address = net.JoinHostPort(ip, closedPort)
 	}
 	v := &vm{
 		settings: &deployment.Settings{
-			VM: fmt.Sprintf("vm%d", len(s.vms)), Zone: "z", IP: ip,
-			Callers: net.JoinHostPort(ip, callersPort), Ready: net.JoinHostPort(ip, readyPort), Peers: net.JoinHostPort(ip, peersPort), Store: address, MemoryBytes: 256 << 20,
-			Extra: retrybudget.Limit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, Grace: 6 * time.Second, ConfigBound: 3 * time.Second,
+			VMName: fmt.Sprintf("vm%d", len(c.vms)), Zone: "z", IP: ip,
+			CallersAddress: net.JoinHostPort(ip, callerPort), ReadinessAddress: net.JoinHostPort(ip, readyPort), PeersAddress: net.JoinHostPort(ip, peersPort), StoreAddress: address, MemoryBytes: 256 << 20,
+			RetryBudget: retrybudget.Limit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, GracePeriod: 6 * time.Second, ConfigApplyBound: 3 * time.Second,
 		},
 		metrics: net.JoinHostPort(ip, metricsPort),
 		ended:   make(chan error, 1),
 	}
-	v.settings.Seeds = []string{v.settings.Peers}
-	if len(s.vms) > 0 {
-		v.settings.Seeds = []string{s.vms[0].settings.Peers}
+	v.settings.Seeds = []string{v.settings.PeersAddress}
+	if len(c.vms) > 0 {
+		v.settings.Seeds = []string{c.vms[0].settings.PeersAddress}
 	}
 	return v
 }
 
 // run runs the VM until the test ends.
-func (s *site) run(v *vm) {
+func (c *cluster) run(v *vm) {
 	p := node.Platform{
-		Store: platform.NewStore(v.settings.Store, v.settings.IP), Decoder: platform.Decoder{}, Dialer: platform.NewLeafDialer(v.settings.IP),
-		Callers: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
+		Store: platform.NewStore(v.settings.StoreAddress, v.settings.IP), Decoder: platform.Decoder{}, Dialer: platform.NewLeafDialer(v.settings.IP),
+		NewCallerHandler: func(s dispatch.Server, limits func() catalog.Limits, leaving func() bool, refused func(string)) http.Handler {
 			return platform.NewEdge(s, limits, leaving, refused)
 		},
-		Ready: platform.Ready, ConnContext: platform.ConnContext,
-		Reload: func() ([]string, error) { return v.settings.Seeds, nil },
+		NewReadinessHandler: platform.NewReadinessHandler, ConnContext: platform.ConnContext,
+		ReloadSeeds: func() ([]string, error) { return v.settings.Seeds, nil },
 	}
 	d := node.New(v.settings, p, node.MetricsAddress(v.metrics), zap.NewNop(), logging.NewAsync(io.Discard), decision.DefaultLimits(), operator.NewRegistry())
 	ctx, cancel := context.WithCancel(context.Background())
 	v.stop = cancel
 	go func() { v.ended <- d.Run(ctx) }()
-	s.vms = append(s.vms, v)
-	s.t.Cleanup(func() {
+	c.vms = append(c.vms, v)
+	c.t.Cleanup(func() {
 		cancel()
 		select {
 		case <-v.ended:
 		case <-time.After(10 * time.Second):
-			s.t.Error("a VM does not end")
+			c.t.Error("a VM still runs 10 s after its stop")
 		}
 	})
 }
 
-// get asks the VM and returns the status, the headers and the body.
+// get sends a request to the VM and returns the status, the headers and the body.
 func (v *vm) get(method, path, id string) (int, http.Header, string, error) {
-	req, err := http.NewRequest(method, "http://"+v.settings.Callers+path, nil)
+	req, err := http.NewRequest(method, "http://"+v.settings.CallersAddress+path, nil)
 	if err != nil {
 		return 0, nil, "", err
 	}
@@ -179,7 +179,7 @@
 	return resp.StatusCode, resp.Header, string(body), err
 }
 
-func (v *vm) ready() bool { return hosted.Ready(http.DefaultClient, v.settings.Ready) }
+func (v *vm) ready() bool { return hosted.Ready(http.DefaultClient, v.settings.ReadinessAddress) }
 
 func within(t testing.TB, d time.Duration, what string, ok func() bool) {
 	t.Helper()
@@ -192,8 +192,8 @@
 
 func TestServesCallers(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	v := s.start(true)
+	c := newCluster(t)
+	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	status, header, body, err := v.get(http.MethodGet, "/s/1", "r1")
 	is.NoErr(err)
@@ -222,49 +222,50 @@
 	is.True(dump["connections"] != nil)
 }
 
-// A VM without any configuration refuses as not run, never as an unknown route, and isn't ready.
+// A VM without any configuration refuses requests as not run, never as an unknown route, and is not ready.
 func TestWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	s.store.SetFault(hosted.Fault{Status: http.StatusServiceUnavailable})
-	v := s.start(true)
+	c := newCluster(t)
+	c.store.SetFault(hosted.Fault{Status: http.StatusServiceUnavailable})
+	v := c.start(true)
 	within(t, 3*time.Second, "serves", func() bool {
 		status, header, _, err := v.get(http.MethodGet, "/s/1", "r1")
 		return err == nil && status == http.StatusServiceUnavailable && header.Get("Retry-After") != ""
 	})
 	is.True(!v.ready())
-	s.store.SetFault(hosted.Fault{})
+	c.store.SetFault(hosted.Fault{})
 	within(t, 3*time.Second, "ready once the store is back", v.ready)
 }
 
-// A VM that the store refuses serves by what its peers tell, and takes changes within the bound.
-func TestVMThatTheStoreRefuses(t *testing.T) {
-	s := newSite(t)
-	first := s.start(true)
+// A VM that the store refuses serves with the state that its peers have, and applies changes within the bound
+// of 3 s.
+func TestVMRefusedByStore(t *testing.T) {
+	c := newCluster(t)
+	first := c.start(true)
 	within(t, 3*time.Second, "first ready", first.ready)
-	refused := s.start(false)
+	refused := c.start(false)
 	within(t, 3*time.Second, "the refused one ready", refused.ready)
-	s.configure("later")
-	begun := time.Now()
+	c.configure("later")
+	start := time.Now()
 	within(t, 3*time.Second, "both use the change", func() bool {
-		for _, v := range s.vms {
+		for _, v := range c.vms {
 			if _, _, body, err := v.get(http.MethodPost, "/x/1", "r"); err != nil || body != "later           " {
 				return false
 			}
 		}
 		return true
 	})
-	t.Logf("after %v", time.Since(begun))
+	t.Logf("after %v", time.Since(start))
 }
 
-// A leaf that drains gets nothing soon after.
+// A leaf that drains gets no more requests soon after.
 func TestDrainingLeaf(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	v := s.start(true)
+	c := newCluster(t)
+	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
-	leaf := s.leaves["x-a"]
-	s.store.Enter(leaf, "x", "z", "draining", leaf.Address())
+	leaf := c.leaves["x-a"]
+	c.store.Enter(leaf, "x", "z", "draining", leaf.Address())
 	time.Sleep(time.Second)
 	before := len(leaf.Requests())
 	for i := range 20 {
@@ -275,11 +276,11 @@
 	is.Equal(len(leaf.Requests()), before)
 }
 
-// SIGHUP in the middle of requests cuts none of them.
-func TestSignalToReload(t *testing.T) {
+// A SIGHUP while requests are in flight cuts off none of them.
+func TestSIGHUPCutsNoRequests(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	v := s.start(true)
+	c := newCluster(t)
+	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	var wg sync.WaitGroup
 	for i := range 20 {
@@ -294,17 +295,18 @@
 	wg.Wait()
 }
 
-// A stop answers what runs, says at once that it isn't ready, serves new connections until the balancer
-// must have noticed, closes kept ones after their answers, and ends within the grace period.
+// An orderly stop answers the requests in flight, makes the VM not ready at once, serves new connections until
+// the balancer must have noticed, closes kept connections after their answers, and ends within the grace
+// period.
 func TestOrderlyStop(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	c := newCluster(t)
 	for _, id := range []string{"x-a", "x-b"} {
-		s.leaves[id].SetScript(func(int, *http.Request) hosted.Reply {
+		c.leaves[id].SetScript(func(int, *http.Request) hosted.Reply {
 			return hosted.Reply{Delay: 800 * time.Millisecond, Body: []byte("slow")}
 		})
 	}
-	v := s.start(true)
+	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	running := make(chan string, 1)
 	go func() {
@@ -312,11 +314,11 @@
 		running <- fmt.Sprint(body, err)
 	}()
 	time.Sleep(100 * time.Millisecond)
-	begun := time.Now()
+	start := time.Now()
 	v.stop()
 	within(t, 500*time.Millisecond, "not ready", func() bool { return !v.ready() })
 	is.Equal(<-running, "slow<nil>")
-	for time.Since(begun) < 2500*time.Millisecond {
+	for time.Since(start) < 2500*time.Millisecond {
 		status, _, _, err := v.get(http.MethodGet, "/s/1", "r2")
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
@@ -326,7 +328,7 @@
 	case err := <-v.ended:
 		is.NoErr(err)
 		v.ended <- nil
-	case <-time.After(6*time.Second - time.Since(begun)):
+	case <-time.After(6*time.Second - time.Since(start)):
 		t.Fatal("not ended within the grace period")
 	}
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -8,21 +8,21 @@
 	"github.com/matryer/is"
 )
 
-// A VM whose readiness address is taken ends with the error, and doesn't go on half started: never
-// ready, and deaf to its stop.
-func TestTakenAddressEndsTheProcess(t *testing.T) {
+// A VM whose readiness address is in use must end with the error. It must not continue partly started, never
+// ready and without reacting to a stop.
+func TestAddressInUseEndsTheProcess(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	v := s.prepare(true)
-	taken, err := net.Listen("tcp", v.settings.Ready)
+	c := newCluster(t)
+	v := c.prepare(true)
+	listener, err := net.Listen("tcp", v.settings.ReadinessAddress)
 	is.NoErr(err)
-	defer func() { _ = taken.Close() }()
-	s.run(v)
+	defer func() { _ = listener.Close() }()
+	c.run(v)
 	select {
 	case err := <-v.ended:
 		is.True(err != nil)
 		v.ended <- nil
 	case <-time.After(5 * time.Second):
-		t.Fatal("goes on without its readiness address")
+		t.Fatal("still runs after 5 s without its readiness address")
 	}
 }
