--- a/internal/quarantine/leaves.go
+++ b/internal/quarantine/leaves.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Abandoned notes that an unproven request was given up before the leaf answered it.
-func (r *Registry) Abandoned(digest uint64, id string, incarnation uint64) {
+// RecordAbandoned notes that an unproven request was given up before the leaf answered it.
+func (r *Registry) RecordAbandoned(digest uint64, id string, incarnation uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.leaf(id)
@@ -98,56 +98,56 @@
 	l.abandoned = append(l.abandoned, abandoned{digest: digest, incarnation: incarnation, at: r.clock()})
 }
 
-// Place says whether a leaf may be asked first.
-type Place int
+// Eligibility says whether a leaf may be asked first.
+type Eligibility int
 
 const (
 	// PlaceFree: it may be asked.
-	PlaceFree Place = iota
+	LeafEligible Eligibility = iota
 	// PlaceHeld: it was lost so lately that the request may be the cause and evidence of it is still
 	// on its way. It keeps its place without being asked, so that the next in rank isn't crashed in
 	// its stead.
-	PlaceHeld
+	LeafWithheld
 	// PlaceAbsent: it is out of use for another cause; the next in rank takes its place.
-	PlaceAbsent
+	LeafUnavailable
 )
 
-// Place says how a leaf stands for the first run of a request. A loss that a quarantined request
+// Eligibility says how a leaf stands for the first run of a request. A loss that a quarantined request
 // explains holds it back from others only until it is known which of them were in flight at it, too.
-func (r *Registry) Place(id string, digest uint64) Place {
+func (r *Registry) Eligibility(id string, digest uint64) Eligibility {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, _ := r.place(id, digest, r.clock())
 	return p
 }
 
-// HeldFor returns for how long at most the leaf keeps its place without being asked. Where the place is absent, it is
+// WithheldFor returns for how long at most the leaf keeps its place without being asked. Where the place is absent, it is
 // how much longer the leaf counts as lost so lately that it may be about to come back; else 0 for one that isn't held.
-func (r *Registry) HeldFor(id string, digest uint64) time.Duration {
+func (r *Registry) WithheldFor(id string, digest uint64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
 	p, rest := r.place(id, digest, now)
-	if p == PlaceAbsent {
+	if p == LeafUnavailable {
 		return max(0, r.leaf(id).heldUntil.Sub(now))
 	}
 	return rest
 }
 
 // place returns for a held place besides for how long at most it is so. Requires mu.
-func (r *Registry) place(id string, digest uint64, now time.Time) (Place, time.Duration) {
+func (r *Registry) place(id string, digest uint64, now time.Time) (Eligibility, time.Duration) {
 	r.sample(id, now)
 	l := r.leaf(id)
 	if l.connected && l.leaving {
-		return PlaceAbsent, 0
+		return LeafUnavailable, 0
 	}
 	if rest := r.heldFor(id, l, digest, now); rest > 0 {
-		return PlaceHeld, rest
+		return LeafWithheld, rest
 	}
 	if !l.connected {
-		return PlaceAbsent, 0
+		return LeafUnavailable, 0
 	}
-	return PlaceFree, 0
+	return LeafEligible, 0
 }
 
 // heldFor returns how much longer a leaf that was lost, or may have been, takes no first run of a request. Requires
@@ -181,7 +181,7 @@
 	defer r.mu.Unlock()
 	now := r.clock()
 	p, _ := r.place(id, digest, now)
-	return p == PlaceHeld && !r.explainedLoss(id, r.leaf(id), digest, now)
+	return p == LeafWithheld && !r.explainedLoss(id, r.leaf(id), digest, now)
 }
 
 func (r *Registry) lostLately(l *leaf, now time.Time) bool {
@@ -283,9 +283,9 @@
 	return incarnation != 0 && s.Incarnation == incarnation && s.Survived
 }
 
-// Enter asks to run an unproven request on the leaf; alone where solo is set. Leave must be called
+// TryAcquire asks to run an unproven request on the leaf; alone where solo is set. Leave must be called
 // at its end where it returns true.
-func (r *Registry) Enter(id string, solo bool) bool {
+func (r *Registry) TryAcquire(id string, solo bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.leaf(id)
@@ -297,8 +297,8 @@
 	return true
 }
 
-// Leave ends what Enter began and tells whether the request was the only unproven one there.
-func (r *Registry) Leave(id string) (alone bool) {
+// Release ends what Enter began and tells whether the request was the only unproven one there.
+func (r *Registry) Release(id string) (alone bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.leaf(id)
--- a/internal/quarantine/leaves_test.go
+++ b/internal/quarantine/leaves_test.go
@@ -21,28 +21,28 @@
 		"lost":            {do: func(b *bench) { b.crash("a") }, held: true},
 		"back as another": {do: func(b *bench) { b.leaves["a"] = upstream.State{Incarnation: 2, Connected: true} }, held: true},
 		"reconnecting":    {do: func(b *bench) { b.leaves["a"] = upstream.State{Incarnation: 1} }, held: true},
-		"reconnected":     {do: func(b *bench) { b.leaves["a"] = upstream.State{Incarnation: 1}; b.Look(); b.leaves["a"] = up }},
+		"reconnected":     {do: func(b *bench) { b.leaves["a"] = upstream.State{Incarnation: 1}; b.Refresh(); b.leaves["a"] = up }},
 		"left in order": {do: func(b *bench) {
 			b.leaves["a"] = upstream.State{Incarnation: 1, Connected: true, Leaving: true}
-			b.Look()
+			b.Refresh()
 			b.crash("a")
 		}},
-		"lost long ago": {do: func(b *bench) { b.crash("a"); b.Look(); b.pass(hold) }},
+		"lost long ago": {do: func(b *bench) { b.crash("a"); b.Refresh(); b.pass(hold) }},
 		"another request explains": {do: func(b *bench) {
 			b.crash("a")
-			b.Look()
+			b.Refresh()
 			b.heard(other, "a", 1)
 			b.heard(other, "b", 1)
 			b.pass(doubtFor)
 		}},
 		"its own doesn't": {do: func(b *bench) {
 			b.crash("a")
-			b.Look()
+			b.Refresh()
 			b.heard(bad.Digest, "a", 1)
 			b.heard(bad.Digest, "b", 1)
 			b.pass(doubtFor)
 		}, held: true},
-		"one crash doesn't": {do: func(b *bench) { b.crash("a"); b.Look(); b.heard(other, "a", 1) }, held: true},
+		"one crash doesn't": {do: func(b *bench) { b.crash("a"); b.Refresh(); b.heard(other, "a", 1) }, held: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,26 +60,26 @@
 func TestExplainedLossHoldsUntilWordIsHere(t *testing.T) {
 	for name, tt := range map[string]struct {
 		after upstream.State
-		want  Place
+		want  Eligibility
 	}{
-		"stays away": {upstream.State{Leaf: "a", Incarnation: 1, Leaving: true}, PlaceAbsent},
-		"comes back": {upstream.State{Leaf: "a", Incarnation: 2, Connected: true}, PlaceFree},
+		"stays away": {upstream.State{Leaf: "a", Incarnation: 1, Leaving: true}, LeafUnavailable},
+		"comes back": {upstream.State{Leaf: "a", Incarnation: 2, Connected: true}, LeafEligible},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBench(nil)
 			b.crash("a")
-			b.Look()
+			b.Refresh()
 			b.heard(99, "a", 1)
 			b.heard(99, "b", 1)
 			b.pass(doubtFor)
 			b.leaves["a"] = tt.after
-			is.Equal(b.Place("a", bad.Digest), PlaceHeld)
-			is.Equal(b.HeldFor("a", bad.Digest), wordFor-doubtFor)
+			is.Equal(b.Eligibility("a", bad.Digest), LeafWithheld)
+			is.Equal(b.WithheldFor("a", bad.Digest), wordFor-doubtFor)
 			is.Equal(b.Held("a", bad.Digest), false) // for an order
 			b.pass(wordFor - doubtFor)
-			is.Equal(b.Place("a", bad.Digest), tt.want)
-			is.Equal(b.Place("a", 99), PlaceHeld)
+			is.Equal(b.Eligibility("a", bad.Digest), tt.want)
+			is.Equal(b.Eligibility("a", 99), LeafWithheld)
 		})
 	}
 }
@@ -89,15 +89,15 @@
 func TestEachLossHoldsUntilItsOwnWord(t *testing.T) {
 	is := is.New(t)
 	b := newBench(nil)
-	b.LostLeaf("a", 1)
+	b.RecordConnectionLoss("a", 1)
 	b.pass(2 * DefaultSettings().Hold.D())
 	b.crash("a")
-	b.LostLeaf("a", 1)
+	b.RecordConnectionLoss("a", 1)
 	b.heard(99, "a", 1)
 	b.heard(99, "b", 1)
 	b.pass(doubtFor)
-	is.Equal(b.Place("a", bad.Digest), PlaceHeld)
-	is.Equal(b.HeldFor("a", bad.Digest), wordFor-doubtFor)
+	is.Equal(b.Eligibility("a", bad.Digest), LeafWithheld)
+	is.Equal(b.WithheldFor("a", bad.Digest), wordFor-doubtFor)
 }
 
 // TestLeafThatWasNeverSeenUpKeepsItsPlace: a gather that has just started doesn't know whether a leaf
@@ -106,9 +106,9 @@
 	is := is.New(t)
 	b := newBench(nil)
 	b.leaves["d"] = upstream.State{Incarnation: 1, Leaving: true}
-	is.Equal(b.Place("d", bad.Digest), PlaceHeld)
+	is.Equal(b.Eligibility("d", bad.Digest), LeafWithheld)
 	b.pass(DefaultSettings().Hold.D())
-	is.Equal(b.Place("d", bad.Digest), PlaceAbsent)
+	is.Equal(b.Eligibility("d", bad.Digest), LeafUnavailable)
 }
 
 // TestLeafBackFromOutOfReachIsHeldForNewsOfTheOtherSide: behind a cut a leaf may have crashed at any
@@ -128,17 +128,17 @@
 			is := is.New(t)
 			b := newBench(nil)
 			b.leaves["a"] = upstream.State{Incarnation: 1}
-			b.Look()
+			b.Refresh()
 			b.pass(2 * hold)
-			b.Look()
-			is.Equal(b.Place("a", bad.Digest), PlaceAbsent)
+			b.Refresh()
+			is.Equal(b.Eligibility("a", bad.Digest), LeafUnavailable)
 			b.leaves["a"] = tt.back
 			for d := time.Duration(0); d < tt.held; d += hold / 2 {
-				is.Equal(b.Place("a", bad.Digest), PlaceHeld)
+				is.Equal(b.Eligibility("a", bad.Digest), LeafWithheld)
 				b.pass(hold / 2)
 			}
 			b.pass(hold / 2)
-			is.Equal(b.Place("a", bad.Digest), PlaceFree)
+			is.Equal(b.Eligibility("a", bad.Digest), LeafEligible)
 		})
 	}
 }
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -22,16 +22,16 @@
 	defer settle.Stop()
 	defer look.Stop()
 	changed := source.Changed()
-	r.Take(source.Current())
+	r.ApplyView(source.Current())
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
 			changed = source.Changed()
-			r.Take(source.Current())
+			r.ApplyView(source.Current())
 		case <-look.C:
-			r.Look()
+			r.Refresh()
 		case <-settle.C:
 			r.Settle()
 		}
@@ -45,9 +45,9 @@
 	r.settle(r.clock())
 }
 
-// Look compares the leaves' states with those seen before, settles lost connections and drops what
+// Refresh compares the leaves' states with those seen before, settles lost connections and drops what
 // has aged out.
-func (r *Registry) Look() {
+func (r *Registry) Refresh() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
@@ -63,8 +63,8 @@
 	r.show(now)
 }
 
-// Take takes in the crash evidence and the leaves of a view.
-func (r *Registry) Take(v *feed.View) {
+// ApplyView takes in the crash evidence and the leaves of a view.
+func (r *Registry) ApplyView(v *feed.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -40,11 +40,11 @@
 
 // show sets the gauges. Requires mu.
 func (r *Registry) show(now time.Time) {
-	counts := make(map[Standing]int)
+	counts := make(map[Status]int)
 	for _, s := range r.suspects {
 		counts[r.stands(s, now)]++
 	}
-	for _, st := range []Standing{Suspect, Doubted, Quarantined} {
+	for _, st := range []Status{Suspect, Doubted, Quarantined} {
 		r.metrics.suspects.WithLabelValues(st.String()).Set(float64(counts[st]))
 	}
 	r.metrics.proven.Set(float64(r.proven.len()))
--- a/internal/quarantine/orders.go
+++ b/internal/quarantine/orders.go
@@ -31,23 +31,23 @@
 // now. Nothing has been written then; the error holds the *outcome.Error of a quarantined one.
 func (c *OrderCaller) Execute(ctx context.Context, leaf string, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
 	d := OrderDigest(req.GetService(), req.GetKind(), req.GetKey(), req.GetPayload())
-	standing, after := c.registry.Standing(Key{Digest: d, Proof: d})
+	standing, after := c.registry.Status(Key{Digest: d, Proof: d})
 	if standing >= Doubted {
 		e := outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the order's content was in flight at several upstream crashes").After(after)
 		return nil, &upstream.CallError{Leaf: leaf, Err: e}
 	}
-	if standing != Proven && c.registry.Held(leaf, d) || !c.registry.Enter(leaf, standing == Suspect) {
+	if standing != Proven && c.registry.Held(leaf, d) || !c.registry.TryAcquire(leaf, standing == Suspect) {
 		return nil, &upstream.CallError{Leaf: leaf, Err: errHeld}
 	}
 	res, err := c.Caller.Execute(ctx, leaf, req)
-	alone := c.registry.Leave(leaf)
+	alone := c.registry.Release(leaf)
 	c.note(ctx, d, leaf, err, alone)
 	return res, err
 }
 
 func (c *OrderCaller) note(ctx context.Context, digest uint64, leaf string, err error, alone bool) {
 	if err == nil {
-		c.registry.Prove(Key{Digest: digest, Proof: digest})
+		c.registry.RecordAnswer(Key{Digest: digest, Proof: digest})
 		return
 	}
 	var ce *upstream.CallError
@@ -56,8 +56,8 @@
 	}
 	switch {
 	case ctx.Err() != nil:
-		c.registry.Abandoned(digest, leaf, ce.Incarnation)
+		c.registry.RecordAbandoned(digest, leaf, ce.Incarnation)
 	case ce.ConnectionLost && !ce.ConnectionSilent:
-		c.registry.LostUnproven(digest, leaf, ce.Incarnation, alone)
+		c.registry.RecordUnprovenLoss(digest, leaf, ce.Incarnation, alone)
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -54,16 +54,16 @@
 
 func (b *bench) heard(digest uint64, leaf string, incarnation uint64) {
 	c := &pb.Crash{RequestDigest: digest, Leaf: leaf, Incarnation: incarnation}
-	b.Take(&feed.View{Crashes: []*pb.Crash{c}, Received: b.now})
+	b.ApplyView(&feed.View{Crashes: []*pb.Crash{c}, Received: b.now})
 }
 
 // heardAnswered takes in a crash at which a request was in flight that another VM knows to be answered.
 func (b *bench) heardAnswered(digest uint64, leaf string, incarnation uint64) {
 	c := &pb.Crash{RequestDigest: digest, Leaf: leaf, Incarnation: incarnation, Answered: true}
-	b.Take(&feed.View{Crashes: []*pb.Crash{c}, Received: b.now})
+	b.ApplyView(&feed.View{Crashes: []*pb.Crash{c}, Received: b.now})
 }
 
-func (b *bench) stands(k Key) Standing { s, _ := b.Standing(k); return s }
+func (b *bench) stands(k Key) Status { s, _ := b.Status(k); return s }
 
 var bad = SearchKey("teachers", "bad", 1, 10)
 
@@ -72,12 +72,12 @@
 	b := newBench(nil)
 	is.Equal(b.stands(bad), FirstRun)
 	b.crash("a")
-	b.LostUnproven(bad.Digest, "a", 1, true)
+	b.RecordUnprovenLoss(bad.Digest, "a", 1, true)
 	is.Equal(b.stands(bad), Suspect)
 	b.heard(bad.Digest, "a", 1) // the same crash, seen by another VM
 	is.Equal(b.stands(bad), Suspect)
 	b.pass(time.Second)
-	b.Prove(bad) // its solo run was answered
+	b.RecordAnswer(bad) // its solo run was answered
 	is.Equal(b.stands(bad), Proven)
 	b.pass(time.Second)
 	b.heard(bad.Digest, "a", 2)
@@ -118,7 +118,7 @@
 	is := is.New(t)
 	hold := DefaultSettings().Hold.D()
 	b := newBench(nil)
-	b.Prove(bad)
+	b.RecordAnswer(bad)
 	for _, leaf := range []string{"a", "b", "c"} {
 		b.pass(time.Second)
 		b.heard(bad.Digest, leaf, 1)
@@ -129,7 +129,7 @@
 	b.heard(99, "b", 1) // one crash of the cause is enough
 	is.Equal(b.stands(bad), Suspect)
 	other := SearchKey("teachers", "other", 1, 10)
-	b.Prove(other)
+	b.RecordAnswer(other)
 	b.pass(time.Second)
 	for _, leaf := range []string{"a", "b", "c"} {
 		b.heard(other.Digest, leaf, 7)
@@ -145,7 +145,7 @@
 	is := is.New(t)
 	b := newBench(nil)
 	for i, leaf := range []string{"a", "b", "c"} {
-		b.Prove(bad)
+		b.RecordAnswer(bad)
 		b.heard(bad.Digest, leaf, uint64(i+2))
 		is.Equal(b.stands(bad), Proven)
 		b.pass(time.Second)
@@ -187,23 +187,23 @@
 		do   func(b *bench)
 		want []string
 	}{
-		"answered, then heard": {func(b *bench) { b.Prove(bad); b.heard(bad.Digest, "a", 1) }, []string{"a"}},
-		"heard, then answered": {func(b *bench) { b.heard(bad.Digest, "a", 1); b.Prove(bad) }, []string{"a"}},
+		"answered, then heard": {func(b *bench) { b.RecordAnswer(bad); b.heard(bad.Digest, "a", 1) }, []string{"a"}},
+		"heard, then answered": {func(b *bench) { b.heard(bad.Digest, "a", 1); b.RecordAnswer(bad) }, []string{"a"}},
 		"own crash, then answered": {func(b *bench) {
 			b.crash("a")
-			b.LostUnproven(bad.Digest, "a", 1, true)
-			b.Prove(bad)
+			b.RecordUnprovenLoss(bad.Digest, "a", 1, true)
+			b.RecordAnswer(bad)
 		}, []string{"a"}},
 		"answered, then own crash": {func(b *bench) {
-			b.Prove(bad)
+			b.RecordAnswer(bad)
 			b.crash("a")
-			b.LostUnproven(bad.Digest, "a", 1, true)
+			b.RecordUnprovenLoss(bad.Digest, "a", 1, true)
 		}, []string{"a"}},
 		"own loss that is no crash so far": {func(b *bench) {
-			b.LostUnproven(bad.Digest, "a", 1, true)
-			b.Prove(bad)
+			b.RecordUnprovenLoss(bad.Digest, "a", 1, true)
+			b.RecordAnswer(bad)
 		}, nil},
-		"others know": {func(b *bench) { b.Prove(bad); b.heardAnswered(bad.Digest, "a", 1) }, nil},
+		"others know": {func(b *bench) { b.RecordAnswer(bad); b.heardAnswered(bad.Digest, "a", 1) }, nil},
 		"others know of one": {func(b *bench) {
 			b.heardAnswered(bad.Digest, "a", 1)
 			b.heard(bad.Digest, "b", 1)
@@ -217,7 +217,7 @@
 			is.Equal(vouched(b), tt.want)
 			for range 2 { // the same views come again and again
 				b.heard(bad.Digest, "a", 1)
-				b.Prove(bad)
+				b.RecordAnswer(bad)
 			}
 			all := vouched(b)
 			slices.Sort(all)
@@ -239,7 +239,7 @@
 	b.pass(doubtFor)
 	is.Equal(b.stands(good), Suspect)
 	is.Equal(b.stands(bad), Suspect)
-	b.Prove(good)
+	b.RecordAnswer(good)
 	is.Equal(b.stands(good), Proven)
 	b.heard(bad.Digest, "c", 1)
 	is.Equal(b.stands(bad), Quarantined) // no third excuse
@@ -255,7 +255,7 @@
 		b.heard(bad.Digest, leaf, 1)
 	}
 	b.pass(time.Second)
-	b.Prove(bad)
+	b.RecordAnswer(bad)
 	b.pass(time.Second)
 	for _, leaf := range leaves {
 		b.heard(bad.Digest, leaf, 1) // of age 0: renewed
@@ -279,7 +279,7 @@
 	}
 	is.Equal(len(b.told), 2*8) // both crashes, each quarter, so that other VMs keep them as well
 	b.pass(age + time.Second)
-	b.Look()
+	b.Refresh()
 	is.Equal(b.stands(bad), FirstRun)
 }
 
@@ -300,11 +300,11 @@
 			is := is.New(t)
 			b := newBench(nil)
 			b.leaves["a"] = tt.after
-			b.LostUnproven(bad.Digest, "a", 1, false)
+			b.RecordUnprovenLoss(bad.Digest, "a", 1, false)
 			is.Equal(b.stands(bad), Suspect) // the next run is careful in any case
 			is.Equal(len(b.told) > 0, tt.soon)
 			b.pass(2 * time.Second)
-			b.Look()
+			b.Refresh()
 			is.Equal(len(b.told) > 0, tt.later)
 			is.Equal(b.stands(bad) == Suspect, tt.later)
 		})
@@ -317,17 +317,17 @@
 	is := is.New(t)
 	b := newBench(nil)
 	for _, leaf := range []string{"a", "b"} {
-		b.LostUnproven(bad.Digest, leaf, 1, true)
+		b.RecordUnprovenLoss(bad.Digest, leaf, 1, true)
 	}
 	is.Equal(b.stands(bad), Doubted)
-	is.Equal(b.Place("a", 99), PlaceHeld)
+	is.Equal(b.Eligibility("a", 99), LeafWithheld)
 	for _, leaf := range []string{"a", "b"} {
 		b.leaves[leaf] = upstream.State{Leaf: leaf, Incarnation: 1, Connected: true, Survived: true}
 	}
 	b.pass(settleEvery)
 	b.Settle()
 	is.Equal(b.stands(bad), FirstRun)
-	is.Equal(b.Place("a", 99), PlaceFree)
+	is.Equal(b.Eligibility("a", 99), LeafEligible)
 	is.Equal(len(b.told), 0)
 }
 
@@ -367,16 +367,16 @@
 func TestRequestGivenUpBeforeTheCrashIsASuspect(t *testing.T) {
 	is := is.New(t)
 	b := newBench(nil)
-	b.Abandoned(bad.Digest, "a", 1)
+	b.RecordAbandoned(bad.Digest, "a", 1)
 	b.pass(abandonedFor / 2)
 	b.crash("a")
-	b.Look()
+	b.Refresh()
 	is.Equal(b.stands(bad), Suspect)
 	is.Equal(len(b.told), 1)
-	b.Abandoned(bad.Digest, "b", 1)
+	b.RecordAbandoned(bad.Digest, "b", 1)
 	b.pass(abandonedFor * 2) // too long ago to be the cause
 	b.crash("b")
-	b.Look()
+	b.Refresh()
 	is.Equal(b.stands(bad), Suspect)
 }
 
@@ -385,12 +385,12 @@
 	b := newBench(func(s *Settings) { s.Remembered = 2 })
 	key := func(text string) Key { return SearchKey("s", text, 1, 10) }
 	for _, text := range []string{"one", "two", "one", "three"} {
-		b.Prove(key(text))
+		b.RecordAnswer(key(text))
 	}
 	is.Equal(b.stands(key("one")), Proven)
 	is.Equal(b.stands(key("two")), FirstRun)                   // the longest unused is forgotten
 	is.Equal(b.stands(SearchKey("s", "one", 2, 10)), FirstRun) // another snapshot
-	b.LostProven(key("one"))                                   // in flight when a leaf was lost
+	b.RecordProvenLoss(key("one"))                             // in flight when a leaf was lost
 	is.Equal(b.stands(key("one")), FirstRun)                   // no suspect, but tried on one leaf again
 	same, content := b.Answered(key("one"))
 	is.True(same && content)
@@ -408,14 +408,14 @@
 func TestSuspectRunsBesideNoOtherUnprovenRequest(t *testing.T) {
 	is := is.New(t)
 	b := newBench(nil)
-	is.True(b.Enter("a", false))
-	is.True(b.Enter("a", false))
-	is.True(!b.Enter("a", true))
-	is.True(!b.Leave("a"))
-	is.True(b.Leave("a")) // it was the only one
-	is.True(b.Enter("a", true))
-	is.True(!b.Enter("a", false))
-	is.True(b.Enter("b", false))
+	is.True(b.TryAcquire("a", false))
+	is.True(b.TryAcquire("a", false))
+	is.True(!b.TryAcquire("a", true))
+	is.True(!b.Release("a"))
+	is.True(b.Release("a")) // it was the only one
+	is.True(b.TryAcquire("a", true))
+	is.True(!b.TryAcquire("a", false))
+	is.True(b.TryAcquire("b", false))
 }
 
 // executor is an upstream.Caller whose leaves end each order in the same way.
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -11,13 +11,13 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// Standing says how a request may run.
-type Standing int
+// Status says how a request may run.
+type Status int
 
 // The standings of a request, from the freest on.
 const (
 	// Proven: a leaf has answered it; it may run on all shards at once.
-	Proven Standing = iota
+	Proven Status = iota
 	// Unproven: no leaf has answered it yet, and by the settings it may run on all shards at once.
 	Unproven
 	// FirstRun: it runs on one leaf first.
@@ -36,7 +36,7 @@
 var standingNames = [...]string{"proven", "unproven", "first_run", "suspect", "doubted", "quarantined"}
 
 // String returns the name used in metrics.
-func (s Standing) String() string { return standingNames[s] }
+func (s Status) String() string { return standingNames[s] }
 
 // States returns what is known of a leaf; upstream.Caller has it.
 type States func(leaf string) (upstream.State, bool)
@@ -76,9 +76,9 @@
 	}
 }
 
-// Standing says how the request may run now. For a quarantined one it also says when to come back;
+// Status says how the request may run now. For a quarantined one it also says when to come back;
 // asking renews its evidence.
-func (r *Registry) Standing(k Key) (Standing, time.Duration) {
+func (r *Registry) Status(k Key) (Status, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
@@ -165,8 +165,8 @@
 	}
 }
 
-// CrashedAt returns the leaves that crashed with the request in flight.
-func (r *Registry) CrashedAt(digest uint64) []string {
+// CrashedLeaves returns the leaves that crashed with the request in flight.
+func (r *Registry) CrashedLeaves(digest uint64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var leaves []string
@@ -178,11 +178,11 @@
 	return leaves
 }
 
-// Hold returns how long a lost leaf takes no first run.
-func (r *Registry) Hold() time.Duration { return r.settings.Hold.D() }
+// WithholdPeriod returns how long a lost leaf takes no first run.
+func (r *Registry) WithholdPeriod() time.Duration { return r.settings.Hold.D() }
 
-// Prove notes that a leaf has answered the request and so outlived it.
-func (r *Registry) Prove(k Key) {
+// RecordAnswer notes that a leaf has answered the request and so outlived it.
+func (r *Registry) RecordAnswer(k Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
@@ -193,18 +193,18 @@
 	}
 }
 
-// LostProven notes that a proven request was in flight when a connection was lost. That is no
+// RecordProvenLoss notes that a proven request was in flight when a connection was lost. That is no
 // evidence against it, but its next run is on one leaf first.
-func (r *Registry) LostProven(k Key) {
+func (r *Registry) RecordProvenLoss(k Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.proven.shake(k.Proof)
 }
 
-// LostUnproven notes that a request which no leaf has answered was in flight when the connection to
+// RecordUnprovenLoss notes that a request which no leaf has answered was in flight when the connection to
 // a leaf was lost. It counts against the request at once; where the leaf turns out to have lived on
 // it is taken back.
-func (r *Registry) LostUnproven(digest uint64, leaf string, incarnation uint64, alone bool) {
+func (r *Registry) RecordUnprovenLoss(digest uint64, leaf string, incarnation uint64, alone bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
@@ -222,8 +222,8 @@
 	r.settle(now)
 }
 
-// LostLeaf notes that a connection to the leaf broke.
-func (r *Registry) LostLeaf(leaf string, incarnation uint64) {
+// RecordConnectionLoss notes that a connection to the leaf broke.
+func (r *Registry) RecordConnectionLoss(leaf string, incarnation uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lose(leaf, incarnation, r.clock())
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -10,7 +10,7 @@
 // One that a leaf has answered doesn't crash each leaf that runs it, so that it runs alone until three crashes
 // speak against it that nothing else explains, and for as long after as evidence may take. However late word of
 // the request that caused them comes, one or two crashes beside it don't make it refused.
-func (r *Registry) verdict(s *suspect, against []crash, now time.Time) Standing {
+func (r *Registry) verdict(s *suspect, against []crash, now time.Time) Status {
 	if r.known(s.digest) {
 		if r.unexplained(s.digest, against) < crashesToRefuseKnown {
 			return Suspect
@@ -29,10 +29,10 @@
 }
 
 // stands is the verdict on a request in all its forms.
-func (r *Registry) stands(s *suspect, now time.Time) Standing { return r.verdict(s, s.crashes, now) }
+func (r *Registry) stands(s *suspect, now time.Time) Status { return r.verdict(s, s.crashes, now) }
 
 // doubted holds the refusal of a request back for a time in which evidence that clears it may come.
-func (s *suspect) doubted(now time.Time, wait time.Duration) Standing {
+func (s *suspect) doubted(now time.Time, wait time.Duration) Status {
 	if now.Sub(s.learned) < wait {
 		return Doubted
 	}
--- a/internal/search/calls.go
+++ b/internal/search/calls.go
@@ -111,7 +111,7 @@
 func (r *run) note(ev event, err error, gate string) {
 	alone := false
 	if gate != "" {
-		alone = r.e.guard.Leave(gate)
+		alone = r.e.guard.Release(gate)
 	}
 	if ev.answer != nil || err == nil {
 		return
@@ -124,12 +124,12 @@
 	guard, outlived := r.e.guard, r.outlived.Load()
 	switch {
 	case ev.failure == failLost && outlived:
-		guard.LostProven(r.key)
-		guard.LostLeaf(ev.leaf, incarnation)
+		guard.RecordProvenLoss(r.key)
+		guard.RecordConnectionLoss(ev.leaf, incarnation)
 	case ev.failure == failLost:
-		guard.LostUnproven(r.key.Digest, ev.leaf, incarnation, alone)
+		guard.RecordUnprovenLoss(r.key.Digest, ev.leaf, incarnation, alone)
 	case (ev.failure == failDeadline || ev.failure == failCancelled) && !outlived && ev.wrote:
-		guard.Abandoned(r.key.Digest, ev.leaf, incarnation)
+		guard.RecordAbandoned(r.key.Digest, ev.leaf, incarnation)
 	}
 }
 
--- a/internal/search/crashing_test.go
+++ b/internal/search/crashing_test.go
@@ -54,7 +54,7 @@
 		from.feed.hear = func(c *pb.Crash) {
 			for _, to := range rigs {
 				if to != from && !cut(from.feed.view.Zone, to.feed.view.Zone) {
-					time.AfterFunc(delay, func() { to.guard.Take(&feed.View{Crashes: []*pb.Crash{c}, Received: time.Now().Add(-delay)}) })
+					time.AfterFunc(delay, func() { to.guard.ApplyView(&feed.View{Crashes: []*pb.Crash{c}, Received: time.Now().Add(-delay)}) })
 				}
 			}
 		}
@@ -208,14 +208,14 @@
 		view := &breakingView{fakeFleet: fleet}
 		r := newRigOver("az-a", service, view, fleet, nil)
 		for leaf := range service.Leaves {
-			r.guard.Look()
+			r.guard.Refresh()
 			first := &trial{r: &run{
 				e: r.engine, fleet: r.engine.fleet(), plan: choose(service, r.engine.fleet()),
 				key: quarantine.SearchKey(service.Name, "new", 1, 1),
 			}}
-			is.Equal(first.place(leaf), quarantine.PlaceFree)
+			is.Equal(first.place(leaf), quarantine.LeafEligible)
 			view.breaks = leaf
-			is.Equal(first.place(leaf), quarantine.PlaceHeld)
+			is.Equal(first.place(leaf), quarantine.LeafWithheld)
 		}
 	})
 }
@@ -232,7 +232,7 @@
 			for _, leaf := range []string{"leaf-0-b", "leaf-1-c"} {
 				crashes = append(crashes, &pb.Crash{RequestDigest: digest, Leaf: leaf, Incarnation: 77})
 			}
-			r.guard.Take(&feed.View{Bundle: r.feed.Current().Bundle, Crashes: crashes, Received: time.Now()})
+			r.guard.ApplyView(&feed.View{Bundle: r.feed.Current().Bundle, Crashes: crashes, Received: time.Now()})
 		}
 		key := quarantine.SearchKey(service.Name, "innocent", 1, 1)
 		tell(key.Digest)
@@ -254,7 +254,7 @@
 		is := is.New(t)
 		service, fleet := groups(1)
 		r := newRig("az-a", service, fleet, nil)
-		r.guard.Look()
+		r.guard.Refresh()
 		time.Sleep(time.Second)
 		var crashes []*pb.Crash
 		for _, down := range []string{"leaf-0-b", "leaf-0-c"} {
@@ -262,9 +262,9 @@
 			crashes = append(crashes, &pb.Crash{RequestDigest: 99, Leaf: down, Incarnation: s.Incarnation})
 			fleet.crash(down, s.Incarnation, "another")
 		}
-		r.guard.Take(&feed.View{Bundle: r.feed.Current().Bundle, Crashes: crashes, Received: time.Now()})
+		r.guard.ApplyView(&feed.View{Bundle: r.feed.Current().Bundle, Crashes: crashes, Received: time.Now()})
 		time.Sleep(500 * time.Millisecond) // the other request is in quarantine by now
-		r.guard.Look()
+		r.guard.Refresh()
 		first, _ := fleet.State("leaf-0-a")
 		time.AfterFunc(serviceTime/2, func() { fleet.crash("leaf-0-a", first.Incarnation, "another") })
 		time.AfterFunc(300*time.Millisecond, func() { fleet.revive("leaf-0-b") })
--- a/internal/search/gate_test.go
+++ b/internal/search/gate_test.go
@@ -189,9 +189,9 @@
 			s, _ := fleet.State(leaf)
 			fleet.crash(leaf, s.Incarnation, "another")
 		}
-		r.guard.Look()
+		r.guard.Refresh()
 		time.Sleep(2 * fleet.restart)
-		r.guard.Look()
+		r.guard.Refresh()
 		var wg sync.WaitGroup
 		for i := range 3 * leastSlots(service) {
 			wg.Go(func() {
--- a/internal/search/known_test.go
+++ b/internal/search/known_test.go
@@ -227,7 +227,7 @@
 				}
 				delay := draw()
 				time.AfterFunc(delay, func() {
-					to.guard.Take(&feed.View{Crashes: []*pb.Crash{c}, Received: time.Now().Add(-delay)})
+					to.guard.ApplyView(&feed.View{Crashes: []*pb.Crash{c}, Received: time.Now().Add(-delay)})
 				})
 			}
 		}
--- a/internal/search/run.go
+++ b/internal/search/run.go
@@ -85,7 +85,7 @@
 
 // admit refuses a quarantined request, and sets whether the rest runs on one leaf first.
 func (r *run) admit() *outcome.Error {
-	standing, after := r.e.guard.Standing(r.key)
+	standing, after := r.e.guard.Status(r.key)
 	r.e.metrics.standings.WithLabelValues(r.q.service.Name, standing.String()).Inc()
 	switch standing {
 	case quarantine.Quarantined:
@@ -171,7 +171,7 @@
 	if r.outlived.Swap(true) {
 		return
 	}
-	r.e.guard.Prove(r.key)
+	r.e.guard.RecordAnswer(r.key)
 	r.idle(false)
 	r.trial = nil
 	r.released = true
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -87,7 +87,7 @@
 					tt.kind = "dawn"
 				}
 				if tt.proven {
-					r.guard.Prove(quarantine.SearchKey("teachers", "algebra", 1, 10))
+					r.guard.RecordAnswer(quarantine.SearchKey("teachers", "algebra", 1, 10))
 					r.replicas.retries = 0
 				}
 				start := time.Now()
--- a/internal/search/sim_test.go
+++ b/internal/search/sim_test.go
@@ -96,7 +96,7 @@
 	f := &fakeFeed{view: &feed.View{Zone: fmt.Sprintf("az-%c", 'a'+i%simZones), Bundle: b}, hear: func(*pb.Crash) {}}
 	reg := prometheus.NewRegistry()
 	guard := quarantine.New(quarantine.DefaultSettings(), f, s.fleet.State, time.Now, quarantine.NewMetrics(reg))
-	guard.Take(f.view)
+	guard.ApplyView(f.view)
 	replicas := balance.New(time.Now, float)
 	for id, l := range s.service.Leaves {
 		replicas.SetCapacity(id, l.Slots, simGathers)
--- a/internal/search/trial.go
+++ b/internal/search/trial.go
@@ -69,7 +69,7 @@
 // allowed looks at how the request stands by now: what other searches with the same text met may
 // have proven it, made it a suspect or put it in quarantine since.
 func (t *trial) allowed() bool {
-	switch standing, after := t.r.e.guard.Standing(t.r.key); standing {
+	switch standing, after := t.r.e.guard.Status(t.r.key); standing {
 	case quarantine.Quarantined:
 		t.r.refused = quarantined(after).At(t.peer)
 		return false
@@ -99,8 +99,8 @@
 			return nearFirst(free, own)
 		}
 	}
-	crashed := t.r.e.guard.CrashedAt(t.r.key.Digest)
-	absent := func(l string) bool { return t.place(l) == quarantine.PlaceAbsent && !slices.Contains(crashed, l) }
+	crashed := t.r.e.guard.CrashedLeaves(t.r.key.Digest)
+	absent := func(l string) bool { return t.place(l) == quarantine.LeafUnavailable && !slices.Contains(crashed, l) }
 	places := slices.Clone(t.fixed)
 	if t.active == 0 && (t.known || !t.solo) {
 		places = t.ranking.places(absent)
@@ -120,7 +120,7 @@
 	if t.active > 0 {
 		return nil
 	}
-	return t.ranking.places(func(l string) bool { return t.used[l] || t.place(l) != quarantine.PlaceFree })
+	return t.ranking.places(func(l string) bool { return t.used[l] || t.place(l) != quarantine.LeafEligible })
 }
 
 // unharmed drops the leaves that crashed with the request in flight, unless all did that have a place by rank.
@@ -135,14 +135,14 @@
 // place says how a leaf stands for the first run. Whether it is of use is looked at first: a leaf that crashes
 // between the two looks is found lost by the second and keeps its place, where the other way round it passed for
 // out of use and the next in rank was asked, and crashed, in its stead.
-func (t *trial) place(leaf string) quarantine.Place {
+func (t *trial) place(leaf string) quarantine.Eligibility {
 	usable := t.r.fleet.usable(leaf, t.r.plan.snapshot.Version)
-	p := t.r.e.guard.Place(leaf, t.r.key.Digest)
+	p := t.r.e.guard.Eligibility(leaf, t.r.key.Digest)
 	switch {
-	case p == quarantine.PlaceFree && !usable:
-		return quarantine.PlaceAbsent
-	case p == quarantine.PlaceAbsent && t.solo && t.r.e.guard.HeldFor(leaf, t.r.key.Digest) > 0:
-		return quarantine.PlaceHeld // no other may take its place, so it is waited for
+	case p == quarantine.LeafEligible && !usable:
+		return quarantine.LeafUnavailable
+	case p == quarantine.LeafUnavailable && t.solo && t.r.e.guard.WithheldFor(leaf, t.r.key.Digest) > 0:
+		return quarantine.LeafWithheld // no other may take its place, so it is waited for
 	}
 	return p
 }
@@ -155,9 +155,9 @@
 	for _, l := range candidates {
 		place := t.place(l.leaf)
 		switch {
-		case t.used[l.leaf], place == quarantine.PlaceAbsent:
-		case place == quarantine.PlaceHeld:
-			if time.Until(t.r.q.deadline) > t.r.e.guard.HeldFor(l.leaf, t.r.key.Digest) {
+		case t.used[l.leaf], place == quarantine.LeafUnavailable:
+		case place == quarantine.LeafWithheld:
+			if time.Until(t.r.q.deadline) > t.r.e.guard.WithheldFor(l.leaf, t.r.key.Digest) {
 				held = append(held, l.leaf)
 			}
 		case t.r.shards[l.shard].active > 0:
@@ -187,7 +187,7 @@
 			return false
 		}
 		leaf := call.Leaf()
-		if t.r.e.guard.Enter(leaf, t.solo) {
+		if t.r.e.guard.TryAcquire(leaf, t.solo) {
 			t.sent(byLeaf[leaf], call)
 			return true
 		}
@@ -241,7 +241,7 @@
 		reason = pb.Reason_REASON_QUARANTINED
 	}
 	if !blocked {
-		after = max(after, t.r.e.guard.Hold())
+		after = max(after, t.r.e.guard.WithholdPeriod())
 	}
 	t.r.refused = outcome.NotRun(reason, Step, "no leaf answered the first run of the request").At(t.peer).After(after)
 }
