--- a/internal/evidence/set.go
+++ b/internal/evidence/set.go
@@ -37,14 +37,14 @@
 	crashes    map[CrashKey]crash
 }
 
-// News names the evidence that a merge brought.
-type News struct {
+// Updates names the evidence that a merge brought.
+type Updates struct {
 	Departures []DepartureKey
 	Crashes    []CrashKey
 }
 
 // Empty tells whether there is none.
-func (n News) Empty() bool { return len(n.Departures) == 0 && len(n.Crashes) == 0 }
+func (n Updates) Empty() bool { return len(n.Departures) == 0 && len(n.Crashes) == 0 }
 
 // New returns an empty set.
 func New() *Set {
@@ -52,10 +52,10 @@
 }
 
 // Merge takes evidence of another process or VM. Evidence that has aged out is left out.
-func (s *Set) Merge(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) News {
+func (s *Set) Merge(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) Updates {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var news News
+	var news Updates
 	for _, d := range departures {
 		if key := KeyOfDeparture(d); s.mergeDeparture(key, departureOf(d, now), now) {
 			news.Departures = append(news.Departures, key)
--- a/internal/spread/news.go
+++ b/internal/spread/news.go
@@ -148,7 +148,7 @@
 }
 
 // addEvidence makes evidence new. Evidence without an incarnation is in no hash.
-func (n *news) addEvidence(e evidence.News) {
+func (n *news) addEvidence(e evidence.Updates) {
 	for _, k := range e.Departures {
 		n.add(newsKey{departure: k}, k.Incarnation != 0)
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -267,7 +267,7 @@
 func TestNewsIsKeptUntilEachZoneHasIt(t *testing.T) {
 	is := is.New(t)
 	n := newNews()
-	n.addEvidence(evidence.News{Departures: []evidence.DepartureKey{{Leaf: "leaf", Incarnation: 4}}})
+	n.addEvidence(evidence.Updates{Departures: []evidence.DepartureKey{{Leaf: "leaf", Incarnation: 4}}})
 	q := quota{sends: 3, zones: []string{"az-1", "az-2", "az-3"}}
 	for _, zone := range []string{"az-1", "az-1", "az-2"} {
 		n.known(false, true, zone, q)
