--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -13,9 +13,9 @@
 type Key struct {
 	// Digest of service and content, and for orders of the kind, is what crash evidence is kept by.
 	Digest uint64
-	// Proof is the digest of all that may change what a leaf does with the request: the content,
+	// FullDigest is the digest of all that may change what a leaf does with the request: the content,
 	// the snapshot and the number of hits. A request is proven by its Proof.
-	Proof uint64
+	FullDigest uint64
 }
 
 // SearchKey returns the key of a search. Its kind is not part of it: a leaf isn't told the kind, so
@@ -26,7 +26,7 @@
 	binary.LittleEndian.PutUint64(b[:], d)
 	binary.LittleEndian.PutUint64(b[8:], snapshot)
 	binary.LittleEndian.PutUint64(b[16:], uint64(topK))
-	return Key{Digest: d, Proof: xxhash.Sum64(b[:])}
+	return Key{Digest: d, FullDigest: xxhash.Sum64(b[:])}
 }
 
 // OrderDigest returns the digest of an order's content.
--- a/internal/quarantine/dump.go
+++ b/internal/quarantine/dump.go
@@ -10,13 +10,13 @@
 type dump struct {
 	Proven   int           `json:"proven"`
 	Suspects []dumpSuspect `json:"suspects"`
-	Held     []string      `json:"held_leaves"`
+	Withheld []string      `json:"held_leaves"`
 }
 
 type dumpSuspect struct {
 	// Digest as 16 hex digits; the content itself is never shown.
-	Digest   string `json:"digest"`
-	Standing string `json:"standing"`
+	Digest string `json:"digest"`
+	Status string `json:"standing"`
 	// Answered is true where a leaf has answered the request, here or by the word of another VM.
 	Answered bool        `json:"answered"`
 	Crashes  []dumpCrash `json:"crashes"`
@@ -34,25 +34,25 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	d := dump{Proven: r.proven.len(), Suspects: []dumpSuspect{}, Held: []string{}}
+	d := dump{Proven: r.proven.len(), Suspects: []dumpSuspect{}, Withheld: []string{}}
 	for _, s := range r.suspects {
-		d.Suspects = append(d.Suspects, r.showSuspect(s, now))
+		d.Suspects = append(d.Suspects, r.describeSuspect(s, now))
 	}
 	sort.Slice(d.Suspects, func(i, j int) bool { return d.Suspects[i].Digest < d.Suspects[j].Digest })
 	for id, l := range r.leaves {
-		if r.lostLately(l, now) {
-			d.Held = append(d.Held, id)
+		if r.lostRecently(l, now) {
+			d.Withheld = append(d.Withheld, id)
 		}
 	}
-	sort.Strings(d.Held)
+	sort.Strings(d.Withheld)
 	return d
 }
 
-func (r *Registry) showSuspect(s *suspect, now time.Time) dumpSuspect {
-	d := dumpSuspect{Digest: fmt.Sprintf("%016x", s.digest), Standing: r.stands(s, now).String(), Answered: r.known(s.digest)}
+func (r *Registry) describeSuspect(s *suspect, now time.Time) dumpSuspect {
+	d := dumpSuspect{Digest: fmt.Sprintf("%016x", s.digest), Status: r.statusOf(s, now).String(), Answered: r.contentAnswered(s.digest)}
 	for _, c := range s.crashes {
 		d.Crashes = append(d.Crashes, dumpCrash{
-			Leaf: c.leaf, Incarnation: c.incarnation, Age: now.Sub(c.at).Round(time.Millisecond).String(), Alone: c.alone,
+			Leaf: c.leaf, Incarnation: c.incarnation, Age: now.Sub(c.renewedAt).Round(time.Millisecond).String(), Alone: c.alone,
 		})
 	}
 	return d
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// settleEvery is how often lost connections are judged.
-	settleEvery = 20 * time.Millisecond
-	// lookEvery is how often the states of all leaves are compared with those seen before.
-	lookEvery = 100 * time.Millisecond
+	// lossResolutionInterval is how often lost connections are judged.
+	lossResolutionInterval = 20 * time.Millisecond
+	// refreshInterval is how often the states of all leaves are compared with those seen before.
+	refreshInterval = 100 * time.Millisecond
 )
 
 // Run takes in the evidence of the source's views, looks at the leaves and settles lost connections
 // until ctx ends.
 func (r *Registry) Run(ctx context.Context, source feed.Source) error {
-	settle, look := time.NewTicker(settleEvery), time.NewTicker(lookEvery)
-	defer settle.Stop()
-	defer look.Stop()
+	resolveTicker, refreshTicker := time.NewTicker(lossResolutionInterval), time.NewTicker(refreshInterval)
+	defer resolveTicker.Stop()
+	defer refreshTicker.Stop()
 	changed := source.Changed()
 	r.ApplyView(source.Current())
 	for {
@@ -30,19 +30,19 @@
 		case <-changed:
 			changed = source.Changed()
 			r.ApplyView(source.Current())
-		case <-look.C:
+		case <-refreshTicker.C:
 			r.Refresh()
-		case <-settle.C:
-			r.Settle()
+		case <-resolveTicker.C:
+			r.ResolveLosses()
 		}
 	}
 }
 
-// Settle judges the lost connections of which it isn't known yet whether the leaf crashed.
-func (r *Registry) Settle() {
+// ResolveLosses judges the lost connections of which it isn't known yet whether the leaf crashed.
+func (r *Registry) ResolveLosses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.settle(r.clock())
+	r.resolveLosses(r.clock())
 }
 
 // Refresh compares the leaves' states with those seen before, settles lost connections and drops what
@@ -52,15 +52,15 @@
 	defer r.mu.Unlock()
 	now := r.clock()
 	for id := range r.leaves {
-		r.sample(id, now)
+		r.observe(id, now)
 	}
-	r.settle(now)
+	r.resolveLosses(now)
 	for d, s := range r.suspects {
-		if r.agedOut(s, now) {
+		if r.expired(s, now) {
 			delete(r.suspects, d)
 		}
 	}
-	r.show(now)
+	r.updateGauges(now)
 }
 
 // ApplyView takes in the crash evidence and the leaves of a view.
@@ -69,38 +69,38 @@
 	defer r.mu.Unlock()
 	now := r.clock()
 	for _, c := range v.Crashes {
-		r.takeCrash(c, v.Received, now)
+		r.applyCrash(c, v.Received, now)
 	}
 	if v.Bundle == nil {
 		return
 	}
-	named := make(map[string]bool)
+	inBundle := make(map[string]bool)
 	for _, s := range v.Bundle.Services {
 		for id := range s.Leaves {
-			named[id] = true
+			inBundle[id] = true
 			r.leaf(id)
 		}
 	}
 	for id, l := range r.leaves {
-		if !named[id] && l.unproven == 0 {
+		if !inBundle[id] && l.unprovenInFlight == 0 {
 			delete(r.leaves, id)
 		}
 	}
 }
 
-func (r *Registry) takeCrash(c *pb.Crash, received, now time.Time) {
+func (r *Registry) applyCrash(c *pb.Crash, received, now time.Time) {
 	at := received.Add(-c.GetAge().AsDuration())
 	if now.Sub(at) > r.settings.Age.D() {
 		return
 	}
 	id := crashID{c.GetLeaf(), c.GetIncarnation()}
-	s := r.suspect(c.GetRequestDigest(), now)
-	if s.add(crash{crashID: id, at: at, alone: c.GetAlone()}, now) {
-		r.metrics.suspicions.WithLabelValues("heard").Inc()
+	s := r.suspectFor(c.GetRequestDigest(), now)
+	if s.addCrash(crash{crashID: id, renewedAt: at, alone: c.GetAlone()}, now) {
+		r.metrics.evidence.WithLabelValues("heard").Inc()
 	}
-	s.share(id, c.GetAnswered())
+	s.markShared(id, c.GetAnswered())
 	if c.GetAnswered() {
 		r.answered.add(s.digest, now)
 	}
-	r.vouch(s, now)
+	r.reportAnswer(s, now)
 }
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -8,17 +8,17 @@
 
 // Metrics of the duty.
 type Metrics struct {
-	suspicions *prometheus.CounterVec
-	crashes    prometheus.Counter
-	cleared    prometheus.Counter
-	suspects   *prometheus.GaugeVec
-	proven     prometheus.Gauge
+	evidence *prometheus.CounterVec
+	crashes  prometheus.Counter
+	cleared  prometheus.Counter
+	suspects *prometheus.GaugeVec
+	proven   prometheus.Gauge
 }
 
 // NewMetrics registers the metrics of the duty.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		suspicions: prometheus.NewCounterVec(prometheus.CounterOpts{
+		evidence: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "burdock_quarantine_evidence_total", Help: "Pieces of crash evidence taken in, by where they arose.",
 		}, []string{"from"}),
 		crashes: prometheus.NewCounter(prometheus.CounterOpts{
@@ -34,15 +34,15 @@
 			Name: "burdock_quarantine_proven", Help: "Requests remembered as answered.",
 		}),
 	}
-	reg.MustRegister(m.suspicions, m.crashes, m.cleared, m.suspects, m.proven)
+	reg.MustRegister(m.evidence, m.crashes, m.cleared, m.suspects, m.proven)
 	return m
 }
 
-// show sets the gauges. Requires mu.
-func (r *Registry) show(now time.Time) {
+// updateGauges sets the gauges. Requires mu.
+func (r *Registry) updateGauges(now time.Time) {
 	counts := make(map[Status]int)
 	for _, s := range r.suspects {
-		counts[r.stands(s, now)]++
+		counts[r.statusOf(s, now)]++
 	}
 	for _, st := range []Status{Suspect, Doubted, Quarantined} {
 		r.metrics.suspects.WithLabelValues(st.String()).Set(float64(counts[st]))
--- a/internal/quarantine/orders.go
+++ b/internal/quarantine/orders.go
@@ -12,8 +12,8 @@
 // Step names this duty in outcomes.
 const Step = "gather.quarantine"
 
-// errHeld says that the leaf was lost lately, or runs a suspect alone.
-var errHeld = errors.New("the leaf takes no unproven request now")
+// errWithheld says that the leaf was lost lately, or runs a suspect alone.
+var errWithheld = errors.New("the leaf takes no unproven request now")
 
 // OrderCaller is an upstream.Caller that keeps orders which crash leaves from reaching more of them.
 // Searches pass; the engine of searches asks the registry itself.
@@ -30,24 +30,24 @@
 // Execute sends an order unless its content is quarantined, or the leaf takes no unproven request
 // now. Nothing has been written then; the error holds the *outcome.Error of a quarantined one.
 func (c *OrderCaller) Execute(ctx context.Context, leaf string, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
-	d := OrderDigest(req.GetService(), req.GetKind(), req.GetKey(), req.GetPayload())
-	standing, after := c.registry.Status(Key{Digest: d, Proof: d})
-	if standing >= Doubted {
-		e := outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the order's content was in flight at several upstream crashes").After(after)
+	digest := OrderDigest(req.GetService(), req.GetKind(), req.GetKey(), req.GetPayload())
+	status, retryAfter := c.registry.Status(Key{Digest: digest, FullDigest: digest})
+	if status >= Doubted {
+		e := outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the order's content was in flight at several upstream crashes").After(retryAfter)
 		return nil, &upstream.CallError{Leaf: leaf, Err: e}
 	}
-	if standing != Proven && c.registry.Held(leaf, d) || !c.registry.TryAcquire(leaf, standing == Suspect) {
-		return nil, &upstream.CallError{Leaf: leaf, Err: errHeld}
+	if status != Proven && c.registry.Withheld(leaf, digest) || !c.registry.TryAcquire(leaf, status == Suspect) {
+		return nil, &upstream.CallError{Leaf: leaf, Err: errWithheld}
 	}
 	res, err := c.Caller.Execute(ctx, leaf, req)
 	alone := c.registry.Release(leaf)
-	c.note(ctx, d, leaf, err, alone)
+	c.recordResult(ctx, digest, leaf, err, alone)
 	return res, err
 }
 
-func (c *OrderCaller) note(ctx context.Context, digest uint64, leaf string, err error, alone bool) {
+func (c *OrderCaller) recordResult(ctx context.Context, digest uint64, leaf string, err error, alone bool) {
 	if err == nil {
-		c.registry.RecordAnswer(Key{Digest: digest, Proof: digest})
+		c.registry.RecordAnswer(Key{Digest: digest, FullDigest: digest})
 		return
 	}
 	var ce *upstream.CallError
--- a/internal/quarantine/proven.go
+++ b/internal/quarantine/proven.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// proven is a bounded set of requests that a leaf has answered, by their Proof or Digest; the longest
+// answeredSet is a bounded set of requests that a leaf has answered, by their Proof or Digest; the longest
 // unused is dropped first. It is not safe for concurrent use.
-type proven struct {
-	limit int
-	// order holds proofs, the latest used in front; elements finds them.
-	order    *list.List
+type answeredSet struct {
+	maxEntries int
+	// recency holds proofs, the latest used in front; elements finds them.
+	recency  *list.List
 	elements map[uint64]*list.Element
 }
 
-// proof is one request that a leaf answered.
-type proof struct {
+// answerRecord is one request that a leaf answered.
+type answerRecord struct {
 	id uint64
-	// at is when it was answered last.
-	at time.Time
-	// shaken is true where a connection was lost with it since.
-	shaken bool
+	// answeredAt is when it was answered last.
+	answeredAt time.Time
+	// connectionLost is true where a connection was lost with it since.
+	connectionLost bool
 }
 
-func newProven(limit int) *proven {
-	return &proven{limit: limit, order: list.New(), elements: make(map[uint64]*list.Element)}
+func newAnsweredSet(limit int) *answeredSet {
+	return &answeredSet{maxEntries: limit, recency: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
 // get returns the proof of a request, nil where no answer to it is remembered.
-func (p *proven) get(id uint64) *proof {
-	e, ok := p.elements[id]
+func (s *answeredSet) get(id uint64) *answerRecord {
+	e, ok := s.elements[id]
 	if !ok {
 		return nil
 	}
-	p.order.MoveToFront(e)
-	return e.Value.(*proof)
+	s.recency.MoveToFront(e)
+	return e.Value.(*answerRecord)
 }
 
-// has tells whether an answer to the request is remembered, without counting as a use.
-func (p *proven) has(id uint64) bool { return p.elements[id] != nil }
+// contains tells whether an answer to the request is remembered, without counting as a use.
+func (s *answeredSet) contains(id uint64) bool { return s.elements[id] != nil }
 
-func (p *proven) add(id uint64, now time.Time) {
-	if e, ok := p.elements[id]; ok {
-		*e.Value.(*proof) = proof{id: id, at: now}
-		p.order.MoveToFront(e)
+func (s *answeredSet) add(id uint64, now time.Time) {
+	if e, ok := s.elements[id]; ok {
+		*e.Value.(*answerRecord) = answerRecord{id: id, answeredAt: now}
+		s.recency.MoveToFront(e)
 		return
 	}
-	p.elements[id] = p.order.PushFront(&proof{id: id, at: now})
-	if p.order.Len() > p.limit {
-		p.forget(p.order.Back().Value.(*proof).id)
+	s.elements[id] = s.recency.PushFront(&answerRecord{id: id, answeredAt: now})
+	if s.recency.Len() > s.maxEntries {
+		s.remove(s.recency.Back().Value.(*answerRecord).id)
 	}
 }
 
-// shake notes that a connection was lost with the request.
-func (p *proven) shake(id uint64) {
-	if e, ok := p.elements[id]; ok {
-		e.Value.(*proof).shaken = true
+// markConnectionLost notes that a connection was lost with the request.
+func (s *answeredSet) markConnectionLost(id uint64) {
+	if e, ok := s.elements[id]; ok {
+		e.Value.(*answerRecord).connectionLost = true
 	}
 }
 
-func (p *proven) forget(id uint64) {
-	if e, ok := p.elements[id]; ok {
-		p.order.Remove(e)
-		delete(p.elements, id)
+func (s *answeredSet) remove(id uint64) {
+	if e, ok := s.elements[id]; ok {
+		s.recency.Remove(e)
+		delete(s.elements, id)
 	}
 }
 
-func (p *proven) len() int { return p.order.Len() }
+func (s *answeredSet) len() int { return s.recency.Len() }
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -33,45 +33,45 @@
 	Quarantined
 )
 
-var standingNames = [...]string{"proven", "unproven", "first_run", "suspect", "doubted", "quarantined"}
+var statusNames = [...]string{"proven", "unproven", "first_run", "suspect", "doubted", "quarantined"}
 
 // String returns the name used in metrics.
-func (s Status) String() string { return standingNames[s] }
+func (s Status) String() string { return statusNames[s] }
 
-// States returns what is known of a leaf; upstream.Caller has it.
-type States func(leaf string) (upstream.State, bool)
+// StateFunc returns what is known of a leaf; upstream.Caller has it.
+type StateFunc func(leaf string) (upstream.State, bool)
 
 // Registry holds the evidence of one gather and what it has heard of others'. It is safe for
 // concurrent use.
 type Registry struct {
-	settings Settings
-	reporter feed.Reporter
-	states   States
-	clock    func() time.Time
-	metrics  *Metrics
+	settings  Settings
+	reporter  feed.Reporter
+	leafState StateFunc
+	clock     func() time.Time
+	metrics   *Metrics
 
 	mu sync.Mutex
 	// suspects by digest, proven by Proof, answered by digest, unsure and the leaves of the gate are guarded by mu.
 	suspects map[uint64]*suspect
-	proven   *proven
-	answered *proven
-	// unsure holds losses of connections of which it isn't known yet whether the leaf crashed.
-	unsure []loss
-	leaves map[string]*leaf
+	proven   *answeredSet
+	answered *answeredSet
+	// unresolved holds losses of connections of which it isn't known yet whether the leaf crashed.
+	unresolved []loss
+	leaves     map[string]*leaf
 }
 
 // loss is a connection lost with an unproven request in flight.
 type loss struct {
 	digest uint64
 	crash
-	seen time.Time
+	notedAt time.Time
 }
 
 // New returns a registry without evidence.
-func New(s Settings, reporter feed.Reporter, states States, clock func() time.Time, m *Metrics) *Registry {
+func New(s Settings, reporter feed.Reporter, states StateFunc, clock func() time.Time, m *Metrics) *Registry {
 	return &Registry{
-		settings: s, reporter: reporter, states: states, clock: clock, metrics: m,
-		suspects: make(map[uint64]*suspect), proven: newProven(s.Remembered), answered: newProven(s.Remembered),
+		settings: s, reporter: reporter, leafState: states, clock: clock, metrics: m,
+		suspects: make(map[uint64]*suspect), proven: newAnsweredSet(s.Remembered), answered: newAnsweredSet(s.Remembered),
 		leaves: make(map[string]*leaf),
 	}
 }
@@ -83,26 +83,26 @@
 	defer r.mu.Unlock()
 	now := r.clock()
 	s := r.suspects[k.Digest]
-	if s != nil && r.agedOut(s, now) {
+	if s != nil && r.expired(s, now) {
 		delete(r.suspects, k.Digest)
 		s = nil
 	}
-	answer := r.proven.get(k.Proof)
-	var against []crash
+	answer := r.proven.get(k.FullDigest)
+	var crashes []crash
 	if s != nil {
-		against = s.since(answer)
-		switch r.verdict(s, against, now) {
+		crashes = s.crashesAfter(answer)
+		switch r.assess(s, crashes, now) {
 		case Quarantined:
 			r.renew(s, now)
 			return Quarantined, r.settings.Age.D()
 		case Doubted:
-			return Doubted, doubtFor
+			return Doubted, doubtPeriod
 		}
 	}
 	switch {
-	case len(against) > 0:
+	case len(crashes) > 0:
 		return Suspect, 0
-	case answer != nil && !answer.shaken:
+	case answer != nil && !answer.connectionLost:
 		return Proven, 0
 	case r.settings.FirstRun == ModeAlways, r.settings.FirstRun == ModeEvidence && len(r.suspects) > 0:
 		return FirstRun, 0
@@ -115,52 +115,52 @@
 func (r *Registry) Answered(k Key) (same, content bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.proven.has(k.Proof), r.known(k.Digest)
+	return r.proven.contains(k.FullDigest), r.contentAnswered(k.Digest)
 }
 
-// known tells whether a leaf has answered the content, for any snapshot or number of hits, here or by the word of
+// contentAnswered tells whether a leaf has answered the content, for any snapshot or number of hits, here or by the word of
 // another VM.
-func (r *Registry) known(digest uint64) bool { return r.answered.has(digest) }
+func (r *Registry) contentAnswered(digest uint64) bool { return r.answered.contains(digest) }
 
-func (r *Registry) agedOut(s *suspect, now time.Time) bool {
-	return now.Sub(s.latest()) > r.settings.Age.D()
+func (r *Registry) expired(s *suspect, now time.Time) bool {
+	return now.Sub(s.newestEvidenceAt()) > r.settings.Age.D()
 }
 
 // renew makes the evidence young again, here at once and at the other VMs now and then, so that a
 // request that keeps coming stays refused.
 func (r *Registry) renew(s *suspect, now time.Time) {
 	for i := range s.crashes {
-		s.crashes[i].at = now
+		s.crashes[i].renewedAt = now
 	}
-	if now.Sub(s.renewed) < r.settings.Age.D()/renewals {
+	if now.Sub(s.lastRenewalReportedAt) < r.settings.Age.D()/renewalReportsPerAge {
 		return
 	}
-	s.renewed = now
+	s.lastRenewalReportedAt = now
 	for _, c := range s.crashes {
-		r.tell(s.digest, c, now)
+		r.reportCrash(s.digest, c, now)
 	}
 }
 
-// renewals is how often in the age of evidence it is told again.
-const renewals = 4
+// renewalReportsPerAge is how often in the age of evidence it is told again.
+const renewalReportsPerAge = 4
 
-func (r *Registry) tell(digest uint64, c crash, now time.Time) {
-	answered := r.known(digest)
+func (r *Registry) reportCrash(digest uint64, c crash, now time.Time) {
+	answered := r.contentAnswered(digest)
 	r.reporter.ReportCrash(crashMessage(digest, c, answered, now))
 	if s := r.suspects[digest]; s != nil {
-		s.share(c.crashID, answered)
+		s.markShared(c.crashID, answered)
 	}
 }
 
-// vouch tells the other VMs, once for each crash that they have, that a leaf has answered the request: one that
+// reportAnswer tells the other VMs, once for each crash that they have, that a leaf has answered the request: one that
 // is new to them would be refused there for crashes that another one caused.
-func (r *Registry) vouch(s *suspect, now time.Time) {
-	if !r.known(s.digest) {
+func (r *Registry) reportAnswer(s *suspect, now time.Time) {
+	if !r.contentAnswered(s.digest) {
 		return
 	}
 	for _, c := range s.crashes {
-		if c.shared && !c.vouched {
-			r.tell(s.digest, c, now)
+		if c.shared && !c.answerReported {
+			r.reportCrash(s.digest, c, now)
 		}
 	}
 }
@@ -186,10 +186,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	r.proven.add(k.Proof, now)
+	r.proven.add(k.FullDigest, now)
 	r.answered.add(k.Digest, now)
 	if s := r.suspects[k.Digest]; s != nil {
-		r.vouch(s, now)
+		r.reportAnswer(s, now)
 	}
 }
 
@@ -198,7 +198,7 @@
 func (r *Registry) RecordProvenLoss(k Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.proven.shake(k.Proof)
+	r.proven.markConnectionLost(k.FullDigest)
 }
 
 // RecordUnprovenLoss notes that a request which no leaf has answered was in flight when the connection to
@@ -208,45 +208,45 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	r.lose(leaf, incarnation, now)
-	r.accuse(digest, crash{crashID: crashID{leaf, incarnation}, at: now, alone: alone}, now)
+	r.recordLoss(leaf, incarnation, now)
+	r.addLoss(digest, crash{crashID: crashID{leaf, incarnation}, renewedAt: now, alone: alone}, now)
 }
 
-// accuse counts a loss against a request until it is known whether the leaf crashed.
-func (r *Registry) accuse(digest uint64, c crash, now time.Time) {
-	if !r.suspect(digest, now).add(c, now) {
+// addLoss counts a loss against a request until it is known whether the leaf crashed.
+func (r *Registry) addLoss(digest uint64, c crash, now time.Time) {
+	if !r.suspectFor(digest, now).addCrash(c, now) {
 		return
 	}
-	r.metrics.suspicions.WithLabelValues("own").Inc()
-	r.unsure = append(r.unsure, loss{digest: digest, crash: c, seen: now})
-	r.settle(now)
+	r.metrics.evidence.WithLabelValues("own").Inc()
+	r.unresolved = append(r.unresolved, loss{digest: digest, crash: c, notedAt: now})
+	r.resolveLosses(now)
 }
 
 // RecordConnectionLoss notes that a connection to the leaf broke.
 func (r *Registry) RecordConnectionLoss(leaf string, incarnation uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lose(leaf, incarnation, r.clock())
+	r.recordLoss(leaf, incarnation, r.clock())
 }
 
-// suspect returns the entry of a digest, made where there is none.
-func (r *Registry) suspect(digest uint64, now time.Time) *suspect {
+// suspectFor returns the entry of a digest, made where there is none.
+func (r *Registry) suspectFor(digest uint64, now time.Time) *suspect {
 	s := r.suspects[digest]
-	if s != nil && !r.agedOut(s, now) {
+	if s != nil && !r.expired(s, now) {
 		return s
 	}
 	if len(r.suspects) >= maxSuspects {
-		r.dropOldest()
+		r.evictOldestSuspect()
 	}
 	s = &suspect{digest: digest}
 	r.suspects[digest] = s
 	return s
 }
 
-func (r *Registry) dropOldest() {
+func (r *Registry) evictOldestSuspect() {
 	var oldest *suspect
 	for _, s := range r.suspects {
-		if oldest == nil || s.latest().Before(oldest.latest()) {
+		if oldest == nil || s.newestEvidenceAt().Before(oldest.newestEvidenceAt()) {
 			oldest = s
 		}
 	}
@@ -258,6 +258,6 @@
 func crashMessage(digest uint64, c crash, answered bool, now time.Time) *pb.Crash {
 	return &pb.Crash{
 		RequestDigest: digest, Leaf: c.leaf, Incarnation: c.incarnation,
-		Age: durationpb.New(now.Sub(c.at)), Alone: c.alone, Answered: answered,
+		Age: durationpb.New(now.Sub(c.renewedAt)), Alone: c.alone, Answered: answered,
 	}
 }
--- a/internal/quarantine/settings.go
+++ b/internal/quarantine/settings.go
@@ -36,15 +36,15 @@
 	// crashesToQuarantine is at how many distinct crashes a request is refused, unless another
 	// request explains them.
 	crashesToQuarantine = 2
-	// crashesToRefuseKnown is at how many crashes since its last answer, which no other request explains, one
+	// crashesToQuarantineAnswered is at how many crashes since its last answer, which no other request explains, one
 	// is refused that a leaf has answered.
-	crashesToRefuseKnown = 3
-	// doubtFor is how long after a second crash evidence against another request is waited for.
-	doubtFor = 300 * time.Millisecond
+	crashesToQuarantineAnswered = 3
+	// doubtPeriod is how long after a second crash evidence against another request is waited for.
+	doubtPeriod = 300 * time.Millisecond
 	// maxSuspects bounds the requests that crash evidence is kept of.
 	maxSuspects = 4096
-	// maxEvidence bounds the crashes kept of one request.
-	maxEvidence = 8
+	// maxCrashesPerRequest bounds the crashes kept of one request.
+	maxCrashesPerRequest = 8
 )
 
 // DefaultSettings returns the defaults.
@@ -59,8 +59,8 @@
 
 // Check refuses values out of range.
 func (s Settings) Check(c *settings.Checker) {
-	known := s.FirstRun == ModeAlways || s.FirstRun == ModeEvidence || s.FirstRun == ModeNever
-	c.Require(known, "quarantine.first_run", "want always, evidence or never, got %q", s.FirstRun)
+	valid := s.FirstRun == ModeAlways || s.FirstRun == ModeEvidence || s.FirstRun == ModeNever
+	c.Require(valid, "quarantine.first_run", "want always, evidence or never, got %q", s.FirstRun)
 	c.Require(s.Age.D() >= time.Second && s.Age.D() <= 24*time.Hour, "quarantine.age", "want 1s to 24h, got %s", s.Age.D())
 	c.Require(s.Hold.D() >= 0 && s.Hold.D() <= time.Minute, "quarantine.hold", "want 0s to 1m, got %s", s.Hold.D())
 	c.Require(s.Remembered >= 1 && s.Remembered <= 1<<22, "quarantine.remembered", "want 1 to 4194304, got %d", s.Remembered)
