--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps a request that crashes the upstreams that run it from doing so more
-// than a few times in the whole fleet. A text that no leaf has answered yet runs on one leaf first;
-// one that was in flight at two crashes is refused.
+// Package quarantine limits how many upstreams one request can crash across the whole fleet to a few.
+// Content that no leaf has answered yet runs on one leaf first. Content that was in flight at two
+// crashes is refused.
 package quarantine
 
 import (
@@ -9,17 +9,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names a request by its content.
+// Key identifies a request by its content.
 type Key struct {
-	// Digest of service and content, and for orders of the kind, is what crash evidence is kept by.
+	// Digest covers the service and the content, and for orders also the kind. Crash evidence is
+	// indexed by it.
 	Digest uint64
-	// FullDigest is the digest of all that may change what a leaf does with the request: the content,
-	// the snapshot and the number of hits. A request is proven by its Proof.
+	// FullDigest covers everything that can change what a leaf does with the request: the content,
+	// the snapshot and the number of hits. A request counts as proven by its FullDigest.
 	FullDigest uint64
 }
 
-// SearchKey returns the key of a search. Its kind is not part of it: a leaf isn't told the kind, so
-// the same text under another kind does the same to it.
+// SearchKey returns the key of a search. The kind is not part of the key: leaves do not receive it,
+// so the same text has the same effect on a leaf under any kind.
 func SearchKey(service, query string, snapshot uint64, topK int) Key {
 	d := digest(service, query)
 	var b [24]byte
@@ -29,12 +30,12 @@
 	return Key{Digest: d, FullDigest: xxhash.Sum64(b[:])}
 }
 
-// OrderDigest returns the digest of an order's content.
+// OrderDigest returns the digest of an order's service, kind, key and payload.
 func OrderDigest(service, kind, key, payload string) uint64 {
 	return digest(service, kind, key, payload)
 }
 
-// digest hashes the parts, each behind its length.
+// digest hashes the parts, each prefixed with its length.
 func digest(parts ...string) uint64 {
 	h := xxhash.New()
 	var n [8]byte
@@ -46,7 +47,8 @@
 	return h.Sum64()
 }
 
-// Rank orders names for a digest by rendezvous hashing: every process ranks alike.
+// Rank returns the rank of a name for a digest by rendezvous hashing, so that every process computes
+// the same ranking.
 func Rank(digest uint64, name string) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], digest)
--- a/internal/quarantine/dump.go
+++ b/internal/quarantine/dump.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// dump is the state that Dump shows.
+// dump is the state returned by Dump.
 type dump struct {
 	Proven   int           `json:"proven"`
 	Suspects []dumpSuspect `json:"suspects"`
@@ -14,10 +14,10 @@
 }
 
 type dumpSuspect struct {
-	// Digest as 16 hex digits; the content itself is never shown.
+	// Digest is written as 16 hex digits. The content itself is never shown.
 	Digest string `json:"digest"`
 	Status string `json:"standing"`
-	// Answered is true where a leaf has answered the request, here or by the word of another VM.
+	// Answered is true if a leaf has answered the request to this VM or another VM has reported an answer.
 	Answered bool        `json:"answered"`
 	Crashes  []dumpCrash `json:"crashes"`
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// crashID names one crash; the same crash seen by several VMs counts once.
+// crashID identifies one crash. A crash that several VMs observe has one ID and counts once.
 type crashID struct {
 	leaf        string
 	incarnation uint64
@@ -14,26 +14,29 @@
 // crash is evidence that a request was in flight at a crash.
 type crash struct {
 	crashID
-	// renewedAt is when it arose or was last renewed, by the local clock; arose is as it was first heard of.
+	// renewedAt is when the crash occurred or its evidence was last renewed, by the local clock.
+	// occurredAt is the time of the crash as first recorded here; renewals do not change it.
 	renewedAt, occurredAt time.Time
-	// alone is true where no other unproven request was in flight there from the VM that saw it.
+	// alone is true if the observing VM had no other unproven request in flight at the leaf.
 	alone bool
-	// shared is true where the other VMs have it, and vouched where they have the word besides that a leaf has
-	// answered the request.
+	// shared is true if the other VMs have this evidence. answerReported is true if they also have the
+	// report that a leaf has answered the request.
 	shared, answerReported bool
 }
 
-// suspect is what is known against one request.
+// suspect is the crash evidence against one request.
 type suspect struct {
 	digest  uint64
 	crashes []crash
-	// lastCrashLearnedAt is when the newest crash was heard of.
+	// lastCrashLearnedAt is when the last crash was added to crashes.
 	lastCrashLearnedAt time.Time
-	// lastRenewalReportedAt is when evidence was last told to the other VMs again because the request came again.
+	// lastRenewalReportedAt is when the evidence was last reported again to the other VMs because the
+	// request was sent again.
 	lastRenewalReportedAt time.Time
 }
 
-// addCrash takes in a crash and tells whether it is news. Of one crash the youngest age counts.
+// addCrash adds a crash and reports whether it was new. If the crash is already recorded, the later
+// of the two times is kept. Above maxCrashesPerRequest the crash is ignored.
 func (s *suspect) addCrash(c crash, now time.Time) bool {
 	for i := range s.crashes {
 		if s.crashes[i].crashID == c.crashID {
@@ -52,8 +55,8 @@
 	return true
 }
 
-// crashesAfter returns the crashes that arose after an answer to the request, all where answer is nil: a leaf that
-// answers has outlived what it was in flight at before.
+// crashesAfter returns the crashes that occurred after the last answer to the request, or all crashes
+// if answer is nil. An answer refutes the earlier crashes, because the leaf survived the request.
 func (s *suspect) crashesAfter(answer *answerRecord) []crash {
 	if answer == nil {
 		return s.crashes
@@ -67,12 +70,13 @@
 	return later
 }
 
-// hasCrash tells whether the request was in flight at the crash.
+// hasCrash reports whether the request was in flight at the crash.
 func (s *suspect) hasCrash(id crashID) bool {
 	return slices.ContainsFunc(s.crashes, func(c crash) bool { return c.crashID == id })
 }
 
-// newestEvidenceAt returns when the youngest evidence arose.
+// newestEvidenceAt returns the latest time at which any of the evidence occurred or was renewed, or
+// the zero time if there is none.
 func (s *suspect) newestEvidenceAt() time.Time {
 	var t time.Time
 	for i := range s.crashes {
@@ -83,7 +87,7 @@
 	return t
 }
 
-// hasAllCrashes tells whether the request was in flight at each of the crashes.
+// hasAllCrashes reports whether the request was in flight at each of the crashes.
 func (s *suspect) hasAllCrashes(crashes []crash) bool {
 	for _, c := range crashes {
 		if !s.hasCrash(c.crashID) {
@@ -93,16 +97,17 @@
 	return true
 }
 
-// markShared notes that the other VMs have the crash, and with it the word of an answer or not.
-func (s *suspect) markShared(id crashID, vouched bool) {
+// markShared records that the other VMs have the crash and, if answerReported is set, also the report
+// that the request was answered.
+func (s *suspect) markShared(id crashID, answerReported bool) {
 	for i := range s.crashes {
 		if c := &s.crashes[i]; c.crashID == id {
-			c.shared, c.answerReported = true, c.answerReported || vouched
+			c.shared, c.answerReported = true, c.answerReported || answerReported
 		}
 	}
 }
 
-// removeCrash removes a crash that proved to be none.
+// removeCrash removes a connection loss that turned out not to be a crash.
 func (s *suspect) removeCrash(id crashID) {
 	kept := s.crashes[:0]
 	for _, c := range s.crashes {
--- a/internal/quarantine/leaves.go
+++ b/internal/quarantine/leaves.go
@@ -7,50 +7,56 @@
 )
 
 const (
-	// lossResolutionTimeout is how long a lost connection may be that of a crash before the leaf's unchanged
-	// incarnation clears the request, where no new connection has shown it before.
+	// lossResolutionTimeout is how long a lost connection may count as a possible crash. After it the
+	// request is cleared if the leaf's incarnation has not changed. A new connection that shows the same
+	// incarnation clears the request earlier.
 	lossResolutionTimeout = time.Second
-	// evidencePropagationTime is how long after a loss it is known here which requests were in flight at it anywhere: a gather needs up
-	// to 300 ms to be sure of a crash, and word of it 800 ms to spread.
+	// evidencePropagationTime is how long after a loss this VM knows which requests were in flight at it
+	// on any VM: a gather needs up to 300 ms to confirm a crash, and the evidence 800 ms to spread.
 	evidencePropagationTime = 1100 * time.Millisecond
-	// abandonedWindow is how long a request that was given up unanswered may still bring its leaf down.
+	// abandonedWindow is how long a request that was given up unanswered may still crash its leaf.
 	abandonedWindow = time.Second
-	// reconnectGracePeriod is how long a leaf without a usable connection may be just reconnecting.
+	// reconnectGracePeriod is how long a leaf without a usable connection counts as reconnecting rather
+	// than lost.
 	reconnectGracePeriod = 150 * time.Millisecond
-	// partitionWithholdPeriod is the hold of a leaf that was out of reach for long. Syncs that meet again compare
-	// all their evidence once it has differed for 2 s, one exchange after the other, each up to 3 s.
+	// partitionWithholdPeriod is how long a leaf is withheld after it was unreachable for a long time.
+	// Syncs that reconnect after a partition compare all their evidence once it has differed for 2 s.
+	// They run one exchange at a time, each taking up to 3 s.
 	partitionWithholdPeriod = 10 * time.Second
-	// maxAbandonedPerLeaf bounds what is remembered of one leaf.
+	// maxAbandonedPerLeaf bounds the abandoned calls remembered for one leaf.
 	maxAbandonedPerLeaf = 64
 )
 
-// leaf is what the registry knows of one leaf.
+// leaf is the registry's state for one leaf.
 type leaf struct {
-	// incarnation last seen, 0 before the first; connected as last seen.
+	// incarnation is the one last seen, 0 if none has been seen. connected is whether the leaf had a
+	// usable connection when last observed.
 	incarnation uint64
 	connected   bool
-	// leaving as seen while it was last connected.
+	// leaving is whether the leaf announced its departure while it was last connected.
 	leaving bool
-	// trackedSince is since when the leaf is known here.
+	// trackedSince is when this registry first tracked the leaf.
 	trackedSince time.Time
-	// disconnectedAt is since when no connection has been usable, zero while one is or the loss is noted.
+	// disconnectedAt is since when no connection has been usable. It is zero while one is usable and
+	// once the loss has been recorded.
 	disconnectedAt time.Time
-	// lostAt is when it was last lost without having said that it leaves.
+	// lostAt is when the leaf was last lost without having announced its departure.
 	lostAt time.Time
-	// lostIncarnation is the one that was lost, goneAt is when that was first noted, heldUntil is until when the leaf
-	// takes no first run.
+	// lostIncarnation is the incarnation that was lost. lossFirstNotedAt is when that loss was first
+	// recorded. Until withheldUntil the leaf takes no first run.
 	lostIncarnation  uint64
 	lossFirstNotedAt time.Time
 	withheldUntil    time.Time
-	// unprovenInFlight counts the unproven requests in flight there from this gather; solo is true where
-	// the one in flight must stay alone.
+	// unprovenInFlight counts this gather's unproven requests in flight at the leaf. exclusive is true
+	// if the one in flight admits no other beside it.
 	unprovenInFlight int
 	exclusive        bool
-	// abandoned are the unproven requests given up lately, oldest first.
+	// abandoned lists the unproven calls given up recently, oldest first.
 	abandoned []abandonedCall
 }
 
-// abandonedCall is an unproven request that was given up before the leaf answered, and may run on there.
+// abandonedCall is an unproven request that was given up before the leaf answered and that may still
+// run there.
 type abandonedCall struct {
 	digest      uint64
 	incarnation uint64
@@ -66,11 +72,12 @@
 	return l
 }
 
-// recordLoss notes that a leaf was lost. Requests that may still have run there become suspects.
+// recordLoss records that a leaf was lost and withholds it from first runs. Abandoned requests that
+// may still have run there become suspects. Requires mu.
 func (r *Registry) recordLoss(id string, incarnation uint64, now time.Time) {
 	l := r.leaf(id)
 	if now.After(l.withheldUntil) {
-		l.lossFirstNotedAt = time.Time{} // another loss than the one before
+		l.lossFirstNotedAt = time.Time{} // a new loss, not a repeated record of the previous one
 	}
 	l.noteLoss(incarnation, now)
 	l.disconnectedAt = time.Time{}
@@ -84,7 +91,8 @@
 	}
 }
 
-// RecordAbandoned notes that an unproven request was given up before the leaf answered it.
+// RecordAbandoned records that an unproven request was given up before the leaf answered it. If the
+// incarnation is 0, the one last seen is recorded.
 func (r *Registry) RecordAbandoned(digest uint64, id string, incarnation uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,22 +106,24 @@
 	l.abandoned = append(l.abandoned, abandonedCall{digest: digest, incarnation: incarnation, at: r.clock()})
 }
 
-// Eligibility says whether a leaf may be asked first.
+// Eligibility says whether a leaf may take the first run of a request.
 type Eligibility int
 
 const (
-	// PlaceFree: it may be asked.
+	// LeafEligible means that the leaf may take the first run.
 	LeafEligible Eligibility = iota
-	// PlaceHeld: it was lost so lately that the request may be the cause and evidence of it is still
-	// on its way. It keeps its place without being asked, so that the next in rank isn't crashed in
-	// its stead.
+	// LeafWithheld means that the leaf was lost so recently that the request may be the cause, with
+	// the evidence still spreading. The leaf keeps its place in the ranking but gets no call, so that
+	// the next in rank is not crashed instead.
 	LeafWithheld
-	// PlaceAbsent: it is out of use for another cause; the next in rank takes its place.
+	// LeafUnavailable means that the leaf is out of use for another reason. The next in rank takes its
+	// place.
 	LeafUnavailable
 )
 
-// Eligibility says how a leaf stands for the first run of a request. A loss that a quarantined request
-// explains holds it back from others only until it is known which of them were in flight at it, too.
+// Eligibility returns whether the leaf may take the first run of the request. If a quarantined request
+// explains the leaf's loss, the leaf is withheld from other requests only until it is known which of
+// them were also in flight at the loss.
 func (r *Registry) Eligibility(id string, digest uint64) Eligibility {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,8 +131,9 @@
 	return e
 }
 
-// WithheldFor returns for how long at most the leaf keeps its place without being asked. Where the place is absent, it is
-// how much longer the leaf counts as lost so lately that it may be about to come back; else 0 for one that isn't held.
+// WithheldFor returns how much longer at most the leaf is withheld from the request, or 0 if it is
+// eligible. For an unavailable leaf it returns how much longer the leaf counts as lost so recently that
+// it may be about to return.
 func (r *Registry) WithheldFor(id string, digest uint64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,7 +145,7 @@
 	return remaining
 }
 
-// eligibility returns for a held place besides for how long at most it is so. Requires mu.
+// eligibility also returns how much longer at most a withheld leaf stays so. Requires mu.
 func (r *Registry) eligibility(id string, digest uint64, now time.Time) (Eligibility, time.Duration) {
 	r.observe(id, now)
 	l := r.leaf(id)
@@ -150,8 +161,8 @@
 	return LeafEligible, 0
 }
 
-// withheldFor returns how much longer a leaf that was lost, or may have been, takes no first run of a request. Requires
-// mu.
+// withheldFor returns how much longer a leaf that was lost, or may have been, takes no first run of a
+// request. Requires mu.
 func (r *Registry) withheldFor(id string, l *leaf, digest uint64, now time.Time) time.Duration {
 	hold := r.settings.Hold.D()
 	switch {
@@ -165,8 +176,8 @@
 	return 0
 }
 
-// disconnectedSince returns from when on a leaf without a connection counts as away: since it went, or since it
-// is watched where it was never seen.
+// disconnectedSince returns since when a leaf without a connection counts as disconnected: since its
+// connections broke, or since it is tracked if it was never seen connected.
 func (l *leaf) disconnectedSince() time.Time {
 	if !l.disconnectedAt.IsZero() {
 		return l.disconnectedAt
@@ -174,8 +185,9 @@
 	return l.trackedSince
 }
 
-// Withheld tells whether the leaf takes no unproven order now for a loss that the order may have caused. One that a
-// quarantined request explains doesn't hold an order back, which goes to one leaf only in any case.
+// Withheld reports whether the leaf takes no unproven order now because of a loss that the order may
+// have caused. A loss that a quarantined request explains does not withhold the leaf from orders, since
+// an order goes to one leaf only in any case.
 func (r *Registry) Withheld(id string, digest uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,14 +200,14 @@
 	return now.Before(l.withheldUntil)
 }
 
-// explainedLoss tells whether the leaf was lost lately at a crash that another, quarantined request explains.
-// Requires mu.
+// explainedLoss reports whether the leaf was lost recently at a crash that another, quarantined request
+// explains. Requires mu.
 func (r *Registry) explainedLoss(id string, l *leaf, digest uint64, now time.Time) bool {
 	return r.lostRecently(l, now) && r.explained(crashID{id, l.lostIncarnation}, digest)
 }
 
-// explained tells whether a quarantined request other than that of the digest was in flight at the
-// crash.
+// explained reports whether a quarantined request with another digest was in flight at the crash.
+// Requires mu.
 func (r *Registry) explained(id crashID, digest uint64) bool {
 	for _, s := range r.suspects {
 		if s.digest != digest && s.hasCrash(id) && r.statusOf(s, r.clock()) == Quarantined {
@@ -205,9 +217,10 @@
 	return false
 }
 
-// observe compares a leaf's state with the one seen before and notes a loss. A leaf was lost where it
-// came back as another incarnation, or stays away, and had not said before that it leaves. What is
-// said after its connections broke doesn't count: a refused connection is taken for leaving, too.
+// observe compares a leaf's state with the previous one and records a loss. A leaf is lost if it
+// returns with another incarnation or stays disconnected without having announced its departure.
+// A departure announced only after the connections broke does not count, because a refused connection
+// also sets Leaving. Requires mu.
 func (r *Registry) observe(id string, now time.Time) {
 	s, known := r.leafState(id)
 	if !known {
@@ -227,7 +240,7 @@
 	}
 }
 
-// observeConnected takes in the state of a leaf with a usable connection.
+// observeConnected applies the state of a leaf with a usable connection. Requires mu.
 func (r *Registry) observeConnected(id string, l *leaf, s upstream.State, now time.Time) {
 	replaced := l.incarnation != 0 && s.Incarnation != 0 && s.Incarnation != l.incarnation
 	if replaced && !l.leaving {
@@ -251,9 +264,10 @@
 	l.connected, l.leaving, l.disconnectedAt = true, s.Leaving, time.Time{}
 }
 
-// withholdReturned keeps a leaf that came back, as another incarnation or one that isn't shown yet, from first
-// runs. It may have crashed just now, so the hold counts from now. Where it was out of reach for
-// longer than evidence takes, its crash may have been seen on the other side of a cut only.
+// withholdReturned withholds from first runs a leaf that returned with another incarnation or with one
+// it has not shown yet. The leaf may have crashed just now, so the period starts now. If it was
+// unreachable for longer than evidence takes to spread, its crash may have been observed only on the
+// other side of a partition, and the period is at least partitionWithholdPeriod.
 func (r *Registry) withholdReturned(l *leaf, now time.Time) {
 	hold := r.settings.Hold.D()
 	if !l.connected && now.Sub(l.lostAt) > hold {
@@ -263,7 +277,8 @@
 	l.extendWithholding(now.Add(hold))
 }
 
-// noteLoss notes the loss of an incarnation, which may be noted again when the leaf comes back.
+// noteLoss records the loss of an incarnation. The same loss may be recorded again when the leaf
+// returns.
 func (l *leaf) noteLoss(incarnation uint64, now time.Time) {
 	if l.lossFirstNotedAt.IsZero() || l.lostIncarnation != incarnation {
 		l.lossFirstNotedAt = now
@@ -271,20 +286,21 @@
 	l.lostAt, l.lostIncarnation = now, incarnation
 }
 
-// extendWithholding lengthens the hold; it never shortens one.
+// extendWithholding moves withheldUntil to end unless it is later already.
 func (l *leaf) extendWithholding(end time.Time) {
 	if end.After(l.withheldUntil) {
 		l.withheldUntil = end
 	}
 }
 
-// survived tells whether the incarnation, which lost a connection, has shown itself again since.
+// survived reports whether the incarnation that lost a connection has been seen again since.
 func survived(incarnation uint64, s upstream.State) bool {
 	return incarnation != 0 && s.Incarnation == incarnation && s.Survived
 }
 
-// TryAcquire asks to run an unproven request on the leaf; alone where solo is set. Leave must be called
-// at its end where it returns true.
+// TryAcquire reports whether an unproven request may run on the leaf now. With exclusive set, no other
+// unproven request from this gather runs there at the same time. If it returns true, the caller must
+// call Release when the request ends.
 func (r *Registry) TryAcquire(id string, exclusive bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -297,7 +313,8 @@
 	return true
 }
 
-// Release ends what Enter began and tells whether the request was the only unproven one there.
+// Release ends a run admitted by TryAcquire and reports whether the request was the only unproven one
+// in flight at the leaf.
 func (r *Registry) Release(id string) (alone bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -310,7 +327,9 @@
 	return alone
 }
 
-// resolveLosses decides which lost connections were crashes: the leaf is gone or has another incarnation.
+// resolveLosses decides which lost connections were crashes: those whose leaf is gone or has another
+// incarnation. It reports crashes to the other VMs and withdraws the evidence of losses without a
+// crash. Requires mu.
 func (r *Registry) resolveLosses(now time.Time) {
 	kept := r.unresolved[:0]
 	for _, l := range r.unresolved {
@@ -327,7 +346,7 @@
 	r.unresolved = kept
 }
 
-// lossCause on a lost connection.
+// lossCause is the result of classifying a lost connection.
 type lossCause int
 
 const (
@@ -351,7 +370,7 @@
 	return lossUnresolved
 }
 
-// withdrawEvidence takes back what a lost connection spoke against a request.
+// withdrawEvidence removes a lost connection from the evidence against its request. Requires mu.
 func (r *Registry) withdrawEvidence(l loss) {
 	s := r.suspects[l.digest]
 	if s == nil {
--- a/internal/quarantine/leaves_test.go
+++ b/internal/quarantine/leaves_test.go
@@ -17,57 +17,58 @@
 		do       func(b *testbed)
 		withheld bool
 	}{
-		"up":              {do: func(*testbed) {}},
-		"lost":            {do: func(b *testbed) { b.crash("a") }, withheld: true},
-		"back as another": {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 2, Connected: true} }, withheld: true},
-		"reconnecting":    {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 1} }, withheld: true},
-		"reconnected":     {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 1}; b.Refresh(); b.leaves["a"] = up }},
-		"left in order": {do: func(b *testbed) {
+		"up":                  {do: func(*testbed) {}},
+		"lost":                {do: func(b *testbed) { b.crash("a") }, withheld: true},
+		"another incarnation": {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 2, Connected: true} }, withheld: true},
+		"reconnecting":        {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 1} }, withheld: true},
+		"reconnected":         {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 1}; b.Refresh(); b.leaves["a"] = up }},
+		"announced its departure": {do: func(b *testbed) {
 			b.leaves["a"] = upstream.State{Incarnation: 1, Connected: true, Leaving: true}
 			b.Refresh()
 			b.crash("a")
 		}},
 		"lost long ago": {do: func(b *testbed) { b.crash("a"); b.Refresh(); b.advance(hold) }},
-		"another request explains": {do: func(b *testbed) {
+		"explained by another request": {do: func(b *testbed) {
 			b.crash("a")
 			b.Refresh()
 			b.receiveCrash(other, "a", 1)
 			b.receiveCrash(other, "b", 1)
 			b.advance(doubtPeriod)
 		}},
-		"its own doesn't": {do: func(b *testbed) {
+		"not explained by the request itself": {do: func(b *testbed) {
 			b.crash("a")
 			b.Refresh()
 			b.receiveCrash(testKey.Digest, "a", 1)
 			b.receiveCrash(testKey.Digest, "b", 1)
 			b.advance(doubtPeriod)
 		}, withheld: true},
-		"one crash doesn't": {do: func(b *testbed) { b.crash("a"); b.Refresh(); b.receiveCrash(other, "a", 1) }, withheld: true},
+		"not explained by one crash of another request": {do: func(b *testbed) { b.crash("a"); b.Refresh(); b.receiveCrash(other, "a", 1) }, withheld: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(nil)
+			b := newTestbed(nil)
 			tt.do(b)
 			is.Equal(b.Withheld("a", testKey.Digest), tt.withheld)
 		})
 	}
 }
 
-// TestExplainedLossWithholdsLeafUntilEvidenceSpreads guards against a second crashing text that ends more leaves than promised: it
-// may have been in flight at the loss at another gather, whose word is still on its way. A leaf that is back is free
-// after that, and one that stays away gives up its place, where a loss that nothing explains would hold it on.
+// TestExplainedLossWithholdsLeafUntilEvidenceSpreads guards against a second crashing text that ends
+// more leaves than promised: the text may have been in flight at the loss at another gather whose
+// evidence has not arrived yet. After that time a leaf that has returned is eligible and one that stays
+// away gives up its place. An unexplained loss withholds the leaf for longer.
 func TestExplainedLossWithholdsLeafUntilEvidenceSpreads(t *testing.T) {
 	for name, tt := range map[string]struct {
 		after upstream.State
 		want  Eligibility
 	}{
 		"stays away": {upstream.State{Leaf: "a", Incarnation: 1, Leaving: true}, LeafUnavailable},
-		"comes back": {upstream.State{Leaf: "a", Incarnation: 2, Connected: true}, LeafEligible},
+		"returns":    {upstream.State{Leaf: "a", Incarnation: 2, Connected: true}, LeafEligible},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(nil)
+			b := newTestbed(nil)
 			b.crash("a")
 			b.Refresh()
 			b.receiveCrash(99, "a", 1)
@@ -84,11 +85,11 @@
 	}
 }
 
-// TestEachLossHoldsUntilItsOwnWord: the word that is waited for is that of the newest loss, also where the leaf lost a
-// connection before and lived on.
+// TestEachLossWithholdsLeafUntilItsOwnEvidenceSpreads checks that the wait counts from the newest loss,
+// also if the leaf lost a connection before and survived.
 func TestEachLossWithholdsLeafUntilItsOwnEvidenceSpreads(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	b.RecordConnectionLoss("a", 1)
 	b.advance(2 * DefaultSettings().Hold.D())
 	b.crash("a")
@@ -100,33 +101,33 @@
 	is.Equal(b.WithheldFor("a", testKey.Digest), evidencePropagationTime-doubtPeriod)
 }
 
-// TestLeafThatWasNeverSeenUpKeepsItsPlace: a gather that has just started doesn't know whether a leaf
-// that it can't reach has crashed a moment ago. The next in rank must not be asked in its stead.
+// TestNeverConnectedLeafIsWithheld: a gather that has just started does not know whether a leaf that it
+// cannot reach has just crashed. The next in rank must not be called instead.
 func TestNeverConnectedLeafIsWithheld(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	b.leaves["d"] = upstream.State{Incarnation: 1, Leaving: true}
 	is.Equal(b.Eligibility("d", testKey.Digest), LeafWithheld)
 	b.advance(DefaultSettings().Hold.D())
 	is.Equal(b.Eligibility("d", testKey.Digest), LeafUnavailable)
 }
 
-// TestLeafBackFromOutOfReachIsHeldForNewsOfTheOtherSide: behind a cut a leaf may have crashed at any
-// time up to its return, and evidence of that comes only once the VMs of both sides have met.
+// TestLeafBackAfterPartitionIsWithheld: a leaf behind a partition may have crashed at any time up to its
+// return, and evidence of that arrives only once the VMs of both sides have exchanged theirs.
 func TestLeafBackAfterPartitionIsWithheld(t *testing.T) {
 	hold := DefaultSettings().Hold.D()
 	tests := map[string]struct {
 		returned    upstream.State
 		withheldFor time.Duration
 	}{
-		"another incarnation": {returned: upstream.State{Incarnation: 2, Connected: true, Survived: true}, withheldFor: partitionWithholdPeriod},
-		"not shown yet":       {returned: upstream.State{Incarnation: 1, Connected: true}, withheldFor: partitionWithholdPeriod},
-		"the same":            {returned: upstream.State{Incarnation: 1, Connected: true, Survived: true}},
+		"another incarnation":       {returned: upstream.State{Incarnation: 2, Connected: true, Survived: true}, withheldFor: partitionWithholdPeriod},
+		"incarnation not shown yet": {returned: upstream.State{Incarnation: 1, Connected: true}, withheldFor: partitionWithholdPeriod},
+		"same incarnation":          {returned: upstream.State{Incarnation: 1, Connected: true, Survived: true}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(nil)
+			b := newTestbed(nil)
 			b.leaves["a"] = upstream.State{Incarnation: 1}
 			b.Refresh()
 			b.advance(2 * hold)
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// lossResolutionInterval is how often lost connections are judged.
+	// lossResolutionInterval is the interval between two calls of ResolveLosses.
 	lossResolutionInterval = 20 * time.Millisecond
-	// refreshInterval is how often the states of all leaves are compared with those seen before.
+	// refreshInterval is the interval between two calls of Refresh.
 	refreshInterval = 100 * time.Millisecond
 )
 
-// Run takes in the evidence of the source's views, looks at the leaves and settles lost connections
-// until ctx ends.
+// Run applies the source's views, refreshes the states of the leaves and resolves lost connections until
+// ctx ends. It always returns nil.
 func (r *Registry) Run(ctx context.Context, source feed.Source) error {
 	resolveTicker, refreshTicker := time.NewTicker(lossResolutionInterval), time.NewTicker(refreshInterval)
 	defer resolveTicker.Stop()
@@ -38,15 +38,15 @@
 	}
 }
 
-// ResolveLosses judges the lost connections of which it isn't known yet whether the leaf crashed.
+// ResolveLosses classifies the lost connections for which it is not yet known whether the leaf crashed.
 func (r *Registry) ResolveLosses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resolveLosses(r.clock())
 }
 
-// Refresh compares the leaves' states with those seen before, settles lost connections and drops what
-// has aged out.
+// Refresh compares the states of all leaves with the previous ones, resolves lost connections, removes
+// expired suspects and updates the gauges.
 func (r *Registry) Refresh() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +63,8 @@
 	r.updateGauges(now)
 }
 
-// ApplyView takes in the crash evidence and the leaves of a view.
+// ApplyView adds the crash evidence of a view. If the view has a bundle, it starts to track the leaves
+// named in it and forgets the others, except those with an unproven request in flight.
 func (r *Registry) ApplyView(v *feed.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics of the duty.
+// Metrics holds the metrics of the quarantine.
 type Metrics struct {
 	evidence *prometheus.CounterVec
 	crashes  prometheus.Counter
@@ -15,7 +15,7 @@
 	proven   prometheus.Gauge
 }
 
-// NewMetrics registers the metrics of the duty.
+// NewMetrics creates the metrics and registers them with reg.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		evidence: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -38,7 +38,7 @@
 	return m
 }
 
-// updateGauges sets the gauges. Requires mu.
+// updateGauges sets the gauges from the current suspects and proven requests. Requires mu.
 func (r *Registry) updateGauges(now time.Time) {
 	counts := make(map[Status]int)
 	for _, s := range r.suspects {
--- a/internal/quarantine/orders.go
+++ b/internal/quarantine/orders.go
@@ -9,26 +9,29 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// Step names this duty in outcomes.
+// Step names the quarantine check in outcomes.
 const Step = "gather.quarantine"
 
-// errWithheld says that the leaf was lost lately, or runs a suspect alone.
-var errWithheld = errors.New("the leaf takes no unproven request now")
+// errWithheld is returned for an unproven order if the leaf was lost recently or if either the order or
+// a request in flight at the leaf has to run exclusively.
+var errWithheld = errors.New("withheld from unproven requests: lost recently or needed for an exclusive run")
 
 // OrderCaller is an upstream.Caller that keeps orders which crash leaves from reaching more of them.
-// Searches pass; the engine of searches asks the registry itself.
+// Searches pass through, because the search engine consults the registry itself.
 type OrderCaller struct {
 	upstream.Caller
 	registry *Registry
 }
 
-// NewOrderCaller wraps the caller.
+// NewOrderCaller returns a caller that sends orders through c as far as r allows.
 func NewOrderCaller(c upstream.Caller, r *Registry) *OrderCaller {
 	return &OrderCaller{Caller: c, registry: r}
 }
 
-// Execute sends an order unless its content is quarantined, or the leaf takes no unproven request
-// now. Nothing has been written then; the error holds the *outcome.Error of a quarantined one.
+// Execute sends an order unless its content is doubted or quarantined, or the leaf accepts no unproven
+// request now. In all these cases nothing has been written to the leaf and the error is an
+// *upstream.CallError. For a doubted or quarantined order it wraps an *outcome.Error with the time to
+// retry after.
 func (c *OrderCaller) Execute(ctx context.Context, leaf string, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
 	digest := OrderDigest(req.GetService(), req.GetKind(), req.GetKey(), req.GetPayload())
 	status, retryAfter := c.registry.Status(Key{Digest: digest, FullDigest: digest})
--- a/internal/quarantine/proven.go
+++ b/internal/quarantine/proven.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// answeredSet is a bounded set of requests that a leaf has answered, by their Proof or Digest; the longest
-// unused is dropped first. It is not safe for concurrent use.
+// answeredSet is a bounded LRU set of requests that a leaf has answered, keyed by FullDigest or Digest.
+// The least recently used entry is evicted first. It is not safe for concurrent use.
 type answeredSet struct {
 	maxEntries int
-	// recency holds proofs, the latest used in front; elements finds them.
+	// recency holds *answerRecord values, the most recently used first. elements indexes them by ID.
 	recency  *list.List
 	elements map[uint64]*list.Element
 }
 
-// answerRecord is one request that a leaf answered.
+// answerRecord is one request that a leaf has answered.
 type answerRecord struct {
 	id uint64
-	// answeredAt is when it was answered last.
+	// answeredAt is when the request was last answered.
 	answeredAt time.Time
-	// connectionLost is true where a connection was lost with it since.
+	// connectionLost is true if a connection was lost with the request in flight since that answer.
 	connectionLost bool
 }
 
@@ -27,7 +27,7 @@
 	return &answeredSet{maxEntries: limit, recency: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
-// get returns the proof of a request, nil where no answer to it is remembered.
+// get returns the record of a request, or nil if no answer to it is remembered. It counts as a use.
 func (s *answeredSet) get(id uint64) *answerRecord {
 	e, ok := s.elements[id]
 	if !ok {
@@ -37,7 +37,7 @@
 	return e.Value.(*answerRecord)
 }
 
-// contains tells whether an answer to the request is remembered, without counting as a use.
+// contains reports whether an answer to the request is remembered. It does not count as a use.
 func (s *answeredSet) contains(id uint64) bool { return s.elements[id] != nil }
 
 func (s *answeredSet) add(id uint64, now time.Time) {
@@ -52,7 +52,8 @@
 	}
 }
 
-// markConnectionLost notes that a connection was lost with the request.
+// markConnectionLost records that a connection was lost with the request in flight. It does nothing if
+// no answer to the request is remembered.
 func (s *answeredSet) markConnectionLost(id uint64) {
 	if e, ok := s.elements[id]; ok {
 		e.Value.(*answerRecord).connectionLost = true
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -17,7 +17,8 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// testbed is a registry with a clock and leaves set by hand.
+// testbed is a registry whose clock and leaf states the test sets. reported holds the crashes that the
+// registry reported.
 type testbed struct {
 	*Registry
 	now      time.Time
@@ -29,8 +30,8 @@
 func (b *testbed) SetState(pb.ProcessState)      {}
 func (b *testbed) ReportCrash(c *pb.Crash)       { b.reported = append(b.reported, c) }
 
-// newBench has leaves a, b and c of incarnation 1, seen up.
-func newBench(change func(*Settings)) *testbed {
+// newTestbed returns a testbed with the connected leaves a, b and c of incarnation 1.
+func newTestbed(change func(*Settings)) *testbed {
 	b := &testbed{now: time.Unix(1000, 0), leaves: make(map[string]upstream.State)}
 	s := DefaultSettings()
 	if change != nil {
@@ -47,7 +48,7 @@
 
 func (b *testbed) advance(d time.Duration) { b.now = b.now.Add(d) }
 
-// crash makes a leaf refuse connections, as a pool sees it soon after a crash.
+// crash makes a leaf refuse connections, as the pool observes it soon after a crash.
 func (b *testbed) crash(leaf string) {
 	b.leaves[leaf] = upstream.State{Leaf: leaf, Incarnation: 1, Leaving: true}
 }
@@ -57,7 +58,7 @@
 	b.ApplyView(&feed.View{Crashes: []*pb.Crash{c}, Received: b.now})
 }
 
-// receiveAnsweredCrash takes in a crash at which a request was in flight that another VM knows to be answered.
+// receiveAnsweredCrash applies a crash whose request another VM reports as answered.
 func (b *testbed) receiveAnsweredCrash(digest uint64, leaf string, incarnation uint64) {
 	c := &pb.Crash{RequestDigest: digest, Leaf: leaf, Incarnation: incarnation, Answered: true}
 	b.ApplyView(&feed.View{Crashes: []*pb.Crash{c}, Received: b.now})
@@ -69,34 +70,35 @@
 
 func TestStatusByEvidence(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	is.Equal(b.status(testKey), FirstRun)
 	b.crash("a")
 	b.RecordUnprovenLoss(testKey.Digest, "a", 1, true)
 	is.Equal(b.status(testKey), Suspect)
-	b.receiveCrash(testKey.Digest, "a", 1) // the same crash, seen by another VM
+	b.receiveCrash(testKey.Digest, "a", 1) // the same crash, observed by another VM
 	is.Equal(b.status(testKey), Suspect)
 	b.advance(time.Second)
-	b.RecordAnswer(testKey) // its solo run was answered
+	b.RecordAnswer(testKey) // its exclusive run was answered
 	is.Equal(b.status(testKey), Proven)
 	b.advance(time.Second)
 	b.receiveCrash(testKey.Digest, "a", 2)
-	is.Equal(b.status(testKey), Suspect) // evidence outranks the proof, but an answered request runs on alone
+	is.Equal(b.status(testKey), Suspect) // later evidence overrides the answer, but an answered request still runs alone
 	b.receiveCrash(testKey.Digest, "b", 1)
 	is.Equal(b.status(testKey), Suspect)
 	b.receiveCrash(testKey.Digest, "c", 1)
-	is.Equal(b.status(testKey), Doubted) // three since its answer
+	is.Equal(b.status(testKey), Doubted) // three crashes since its answer
 	b.advance(DefaultSettings().Hold.D())
 	is.Equal(b.status(testKey), Quarantined)
 	is.Equal(b.status(SearchKey("teachers", "bad", 2, 50)), Quarantined)
 	is.Equal(b.status(SearchKey("teachers", "good", 1, 10)), FirstRun)
 }
 
-// TestUnansweredIsRefusedAtTwoCrashes: a request that no leaf has answered is refused at the second crash, in all its
-// forms, and at the third even where another one was in flight at all of them.
+// TestUnansweredRequestIsQuarantinedAtTwoCrashes: a request that no leaf has answered is refused at the
+// second crash for any snapshot and number of hits, and at the third even if another request was in
+// flight at all of them.
 func TestUnansweredRequestIsQuarantinedAtTwoCrashes(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	b.receiveCrash(testKey.Digest, "a", 1)
 	is.Equal(b.status(testKey), Suspect)
 	b.receiveCrash(testKey.Digest, "a", 2)
@@ -112,12 +114,13 @@
 	is.Equal(b.status(testKey), Quarantined)
 }
 
-// TestAnsweredIsClearedByTheWordOfTheCause guards against refusals of innocent requests: of three crashes one that a
-// leaf has answered is refused only while nothing explains them, at whatever time the explanation comes.
+// TestAnsweredIsClearedByTheWordOfTheCause guards against refusals of innocent requests: a request that a
+// leaf has answered is refused for three crashes only while nothing explains them, however late the
+// explanation arrives.
 func TestAnsweredIsClearedByTheWordOfTheCause(t *testing.T) {
 	is := is.New(t)
 	hold := DefaultSettings().Hold.D()
-	b := newBench(nil)
+	b := newTestbed(nil)
 	b.RecordAnswer(testKey)
 	for _, leaf := range []string{"a", "b", "c"} {
 		b.advance(time.Second)
@@ -126,7 +129,7 @@
 	b.advance(hold)
 	is.Equal(b.status(testKey), Quarantined)
 	b.advance(time.Minute)
-	b.receiveCrash(99, "b", 1) // one crash of the cause is enough
+	b.receiveCrash(99, "b", 1) // one crash of the request that caused them is enough
 	is.Equal(b.status(testKey), Suspect)
 	other := SearchKey("teachers", "other", 1, 10)
 	b.RecordAnswer(other)
@@ -136,14 +139,14 @@
 		b.receiveCrash(testKey.Digest, leaf, 7)
 	}
 	b.advance(hold)
-	is.Equal(b.status(other), Quarantined) // one that was answered too explains nothing
+	is.Equal(b.status(other), Quarantined) // a request that was answered too explains nothing
 }
 
-// TestAnswerRefutesEarlierCrashes: what a request was in flight at before its last answer doesn't speak against it,
-// also where word of it comes later.
+// TestAnswerRefutesEarlierCrashes: crashes before the last answer to a request do not count against it,
+// also if evidence of them arrives later.
 func TestAnswerRefutesEarlierCrashes(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	for i, leaf := range []string{"a", "b", "c"} {
 		b.RecordAnswer(testKey)
 		b.receiveCrash(testKey.Digest, leaf, uint64(i+2))
@@ -154,11 +157,12 @@
 	is.Equal(b.status(testKey), Suspect)
 }
 
-// TestWordOfAnAnswerElsewhere guards against refusals of innocent requests that are new to a VM: where a leaf has
-// answered one to another VM, it counts as answered here, for as long as word of its crashes comes.
+// TestWordOfAnAnswerElsewhere guards against refusals of innocent requests that are new to a VM: if a leaf
+// has answered the request to another VM, it counts as answered here for as long as evidence of its
+// crashes arrives.
 func TestWordOfAnAnswerElsewhere(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	for _, leaf := range []string{"a", "b"} {
 		b.receiveCrash(testKey.Digest, leaf, 1)
 	}
@@ -167,13 +171,13 @@
 	b.receiveAnsweredCrash(testKey.Digest, "a", 1)
 	is.Equal(b.status(testKey), Suspect)
 	b.receiveCrash(testKey.Digest, "c", 1)
-	is.Equal(b.status(testKey), Doubted) // three that nothing explains
+	is.Equal(b.status(testKey), Doubted) // three unexplained crashes
 	b.advance(DefaultSettings().Hold.D())
 	is.Equal(b.status(testKey), Quarantined)
 }
 
-// TestAnswersAreVouchedFor: a VM tells the others, once for each crash that they have, that a leaf has answered the
-// request, whichever of the two it learns first.
+// TestAnswersAreVouchedFor: a VM reports to the others, once for each crash that they have, that a leaf
+// has answered the request, whether it learns of the crash or of the answer first.
 func TestAnswersAreVouchedFor(t *testing.T) {
 	reportedAnswers := func(b *testbed) (leaves []string) {
 		for _, c := range b.reported {
@@ -187,8 +191,8 @@
 		do   func(b *testbed)
 		want []string
 	}{
-		"answered, then heard": {func(b *testbed) { b.RecordAnswer(testKey); b.receiveCrash(testKey.Digest, "a", 1) }, []string{"a"}},
-		"heard, then answered": {func(b *testbed) { b.receiveCrash(testKey.Digest, "a", 1); b.RecordAnswer(testKey) }, []string{"a"}},
+		"answered, then crash received": {func(b *testbed) { b.RecordAnswer(testKey); b.receiveCrash(testKey.Digest, "a", 1) }, []string{"a"}},
+		"crash received, then answered": {func(b *testbed) { b.receiveCrash(testKey.Digest, "a", 1); b.RecordAnswer(testKey) }, []string{"a"}},
 		"own crash, then answered": {func(b *testbed) {
 			b.crash("a")
 			b.RecordUnprovenLoss(testKey.Digest, "a", 1, true)
@@ -199,12 +203,12 @@
 			b.crash("a")
 			b.RecordUnprovenLoss(testKey.Digest, "a", 1, true)
 		}, []string{"a"}},
-		"own loss that is no crash so far": {func(b *testbed) {
+		"own loss not yet known to be a crash": {func(b *testbed) {
 			b.RecordUnprovenLoss(testKey.Digest, "a", 1, true)
 			b.RecordAnswer(testKey)
 		}, nil},
-		"others know": {func(b *testbed) { b.RecordAnswer(testKey); b.receiveAnsweredCrash(testKey.Digest, "a", 1) }, nil},
-		"others know of one": {func(b *testbed) {
+		"others know of the answer": {func(b *testbed) { b.RecordAnswer(testKey); b.receiveAnsweredCrash(testKey.Digest, "a", 1) }, nil},
+		"others know of the answer for one crash": {func(b *testbed) {
 			b.receiveAnsweredCrash(testKey.Digest, "a", 1)
 			b.receiveCrash(testKey.Digest, "b", 1)
 		}, []string{"b"}},
@@ -212,10 +216,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(nil)
+			b := newTestbed(nil)
 			tt.do(b)
 			is.Equal(reportedAnswers(b), tt.want)
-			for range 2 { // the same views come again and again
+			for range 2 { // the same views are received repeatedly
 				b.receiveCrash(testKey.Digest, "a", 1)
 				b.RecordAnswer(testKey)
 			}
@@ -226,11 +230,11 @@
 	}
 }
 
-// TestInnocentOfTwoCrashes: one of two requests that were in flight at the same two crashes may be
-// innocent; the third run tells.
+// TestTwoRequestsInFlightAtTheSameCrashes: one of two requests that were in flight at the same two
+// crashes may be innocent. The third run decides.
 func TestTwoRequestsInFlightAtTheSameCrashes(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	good := SearchKey("teachers", "good", 1, 10)
 	for _, leaf := range []string{"a", "b"} {
 		b.receiveCrash(testKey.Digest, leaf, 1)
@@ -242,14 +246,14 @@
 	b.RecordAnswer(good)
 	is.Equal(b.status(good), Proven)
 	b.receiveCrash(testKey.Digest, "c", 1)
-	is.Equal(b.status(testKey), Quarantined) // no third excuse
+	is.Equal(b.status(testKey), Quarantined) // a third crash quarantines it in any case
 }
 
-// TestRenewedEvidenceStaysRefuted guards against refusals of innocent requests: where another VM refuses the content and
-// renews its evidence, crashes that an answer here has refuted don't count anew.
+// TestRenewedEvidenceStaysRefuted guards against refusals of innocent requests: if another VM refuses the
+// content and renews its evidence, crashes that an answer here has refuted do not count again.
 func TestRenewedEvidenceStaysRefuted(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	leaves := []string{"a", "b", "c"}
 	for _, leaf := range leaves {
 		b.receiveCrash(testKey.Digest, leaf, 1)
@@ -262,46 +266,48 @@
 	}
 	b.advance(DefaultSettings().Hold.D())
 	is.Equal(b.status(testKey), Proven)
-	is.Equal(b.status(SearchKey("teachers", "bad", 1, 50)), Quarantined) // another form; renews here, too
+	is.Equal(b.status(SearchKey("teachers", "bad", 1, 50)), Quarantined) // another number of hits; the call renews the evidence here, too
 	is.Equal(b.status(testKey), Proven)
 }
 
 func TestEvidenceExpiresUnlessTheRequestRepeats(t *testing.T) {
 	is := is.New(t)
 	age := DefaultSettings().Age.D()
-	b := newBench(nil)
+	b := newTestbed(nil)
 	b.receiveCrash(testKey.Digest, "a", 1)
 	b.receiveCrash(testKey.Digest, "b", 1)
 	b.advance(doubtPeriod)
-	for range 8 { // for two ages
+	for range 8 { // twice the age in total
 		b.advance(age / 4)
 		is.Equal(b.status(testKey), Quarantined)
 	}
-	is.Equal(len(b.reported), 2*8) // both crashes, each quarter, so that other VMs keep them as well
+	is.Equal(len(b.reported), 2*8) // both crashes in each quarter of the age, so that other VMs keep them as well
 	b.advance(age + time.Second)
 	b.Refresh()
 	is.Equal(b.status(testKey), FirstRun)
 }
 
-// TestLostConnectionsAreClassified tells crashes from connections that broke for another cause.
+// TestLostConnectionsAreClassified checks that crashes are told apart from connections that broke for
+// another reason.
 func TestLostConnectionsAreClassified(t *testing.T) {
 	tests := map[string]struct {
 		after upstream.State
-		// soon and later say whether the evidence was told at once, and after two seconds.
+		// reportedAtOnce and reportedLater say whether the evidence has been reported immediately and after
+		// two seconds.
 		reportedAtOnce, reportedLater bool
 	}{
 		"refuses connections":    {after: upstream.State{Incarnation: 1, Leaving: true}, reportedAtOnce: true, reportedLater: true},
 		"is another incarnation": {after: upstream.State{Incarnation: 2, Connected: true}, reportedAtOnce: true, reportedLater: true},
 		"stays away":             {after: upstream.State{Incarnation: 1}, reportedLater: true},
-		"lives on":               {after: upstream.State{Incarnation: 1, Connected: true}},
+		"survives":               {after: upstream.State{Incarnation: 1, Connected: true}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(nil)
+			b := newTestbed(nil)
 			b.leaves["a"] = tt.after
 			b.RecordUnprovenLoss(testKey.Digest, "a", 1, false)
-			is.Equal(b.status(testKey), Suspect) // the next run is careful in any case
+			is.Equal(b.status(testKey), Suspect) // the next run is exclusive in any case
 			is.Equal(len(b.reported) > 0, tt.reportedAtOnce)
 			b.advance(2 * time.Second)
 			b.Refresh()
@@ -311,11 +317,11 @@
 	}
 }
 
-// TestBrokenConnectionOfALiveLeafSpeaksAgainstNobody: as soon as the incarnation that lost a
-// connection answers on a new one, the request is cleared and the leaf takes first runs again.
+// TestConnectionLostByLiveLeafIsNoEvidence: as soon as the incarnation that lost a connection shows on a
+// new one, the request is cleared and the leaf takes first runs again.
 func TestConnectionLostByLiveLeafIsNoEvidence(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	for _, leaf := range []string{"a", "b"} {
 		b.RecordUnprovenLoss(testKey.Digest, leaf, 1, true)
 	}
@@ -331,7 +337,7 @@
 	is.Equal(len(b.reported), 0)
 }
 
-// frequentSource changes its view all the time, as the heartbeats of a fleet do.
+// frequentSource changes its view every 5 ms, as the heartbeats of a fleet do.
 type frequentSource struct{ view *feed.View }
 
 func (s frequentSource) Current() *feed.View       { return s.view }
@@ -346,7 +352,7 @@
 func TestRefreshRunsDespiteFrequentViewChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(nil)
+		b := newTestbed(nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() { ended <- b.Run(ctx, frequentSource{&feed.View{}}) }()
@@ -366,7 +372,7 @@
 
 func TestAbandonedRequestBecomesSuspect(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	b.RecordAbandoned(testKey.Digest, "a", 1)
 	b.advance(abandonedWindow / 2)
 	b.crash("a")
@@ -374,7 +380,7 @@
 	is.Equal(b.status(testKey), Suspect)
 	is.Equal(len(b.reported), 1)
 	b.RecordAbandoned(testKey.Digest, "b", 1)
-	b.advance(abandonedWindow * 2) // too long ago to be the cause
+	b.advance(abandonedWindow * 2) // given up too long ago to be the cause
 	b.crash("b")
 	b.Refresh()
 	is.Equal(b.status(testKey), Suspect)
@@ -382,24 +388,24 @@
 
 func TestProvenRequests(t *testing.T) {
 	is := is.New(t)
-	b := newBench(func(s *Settings) { s.Remembered = 2 })
+	b := newTestbed(func(s *Settings) { s.Remembered = 2 })
 	key := func(text string) Key { return SearchKey("s", text, 1, 10) }
 	for _, text := range []string{"one", "two", "one", "three"} {
 		b.RecordAnswer(key(text))
 	}
 	is.Equal(b.status(key("one")), Proven)
-	is.Equal(b.status(key("two")), FirstRun)                   // the longest unused is forgotten
+	is.Equal(b.status(key("two")), FirstRun)                   // the least recently used is evicted
 	is.Equal(b.status(SearchKey("s", "one", 2, 10)), FirstRun) // another snapshot
-	b.RecordProvenLoss(key("one"))                             // in flight when a leaf was lost
-	is.Equal(b.status(key("one")), FirstRun)                   // no suspect, but tried on one leaf again
+	b.RecordProvenLoss(key("one"))                             // in flight when a connection was lost
+	is.Equal(b.status(key("one")), FirstRun)                   // not a suspect, but runs on one leaf first again
 	same, content := b.Answered(key("one"))
 	is.True(same && content)
 	same, content = b.Answered(SearchKey("s", "one", 1, 50))
 	is.True(!same && content)
 	same, content = b.Answered(key("two"))
 	is.True(!same && !content)
-	is.Equal(newBench(func(s *Settings) { s.FirstRun = ModeNever }).status(testKey), Unproven)
-	e := newBench(func(s *Settings) { s.FirstRun = ModeEvidence })
+	is.Equal(newTestbed(func(s *Settings) { s.FirstRun = ModeNever }).status(testKey), Unproven)
+	e := newTestbed(func(s *Settings) { s.FirstRun = ModeEvidence })
 	is.Equal(e.status(testKey), Unproven)
 	e.receiveCrash(99, "a", 1)
 	is.Equal(e.status(testKey), FirstRun)
@@ -407,18 +413,18 @@
 
 func TestSuspectRunsExclusively(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	is.True(b.TryAcquire("a", false))
 	is.True(b.TryAcquire("a", false))
 	is.True(!b.TryAcquire("a", true))
 	is.True(!b.Release("a"))
-	is.True(b.Release("a")) // it was the only one
+	is.True(b.Release("a")) // it was the only unproven request there
 	is.True(b.TryAcquire("a", true))
 	is.True(!b.TryAcquire("a", false))
 	is.True(b.TryAcquire("b", false))
 }
 
-// fakeExecutor is an upstream.Caller whose leaves end each order in the same way.
+// fakeExecutor is an upstream.Caller that returns err for each order and counts the orders in sent.
 type fakeExecutor struct {
 	upstream.Caller
 	err  error
@@ -432,7 +438,7 @@
 
 func TestCrashingOrdersAreRefusedUnsent(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	leaves := &fakeExecutor{err: &upstream.CallError{Wrote: true, Incarnation: 1, ConnectionLost: true, Err: errors.New("reset")}}
 	c := NewOrderCaller(leaves, b.Registry)
 	send := func(leaf, payload string) error {
@@ -440,7 +446,7 @@
 		return err
 	}
 	b.crash("a")
-	is.True(send("a", "bad") != nil) // the leaf was lost lately
+	is.True(send("a", "bad") != nil) // the leaf was lost recently
 	is.Equal(leaves.sent, 0)
 	b.leaves["b"] = upstream.State{Incarnation: 1, Connected: true}
 	is.True(send("b", "bad") != nil)
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -11,38 +11,40 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// Status says how a request may run.
+// Status says how a request may run, from the least to the most restricted.
 type Status int
 
-// The standings of a request, from the freest on.
+// The statuses of a request.
 const (
-	// Proven: a leaf has answered it; it may run on all shards at once.
+	// Proven means that a leaf has answered the request. It may run on all shards at once.
 	Proven Status = iota
-	// Unproven: no leaf has answered it yet, and by the settings it may run on all shards at once.
+	// Unproven means that no leaf has answered the request yet and that the settings allow it to run on
+	// all shards at once.
 	Unproven
-	// FirstRun: it runs on one leaf first.
+	// FirstRun means that the request runs on one leaf first.
 	FirstRun
-	// Suspect: it was in flight at one crash; it runs on one leaf first, beside no other unproven
-	// request, and is not hedged.
+	// Suspect means that the request was in flight at a crash and is not refused for it. It runs on one
+	// leaf first, without another unproven request beside it, and is not hedged.
 	Suspect
-	// Doubted: it was in flight at two crashes just now; evidence that another request caused both, or word that a
-	// leaf has answered it, may still be on its way, and is waited for: known texts that had been in flight beside
-	// crashing ones were refused for 0.3 s otherwise, though they would have been answered.
+	// Doubted means that the request has just reached the crashes at which it is refused: two, or three
+	// if a leaf has answered it. The refusal waits for evidence that another request caused them and for
+	// a report that a leaf has answered this one. Without the wait, known texts in flight beside crashing
+	// ones were refused for 0.3 s although they would have been answered.
 	Doubted
-	// Quarantined: it is refused.
+	// Quarantined means that the request is refused.
 	Quarantined
 )
 
 var statusNames = [...]string{"proven", "unproven", "first_run", "suspect", "doubted", "quarantined"}
 
-// String returns the name used in metrics.
+// String returns the name used in metrics and dumps.
 func (s Status) String() string { return statusNames[s] }
 
-// StateFunc returns what is known of a leaf; upstream.Caller has it.
+// StateFunc returns the state of a leaf, or false if the leaf is unknown. upstream.Caller provides one.
 type StateFunc func(leaf string) (upstream.State, bool)
 
-// Registry holds the evidence of one gather and what it has heard of others'. It is safe for
-// concurrent use.
+// Registry holds the crash evidence collected by one gather and the evidence received from others. It is
+// safe for concurrent use.
 type Registry struct {
 	settings  Settings
 	reporter  feed.Reporter
@@ -51,23 +53,24 @@
 	metrics   *Metrics
 
 	mu sync.Mutex
-	// suspects by digest, proven by Proof, answered by digest, unsure and the leaves of the gate are guarded by mu.
+	// mu guards the fields below. suspects and answered are keyed by Digest, proven by FullDigest, and
+	// leaves by leaf ID.
 	suspects map[uint64]*suspect
 	proven   *answeredSet
 	answered *answeredSet
-	// unresolved holds losses of connections of which it isn't known yet whether the leaf crashed.
+	// unresolved holds the connection losses for which it is not yet known whether the leaf crashed.
 	unresolved []loss
 	leaves     map[string]*leaf
 }
 
-// loss is a connection lost with an unproven request in flight.
+// loss is a connection lost with an unproven request in flight. notedAt is when it was recorded.
 type loss struct {
 	digest uint64
 	crash
 	notedAt time.Time
 }
 
-// New returns a registry without evidence.
+// New returns a registry without evidence. The reporter passes crashes on to the other VMs.
 func New(s Settings, reporter feed.Reporter, states StateFunc, clock func() time.Time, m *Metrics) *Registry {
 	return &Registry{
 		settings: s, reporter: reporter, leafState: states, clock: clock, metrics: m,
@@ -76,8 +79,8 @@
 	}
 }
 
-// Status says how the request may run now. For a quarantined one it also says when to come back;
-// asking renews its evidence.
+// Status returns how the request may run now. For a quarantined or doubted request it also returns the
+// time to retry after. Each call for a quarantined request renews its evidence.
 func (r *Registry) Status(k Key) (Status, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,24 +113,26 @@
 	return Unproven, 0
 }
 
-// Answered tells whether a leaf has answered the request, whatever was lost with it since: this very one here,
-// and the content, for any snapshot or number of hits, here or by the word of another VM.
+// Answered reports whether a leaf has answered the request, even if a connection was lost with it since.
+// same is true if a leaf answered this exact request to this VM. content is true if a leaf answered the
+// same content for any snapshot or number of hits, to this VM or to another one that reported it.
 func (r *Registry) Answered(k Key) (same, content bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.proven.contains(k.FullDigest), r.contentAnswered(k.Digest)
 }
 
-// contentAnswered tells whether a leaf has answered the content, for any snapshot or number of hits, here or by the word of
-// another VM.
+// contentAnswered reports whether a leaf has answered the content for any snapshot or number of hits, to
+// this VM or to another one that reported it. Requires mu.
 func (r *Registry) contentAnswered(digest uint64) bool { return r.answered.contains(digest) }
 
 func (r *Registry) expired(s *suspect, now time.Time) bool {
 	return now.Sub(s.newestEvidenceAt()) > r.settings.Age.D()
 }
 
-// renew makes the evidence young again, here at once and at the other VMs now and then, so that a
-// request that keeps coming stays refused.
+// renew resets the age of the evidence, so that a request that keeps coming stays refused. The renewal
+// takes effect here at once and is reported to the other VMs at most renewalReportsPerAge times per age.
+// Requires mu.
 func (r *Registry) renew(s *suspect, now time.Time) {
 	for i := range s.crashes {
 		s.crashes[i].renewedAt = now
@@ -141,7 +146,7 @@
 	}
 }
 
-// renewalReportsPerAge is how often in the age of evidence it is told again.
+// renewalReportsPerAge is how many times renewed evidence is reported within Settings.Age.
 const renewalReportsPerAge = 4
 
 func (r *Registry) reportCrash(digest uint64, c crash, now time.Time) {
@@ -152,8 +157,9 @@
 	}
 }
 
-// reportAnswer tells the other VMs, once for each crash that they have, that a leaf has answered the request: one that
-// is new to them would be refused there for crashes that another one caused.
+// reportAnswer reports to the other VMs, once for each crash that they have, that a leaf has answered the
+// request. Without the report, a VM to which the request is new would refuse it for crashes that another
+// request caused. Requires mu.
 func (r *Registry) reportAnswer(s *suspect, now time.Time) {
 	if !r.contentAnswered(s.digest) {
 		return
@@ -165,7 +171,8 @@
 	}
 }
 
-// CrashedLeaves returns the leaves that crashed with the request in flight.
+// CrashedLeaves returns the IDs of the leaves that crashed with the request in flight. A leaf that
+// crashed in several incarnations is listed once for each.
 func (r *Registry) CrashedLeaves(digest uint64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,10 +185,10 @@
 	return leaves
 }
 
-// WithholdPeriod returns how long a lost leaf takes no first run.
+// WithholdPeriod returns how long a lost leaf takes no first run, Settings.Hold.
 func (r *Registry) WithholdPeriod() time.Duration { return r.settings.Hold.D() }
 
-// RecordAnswer notes that a leaf has answered the request and so outlived it.
+// RecordAnswer records that a leaf has answered the request and so survived it.
 func (r *Registry) RecordAnswer(k Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,17 +200,17 @@
 	}
 }
 
-// RecordProvenLoss notes that a proven request was in flight when a connection was lost. That is no
-// evidence against it, but its next run is on one leaf first.
+// RecordProvenLoss records that a proven request was in flight when a connection was lost. The loss is
+// no evidence against the request, but the next run is on one leaf first.
 func (r *Registry) RecordProvenLoss(k Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.proven.markConnectionLost(k.FullDigest)
 }
 
-// RecordUnprovenLoss notes that a request which no leaf has answered was in flight when the connection to
-// a leaf was lost. It counts against the request at once; where the leaf turns out to have lived on
-// it is taken back.
+// RecordUnprovenLoss records that a request which no leaf has answered was in flight when the connection
+// to a leaf was lost. The loss counts against the request at once and is withdrawn if the leaf turns out
+// to have survived.
 func (r *Registry) RecordUnprovenLoss(digest uint64, leaf string, incarnation uint64, alone bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -212,7 +219,7 @@
 	r.addLoss(digest, crash{crashID: crashID{leaf, incarnation}, renewedAt: now, alone: alone}, now)
 }
 
-// addLoss counts a loss against a request until it is known whether the leaf crashed.
+// addLoss counts a loss against a request until it is known whether the leaf crashed. Requires mu.
 func (r *Registry) addLoss(digest uint64, c crash, now time.Time) {
 	if !r.suspectFor(digest, now).addCrash(c, now) {
 		return
@@ -222,14 +229,15 @@
 	r.resolveLosses(now)
 }
 
-// RecordConnectionLoss notes that a connection to the leaf broke.
+// RecordConnectionLoss records that a connection to the leaf broke. The leaf counts as lost.
 func (r *Registry) RecordConnectionLoss(leaf string, incarnation uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recordLoss(leaf, incarnation, r.clock())
 }
 
-// suspectFor returns the entry of a digest, made where there is none.
+// suspectFor returns the suspect of a digest and creates it if there is none or if it has expired. Above
+// maxSuspects it evicts the suspect with the oldest evidence. Requires mu.
 func (r *Registry) suspectFor(digest uint64, now time.Time) *suspect {
 	s := r.suspects[digest]
 	if s != nil && !r.expired(s, now) {
--- a/internal/quarantine/settings.go
+++ b/internal/quarantine/settings.go
@@ -11,9 +11,10 @@
 
 // The modes of the first run.
 const (
-	// ModeAlways is the only one that bounds the crashes of a request never seen before.
+	// ModeAlways runs every such request on one leaf first. It is the only mode that bounds the crashes
+	// caused by a request never seen before.
 	ModeAlways Mode = "always"
-	// ModeEvidence does so only while crash evidence of any request is recent.
+	// ModeEvidence does so only while there is recent crash evidence against any request.
 	ModeEvidence Mode = "evidence"
 	// ModeNever runs such requests on all shards at once.
 	ModeNever Mode = "never"
@@ -21,33 +22,34 @@
 
 // Settings is the table [quarantine] of burdock-gather.
 type Settings struct {
-	// FirstRun is always, evidence or never.
+	// FirstRun is the mode of the first run: always, evidence or never.
 	FirstRun Mode `toml:"first_run"`
-	// Age is how long crash evidence holds after it arose or the request was last sent.
+	// Age is how long crash evidence is valid after the crash or after the request was last sent.
 	Age settings.Duration `toml:"age"`
-	// Hold is how long a leaf that was lost takes no first run. It should pass the time in which
-	// evidence spreads over the fleet, and the 300 ms that a gather may need to see a crash.
+	// Hold is how long a leaf that was lost takes no first run. It should exceed the time in which
+	// evidence spreads over the fleet plus the 300 ms that a gather may need to detect a crash.
 	Hold settings.Duration `toml:"hold"`
-	// Remembered is how many proven requests are remembered.
+	// Remembered is the maximum number of proven requests that are remembered.
 	Remembered int `toml:"remembered"`
 }
 
 const (
-	// crashesToQuarantine is at how many distinct crashes a request is refused, unless another
-	// request explains them.
+	// crashesToQuarantine is the number of distinct crashes at which a request is refused, unless
+	// another request explains them.
 	crashesToQuarantine = 2
-	// crashesToQuarantineAnswered is at how many crashes since its last answer, which no other request explains, one
-	// is refused that a leaf has answered.
+	// crashesToQuarantineAnswered is the number of crashes since its last answer at which a request
+	// that a leaf has answered is refused. Crashes that another request explains are not counted.
 	crashesToQuarantineAnswered = 3
-	// doubtPeriod is how long after a second crash evidence against another request is waited for.
+	// doubtPeriod is how long after the second crash the refusal of a request that no leaf has answered
+	// waits for evidence against another request.
 	doubtPeriod = 300 * time.Millisecond
-	// maxSuspects bounds the requests that crash evidence is kept of.
+	// maxSuspects bounds the number of requests for which crash evidence is kept.
 	maxSuspects = 4096
-	// maxCrashesPerRequest bounds the crashes kept of one request.
+	// maxCrashesPerRequest bounds the number of crashes kept for one request.
 	maxCrashesPerRequest = 8
 )
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the settings used where the table sets no value.
 func DefaultSettings() Settings {
 	return Settings{
 		FirstRun:   ModeAlways,
@@ -57,7 +59,7 @@
 	}
 }
 
-// Check refuses values out of range.
+// Check reports values out of range to c.
 func (s Settings) Check(c *settings.Checker) {
 	valid := s.FirstRun == ModeAlways || s.FirstRun == ModeEvidence || s.FirstRun == ModeNever
 	c.Require(valid, "quarantine.first_run", "want always, evidence or never, got %q", s.FirstRun)
