--- a/internal/crashguard/crashguard.go
+++ b/internal/crashguard/crashguard.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// blockAt is the number of crashed leaves from which a request is blocked.
-	blockAt = 3
-	// blockFor is how long after its latest crash it stays blocked; it comes again and again.
-	blockFor = time.Minute
-	// downWithin is how soon after a lost connection the leaf's address must refuse another one.
-	downWithin = 1500 * time.Millisecond
-	// provenFor is how long an answer clears a request: crashes around it had another cause.
-	provenFor = time.Minute
+	// crashesToBlock is the number of crashed leaves from which a request is blocked.
+	crashesToBlock = 3
+	// blockPeriod is how long after its latest crash it stays blocked; it comes again and again.
+	blockPeriod = time.Minute
+	// refusalWindow is how soon after a lost connection the leaf's address must refuse another one.
+	refusalWindow = 1500 * time.Millisecond
+	// answerValidity is how long an answer clears a request: crashes around it had another cause.
+	answerValidity = time.Minute
 )
 
 // Fleet shares crashes with the other VMs.
@@ -40,11 +40,11 @@
 	log   *zap.Logger
 
 	mu sync.Mutex
-	// lost requests by leaf, when each was lost last, and answered when one of these was last answered; guarded by mu.
-	lost     map[catalog.LeafID][]loss
-	lostAt   map[uint64]time.Time
-	answered map[uint64]time.Time
-	swept    time.Time
+	// losses requests by leaf, when each was lost last, and answered when one of these was last answered; guarded by mu.
+	losses     map[catalog.LeafID][]loss
+	lostAt     map[uint64]time.Time
+	answeredAt map[uint64]time.Time
+	lastSweep  time.Time
 }
 
 type loss struct {
@@ -56,20 +56,20 @@
 func New(f Fleet, clock func() time.Time, log *zap.Logger) *Guard {
 	return &Guard{
 		fleet: f, clock: clock, log: log,
-		lost: make(map[catalog.LeafID][]loss), lostAt: make(map[uint64]time.Time), answered: make(map[uint64]time.Time),
+		losses: make(map[catalog.LeafID][]loss), lostAt: make(map[uint64]time.Time), answeredAt: make(map[uint64]time.Time),
 	}
 }
 
 // Blocked tells whether the request has crashed too many leaves.
 func (g *Guard) Blocked(digest uint64) bool {
 	now := g.clock()
-	since := now.Add(-blockFor)
+	since := now.Add(-blockPeriod)
 	g.mu.Lock()
-	if at := g.answered[digest]; at.After(since) {
+	if at := g.answeredAt[digest]; at.After(since) {
 		since = at
 	}
 	g.mu.Unlock()
-	return g.fleet.Crashes(digest, since) >= blockAt
+	return g.fleet.Crashes(digest, since) >= crashesToBlock
 }
 
 // Lost notes that the leaf's connection was lost while it ran the request.
@@ -78,18 +78,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(now)
-	g.lost[leaf] = append(g.lost[leaf], loss{digest, now})
+	g.losses[leaf] = append(g.losses[leaf], loss{digest, now})
 	g.lostAt[digest] = now
 }
 
 // Answered notes that a leaf has answered the request.
 func (g *Guard) Answered(digest uint64) {
 	now := g.clock()
-	told := g.fleet.Crashes(digest, now.Add(-blockFor)) > 0
+	reported := g.fleet.Crashes(digest, now.Add(-blockPeriod)) > 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, lost := g.lostAt[digest]; lost || told {
-		g.answered[digest] = now
+	if _, lost := g.lostAt[digest]; lost || reported {
+		g.answeredAt[digest] = now
 	}
 }
 
@@ -97,10 +97,10 @@
 func (g *Guard) Down(leaf catalog.LeafID) {
 	now := g.clock()
 	g.mu.Lock()
-	losses := slices.DeleteFunc(g.lost[leaf], func(l loss) bool {
-		return now.Sub(l.at) > downWithin || now.Sub(g.answered[l.digest]) < provenFor
+	losses := slices.DeleteFunc(g.losses[leaf], func(l loss) bool {
+		return now.Sub(l.at) > refusalWindow || now.Sub(g.answeredAt[l.digest]) < answerValidity
 	})
-	delete(g.lost, leaf)
+	delete(g.losses, leaf)
 	g.mu.Unlock()
 	for _, l := range losses {
 		g.log.Warn("leaf crashed with a request in flight", zap.Stringer("leaf", leaf), zap.Uint64("digest", l.digest), zap.Duration("lost_before", now.Sub(l.at)))
@@ -110,23 +110,23 @@
 
 // sweep drops what is too old to matter. Requires mu.
 func (g *Guard) sweep(now time.Time) {
-	if now.Sub(g.swept) < downWithin {
+	if now.Sub(g.lastSweep) < refusalWindow {
 		return
 	}
-	g.swept = now
-	for leaf, list := range g.lost {
-		if now.Sub(list[len(list)-1].at) > downWithin {
-			delete(g.lost, leaf)
+	g.lastSweep = now
+	for leaf, losses := range g.losses {
+		if now.Sub(losses[len(losses)-1].at) > refusalWindow {
+			delete(g.losses, leaf)
 		}
 	}
 	for digest, at := range g.lostAt {
-		if now.Sub(at) > downWithin {
+		if now.Sub(at) > refusalWindow {
 			delete(g.lostAt, digest)
 		}
 	}
-	for digest, at := range g.answered {
-		if now.Sub(at) > provenFor {
-			delete(g.answered, digest)
+	for digest, at := range g.answeredAt {
+		if now.Sub(at) > answerValidity {
+			delete(g.answeredAt, digest)
 		}
 	}
 }
--- a/internal/crashguard/crashguard_test.go
+++ b/internal/crashguard/crashguard_test.go
@@ -11,12 +11,12 @@
 	"github.com/burdockplank/burdockplank/internal/peers"
 )
 
-// fleet keeps crashes as a fleet of one.
-type fleet struct{ crashes []peers.Crash }
+// fakeFleet keeps crashes as a fleet of one.
+type fakeFleet struct{ crashes []peers.Crash }
 
-func (f *fleet) ReportCrash(c peers.Crash) { f.crashes = append(f.crashes, c) }
+func (f *fakeFleet) ReportCrash(c peers.Crash) { f.crashes = append(f.crashes, c) }
 
-func (f *fleet) Crashes(digest uint64, since time.Time) int {
+func (f *fakeFleet) Crashes(digest uint64, since time.Time) int {
 	n := 0
 	for _, c := range f.crashes {
 		if c.Digest == digest && c.At.After(since) {
@@ -33,13 +33,13 @@
 
 func newFixture() *fixture {
 	f := &fixture{now: time.Now()}
-	f.Guard = New(&fleet{}, func() time.Time { return f.now }, zap.NewNop())
+	f.Guard = New(&fakeFleet{}, func() time.Time { return f.now }, zap.NewNop())
 	return f
 }
 
 func leafID(name string) catalog.LeafID { return catalog.LeafID{Name: name} }
 
-const poison, innocent = 7, 8
+const crashing, innocent = 7, 8
 
 // crash lets the leaf end while it runs the requests.
 func (f *fixture) crash(name string, digests ...uint64) {
@@ -51,45 +51,45 @@
 	f.Down(leaf)
 }
 
-func TestThirdCrashBlocks(t *testing.T) {
+func TestThirdCrashBlocksRequest(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	f.crash("a", poison)
-	f.crash("b", poison)
-	is.True(!f.Blocked(poison))
-	f.crash("c", poison)
-	is.True(f.Blocked(poison))
+	f.crash("a", crashing)
+	f.crash("b", crashing)
+	is.True(!f.Blocked(crashing))
+	f.crash("c", crashing)
+	is.True(f.Blocked(crashing))
 	is.True(!f.Blocked(innocent))
-	f.now = f.now.Add(blockFor)
-	is.True(!f.Blocked(poison))
+	f.now = f.now.Add(blockPeriod)
+	is.True(!f.Blocked(crashing))
 }
 
 // A connection that is lost while its leaf goes on proves nothing: resets come by the dozen.
-func TestLostConnectionsAreNoCrash(t *testing.T) {
+func TestLostConnectionsAreNotCrashes(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	for _, leaf := range []string{"a", "b", "c", "d"} {
-		f.Lost(poison, leafID(leaf))
+		f.Lost(crashing, leafID(leaf))
 	}
-	is.True(!f.Blocked(poison))
-	f.now = f.now.Add(downWithin + time.Second) // they go down much later
+	is.True(!f.Blocked(crashing))
+	f.now = f.now.Add(refusalWindow + time.Second) // they go down much later
 	for _, leaf := range []string{"a", "b", "c", "d"} {
 		f.Down(leafID(leaf))
 	}
-	is.True(!f.Blocked(poison))
+	is.True(!f.Blocked(crashing))
 }
 
 // A request that was in flight at crashes by bad luck is cleared by an answer.
-func TestAnswerClears(t *testing.T) {
+func TestAnswerClearsRequest(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	for _, leaf := range []string{"a", "b", "c"} {
-		f.crash(leaf, poison, innocent)
+		f.crash(leaf, crashing, innocent)
 	}
 	is.True(f.Blocked(innocent))
 	f.Answered(innocent)
 	is.True(!f.Blocked(innocent))
-	is.True(f.Blocked(poison))
+	is.True(f.Blocked(crashing))
 	f.now = f.now.Add(time.Second)
 	f.crash("d", innocent)
 	is.True(!f.Blocked(innocent))
@@ -102,12 +102,12 @@
 		f.Lost(uint64(i), leafID(string(rune('a'+i%20))))
 		f.now = f.now.Add(time.Second)
 	}
-	is.True(len(f.lost) < 10)
+	is.True(len(f.losses) < 10)
 }
 
 // A cut that resets connections looks like the crash of all leaves beyond it. Searches in flight get their parts from
 // the leaves on this side, before or right after, and aren't what crashed the others.
-func TestAnsweredRequestCrashesNobody(t *testing.T) {
+func TestAnsweredRequestIsNotBlocked(t *testing.T) {
 	for name, answered := range map[string]func(f *fixture){
 		"after the loss": func(f *fixture) {
 			f.Lost(innocent, leafID("a"))
@@ -128,15 +128,15 @@
 			is := is.New(t)
 			f := newFixture()
 			answered(f)
-			f.Lost(poison, leafID("a"))
-			f.Lost(poison, leafID("b"))
-			f.Lost(poison, leafID("c"))
+			f.Lost(crashing, leafID("a"))
+			f.Lost(crashing, leafID("b"))
+			f.Lost(crashing, leafID("c"))
 			for _, leaf := range []string{"a", "b", "c"} {
 				f.Down(leafID(leaf))
 			}
 			is.True(!f.Blocked(innocent))
-			is.Equal(len(f.fleet.(*fleet).crashes), 3) // others are told of the poison alone
-			is.True(f.Blocked(poison))
+			is.Equal(len(f.fleet.(*fakeFleet).crashes), 3) // others are told of the poison alone
+			is.True(f.Blocked(crashing))
 		})
 	}
 }
