--- a/internal/crashguard/crashguard.go
+++ b/internal/crashguard/crashguard.go
@@ -1,8 +1,8 @@
-// Package crashguard finds requests that crash the leaves that run them, and blocks them in the whole
-// fleet. A crash counts against a request where its connection to the leaf was lost while it ran and
-// the leaf's address takes no connections right after; a connection lost alone proves nothing. Such a request crashes
-// each leaf that runs it, so that one which any leaf answers isn't to blame: a cut that resets connections looks like
-// the crash of all leaves beyond it.
+// Package crashguard detects requests that crash the leaves that run them and blocks them in the whole
+// fleet. A crash counts against a request if the connection to the leaf was lost while the request ran
+// and the leaf's address refuses connections right after. A lost connection alone proves nothing. A
+// crashing request crashes every leaf that runs it, so a request that any leaf answers is not the cause:
+// a network partition that resets connections looks like the crash of all leaves beyond it.
 package crashguard
 
 import (
@@ -17,30 +17,35 @@
 )
 
 const (
-	// crashesToBlock is the number of crashed leaves from which a request is blocked.
+	// crashesToBlock is the number of crashed leaves at which a request is blocked.
 	crashesToBlock = 3
-	// blockPeriod is how long after its latest crash it stays blocked; it comes again and again.
+	// blockPeriod is how long a crash counts towards the block of a request, because crashing requests
+	// are sent repeatedly.
 	blockPeriod = time.Minute
-	// refusalWindow is how soon after a lost connection the leaf's address must refuse another one.
+	// refusalWindow is how soon after a lost connection the leaf's address must refuse another one for
+	// the loss to count as a crash.
 	refusalWindow = 1500 * time.Millisecond
-	// answerValidity is how long an answer clears a request: crashes around it had another cause.
+	// answerValidity is how long an answer clears a request. Crashes within that time had another cause.
 	answerValidity = time.Minute
 )
 
-// Fleet shares crashes with the other VMs.
+// Fleet shares crashes with the other VMs. Crashes returns the number of leaves that crashed
+// with the request in flight since the given time.
 type Fleet interface {
 	ReportCrash(c peers.Crash)
 	Crashes(digest uint64, since time.Time) int
 }
 
-// Guard is safe for concurrent use.
+// Guard blocks requests that crash leaves. It is safe for concurrent use.
 type Guard struct {
 	fleet Fleet
 	clock func() time.Time
 	log   *zap.Logger
 
 	mu sync.Mutex
-	// losses requests by leaf, when each was lost last, and answered when one of these was last answered; guarded by mu.
+	// mu guards the fields below. losses holds the connection losses by leaf. lostAt is when each
+	// request last lost its connection. answeredAt is when one of these requests, or one with a crash
+	// reported in the fleet, was last answered. lastSweep is when sweep last removed old entries.
 	losses     map[catalog.LeafID][]loss
 	lostAt     map[uint64]time.Time
 	answeredAt map[uint64]time.Time
@@ -52,7 +57,7 @@
 	at     time.Time
 }
 
-// New returns a guard that suspects nothing.
+// New returns a guard without recorded losses.
 func New(f Fleet, clock func() time.Time, log *zap.Logger) *Guard {
 	return &Guard{
 		fleet: f, clock: clock, log: log,
@@ -60,7 +65,8 @@
 	}
 }
 
-// Blocked tells whether the request has crashed too many leaves.
+// Blocked reports whether the request has crashed too many leaves since its last answer, within
+// blockPeriod.
 func (g *Guard) Blocked(digest uint64) bool {
 	now := g.clock()
 	since := now.Add(-blockPeriod)
@@ -72,7 +78,7 @@
 	return g.fleet.Crashes(digest, since) >= crashesToBlock
 }
 
-// Lost notes that the leaf's connection was lost while it ran the request.
+// Lost records that the connection to the leaf was lost while the leaf ran the request.
 func (g *Guard) Lost(digest uint64, leaf catalog.LeafID) {
 	now := g.clock()
 	g.mu.Lock()
@@ -82,7 +88,8 @@
 	g.lostAt[digest] = now
 }
 
-// Answered notes that a leaf has answered the request.
+// Answered records that a leaf has answered the request. It does nothing for a request without a
+// recorded loss or reported crash.
 func (g *Guard) Answered(digest uint64) {
 	now := g.clock()
 	reported := g.fleet.Crashes(digest, now.Add(-blockPeriod)) > 0
@@ -93,7 +100,9 @@
 	}
 }
 
-// Down notes that the leaf's address takes no connections.
+// Down records that the leaf's address refuses connections. It reports a crash to the fleet for each
+// request that lost its connection to the leaf within refusalWindow and was not answered within
+// answerValidity.
 func (g *Guard) Down(leaf catalog.LeafID) {
 	now := g.clock()
 	g.mu.Lock()
@@ -108,7 +117,7 @@
 	}
 }
 
-// sweep drops what is too old to matter. Requires mu.
+// sweep removes entries that no longer have an effect, at most once per refusalWindow. Requires mu.
 func (g *Guard) sweep(now time.Time) {
 	if now.Sub(g.lastSweep) < refusalWindow {
 		return
--- a/internal/crashguard/crashguard_test.go
+++ b/internal/crashguard/crashguard_test.go
@@ -11,7 +11,7 @@
 	"github.com/burdockplank/burdockplank/internal/peers"
 )
 
-// fakeFleet keeps crashes as a fleet of one.
+// fakeFleet records crashes like a fleet with a single VM.
 type fakeFleet struct{ crashes []peers.Crash }
 
 func (f *fakeFleet) ReportCrash(c peers.Crash) { f.crashes = append(f.crashes, c) }
@@ -41,7 +41,7 @@
 
 const crashing, innocent = 7, 8
 
-// crash lets the leaf end while it runs the requests.
+// crash simulates a crash of the leaf while it runs the requests.
 func (f *fixture) crash(name string, digests ...uint64) {
 	leaf := leafID(name)
 	for _, d := range digests {
@@ -64,7 +64,7 @@
 	is.True(!f.Blocked(crashing))
 }
 
-// A connection that is lost while its leaf goes on proves nothing: resets come by the dozen.
+// A connection lost while its leaf keeps running proves nothing: resets come by the dozen.
 func TestLostConnectionsAreNotCrashes(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -72,14 +72,14 @@
 		f.Lost(crashing, leafID(leaf))
 	}
 	is.True(!f.Blocked(crashing))
-	f.now = f.now.Add(refusalWindow + time.Second) // they go down much later
+	f.now = f.now.Add(refusalWindow + time.Second) // the leaves go down much later
 	for _, leaf := range []string{"a", "b", "c", "d"} {
 		f.Down(leafID(leaf))
 	}
 	is.True(!f.Blocked(crashing))
 }
 
-// A request that was in flight at crashes by bad luck is cleared by an answer.
+// An answer clears a request that was in flight at crashes without causing them.
 func TestAnswerClearsRequest(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -105,8 +105,9 @@
 	is.True(len(f.losses) < 10)
 }
 
-// A cut that resets connections looks like the crash of all leaves beyond it. Searches in flight get their parts from
-// the leaves on this side, before or right after, and aren't what crashed the others.
+// A network partition that resets connections looks like the crash of all leaves beyond it. Searches in
+// flight get their parts from the leaves on this side, before or right after the resets, and did not crash
+// the others.
 func TestAnsweredRequestIsNotBlocked(t *testing.T) {
 	for name, answered := range map[string]func(f *fixture){
 		"after the loss": func(f *fixture) {
@@ -135,7 +136,7 @@
 				f.Down(leafID(leaf))
 			}
 			is.True(!f.Blocked(innocent))
-			is.Equal(len(f.fleet.(*fakeFleet).crashes), 3) // others are told of the poison alone
+			is.Equal(len(f.fleet.(*fakeFleet).crashes), 3) // only the crashing request is reported
 			is.True(f.Blocked(crashing))
 		})
 	}
