--- a/internal/evidence/crash.go
+++ b/internal/evidence/crash.go
@@ -22,8 +22,8 @@
 
 // crash is the newest sight of it.
 type crash struct {
-	// seen is the local time at which its age was 0.
-	seen time.Time
+	// seenAt is the local time at which its age was 0.
+	seenAt time.Time
 	// alone is true where any VM saw no other request in flight there.
 	alone bool
 	// answered is true where any VM knows that a leaf has answered the request.
@@ -50,23 +50,23 @@
 	return xxhash.Sum64(b)
 }
 
-func crashOf(c *pb.Crash, now time.Time) crash {
-	return crash{seen: now.Add(-max(c.GetAge().AsDuration(), 0)), alone: c.GetAlone(), answered: c.GetAnswered()}
+func newCrash(c *pb.Crash, now time.Time) crash {
+	return crash{seenAt: now.Add(-max(c.GetAge().AsDuration(), 0)), alone: c.GetAlone(), answered: c.GetAnswered()}
 }
 
 // mergeCrash joins c to what is held, and tells whether that is news; mu is held.
-func (s *Set) mergeCrash(key CrashKey, c crash, now time.Time) (news bool) {
-	if key.Leaf == "" || now.Sub(c.seen) >= CrashTTL {
+func (s *Set) mergeCrash(key CrashKey, c crash, now time.Time) (isNew bool) {
+	if key.Leaf == "" || now.Sub(c.seenAt) >= CrashTTL {
 		return false
 	}
-	held, ok := s.crashes[key]
-	if ok && held.seen.After(c.seen) {
-		c.seen = held.seen
+	existing, ok := s.crashes[key]
+	if ok && existing.seenAt.After(c.seenAt) {
+		c.seenAt = existing.seenAt
 	}
-	news = !ok || c.alone && !held.alone || c.answered && !held.answered
-	c.alone, c.answered = c.alone || held.alone, c.answered || held.answered
+	isNew = !ok || c.alone && !existing.alone || c.answered && !existing.answered
+	c.alone, c.answered = c.alone || existing.alone, c.answered || existing.answered
 	s.crashes[key] = c
-	return news
+	return isNew
 }
 
 // Crash returns one crash with its age as it is sent, or nil.
@@ -100,7 +100,7 @@
 func (c crash) proto(key CrashKey, now time.Time) *pb.Crash {
 	return &pb.Crash{
 		RequestDigest: key.RequestDigest, Leaf: key.Leaf, Incarnation: key.Incarnation, Alone: c.alone, Answered: c.answered,
-		Age: durationpb.New(roundAge(now.Sub(c.seen))),
+		Age: durationpb.New(roundAge(now.Sub(c.seenAt))),
 	}
 }
 
--- a/internal/evidence/departure.go
+++ b/internal/evidence/departure.go
@@ -22,8 +22,8 @@
 
 // departure is the newest sight of it.
 type departure struct {
-	// seen is the local time at which its age was 0.
-	seen   time.Time
+	// seenAt is the local time at which its age was 0.
+	seenAt time.Time
 	source pb.DepartureSource
 	vm     string
 }
@@ -51,26 +51,26 @@
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte("d"+k.Leaf), k.Incarnation))
 }
 
-func departureOf(d *pb.Departure, now time.Time) departure {
-	return departure{seen: now.Add(-max(d.GetAge().AsDuration(), 0)), source: d.GetSource(), vm: d.GetVm()}
+func newDeparture(d *pb.Departure, now time.Time) departure {
+	return departure{seenAt: now.Add(-max(d.GetAge().AsDuration(), 0)), source: d.GetSource(), vm: d.GetVm()}
 }
 
 // compare orders sights of one departure: the newer holds, and any total order decides a tie.
 func (d departure) compare(o departure) int {
-	return cmp.Or(d.seen.Compare(o.seen), cmp.Compare(d.source, o.source), cmp.Compare(d.vm, o.vm))
+	return cmp.Or(d.seenAt.Compare(o.seenAt), cmp.Compare(d.source, o.source), cmp.Compare(d.vm, o.vm))
 }
 
 // mergeDeparture takes d if it is newer, and tells whether that is news; mu is held.
-func (s *Set) mergeDeparture(key DepartureKey, d departure, now time.Time) (news bool) {
-	if key.Leaf == "" || now.Sub(d.seen) >= key.ttl() {
+func (s *Set) mergeDeparture(key DepartureKey, d departure, now time.Time) (isNew bool) {
+	if key.Leaf == "" || now.Sub(d.seenAt) >= key.ttl() {
 		return false
 	}
-	held, ok := s.departures[key]
-	if ok && d.compare(held) <= 0 {
+	existing, ok := s.departures[key]
+	if ok && d.compare(existing) <= 0 {
 		return false
 	}
 	s.departures[key] = d
-	return !ok || key.Incarnation == 0 && d.seen.Sub(held.seen) >= confirmAfter
+	return !ok || key.Incarnation == 0 && d.seenAt.Sub(existing.seenAt) >= confirmationInterval
 }
 
 // Departure returns one departure with its age as it is sent, or nil.
@@ -101,7 +101,7 @@
 func (d departure) proto(key DepartureKey, now time.Time) *pb.Departure {
 	return &pb.Departure{
 		Leaf: key.Leaf, Incarnation: key.Incarnation, Source: d.source, Vm: d.vm,
-		Age: durationpb.New(roundAge(now.Sub(d.seen))),
+		Age: durationpb.New(roundAge(now.Sub(d.seenAt))),
 	}
 }
 
--- a/internal/evidence/oldest.go
+++ b/internal/evidence/oldest.go
@@ -6,13 +6,13 @@
 )
 
 // dropOldest removes the n oldest entries of m; keys decide between entries of one age.
-func dropOldest[K comparable, V any](m map[K]V, n int, seen func(V) time.Time, less func(a, b K) bool) {
+func dropOldest[K comparable, V any](m map[K]V, n int, seenAt func(V) time.Time, less func(a, b K) bool) {
 	keys := make([]K, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b K) int {
-		if c := seen(m[a]).Compare(seen(m[b])); c != 0 {
+		if c := seenAt(m[a]).Compare(seenAt(m[b])); c != 0 {
 			return c
 		}
 		if less(a, b) {
--- a/internal/evidence/set.go
+++ b/internal/evidence/set.go
@@ -19,8 +19,8 @@
 	DepartureTTL = 6 * time.Hour
 	// CrashTTL is how long a crash counts against a request.
 	CrashTTL = 10 * time.Minute
-	// confirmAfter is how old a refusal must be before its confirmation is news.
-	confirmAfter = time.Second
+	// confirmationInterval is how old a refusal must be before its confirmation is news.
+	confirmationInterval = time.Second
 	// hashMargin keeps evidence that is about to age out away from the hash, since VMs drop it at
 	// slightly different moments.
 	hashMargin = 10 * time.Second
@@ -44,7 +44,7 @@
 }
 
 // Empty tells whether there is none.
-func (n Updates) Empty() bool { return len(n.Departures) == 0 && len(n.Crashes) == 0 }
+func (u Updates) Empty() bool { return len(u.Departures) == 0 && len(u.Crashes) == 0 }
 
 // New returns an empty set.
 func New() *Set {
@@ -55,19 +55,19 @@
 func (s *Set) Merge(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) Updates {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var news Updates
+	var updates Updates
 	for _, d := range departures {
-		if key := KeyOfDeparture(d); s.mergeDeparture(key, departureOf(d, now), now) {
-			news.Departures = append(news.Departures, key)
+		if key := KeyOfDeparture(d); s.mergeDeparture(key, newDeparture(d, now), now) {
+			updates.Departures = append(updates.Departures, key)
 		}
 	}
 	for _, c := range crashes {
-		if key := KeyOfCrash(c); s.mergeCrash(key, crashOf(c, now), now) {
-			news.Crashes = append(news.Crashes, key)
+		if key := KeyOfCrash(c); s.mergeCrash(key, newCrash(c, now), now) {
+			updates.Crashes = append(updates.Crashes, key)
 		}
 	}
-	s.bound()
-	return news
+	s.enforceLimits()
+	return updates
 }
 
 // Expire drops what has aged out and tells whether anything did.
@@ -76,12 +76,12 @@
 	defer s.mu.Unlock()
 	before := len(s.departures) + len(s.crashes)
 	for k, d := range s.departures {
-		if now.Sub(d.seen) >= k.ttl() {
+		if now.Sub(d.seenAt) >= k.ttl() {
 			delete(s.departures, k)
 		}
 	}
 	for k, c := range s.crashes {
-		if now.Sub(c.seen) >= CrashTTL {
+		if now.Sub(c.seenAt) >= CrashTTL {
 			delete(s.crashes, k)
 		}
 	}
@@ -95,12 +95,12 @@
 	defer s.mu.Unlock()
 	var sum uint64
 	for k, d := range s.departures {
-		if k.Incarnation != 0 && now.Sub(d.seen) < k.ttl()-hashMargin {
+		if k.Incarnation != 0 && now.Sub(d.seenAt) < k.ttl()-hashMargin {
 			sum += k.hash()
 		}
 	}
 	for k, c := range s.crashes {
-		if now.Sub(c.seen) < CrashTTL-hashMargin {
+		if now.Sub(c.seenAt) < CrashTTL-hashMargin {
 			sum += c.hash(k)
 		}
 	}
@@ -114,12 +114,12 @@
 	return len(s.departures), len(s.crashes)
 }
 
-// bound drops the oldest evidence above the limits; mu is held.
-func (s *Set) bound() {
+// enforceLimits drops the oldest evidence above the limits; mu is held.
+func (s *Set) enforceLimits() {
 	if n := len(s.departures) - MaxDepartures; n > 0 {
-		dropOldest(s.departures, n, func(d departure) time.Time { return d.seen }, DepartureKey.less)
+		dropOldest(s.departures, n, func(d departure) time.Time { return d.seenAt }, DepartureKey.less)
 	}
 	if n := len(s.crashes) - MaxCrashes; n > 0 {
-		dropOldest(s.crashes, n, func(c crash) time.Time { return c.seen }, CrashKey.less)
+		dropOldest(s.crashes, n, func(c crash) time.Time { return c.seenAt }, CrashKey.less)
 	}
 }
--- a/internal/evidence/set_test.go
+++ b/internal/evidence/set_test.go
@@ -11,7 +11,7 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-var start = time.Unix(1000, 0)
+var testStart = time.Unix(1000, 0)
 
 func departed(leaf string, incarnation uint64, age time.Duration) []*pb.Departure {
 	return []*pb.Departure{{Leaf: leaf, Incarnation: incarnation, Source: pb.DepartureSource_DEPARTURE_SOURCE_GOAWAY, Age: durationpb.New(age)}}
@@ -39,48 +39,48 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := New()
-			is.Equal(len(s.Merge(departed("a", tt.incarnation, 0), nil, start).Departures), 1)
+			is.Equal(len(s.Merge(departed("a", tt.incarnation, 0), nil, testStart).Departures), 1)
 			for _, at := range tt.confirmed {
-				s.Merge(departed("a", tt.incarnation, 0), nil, start.Add(at))
+				s.Merge(departed("a", tt.incarnation, 0), nil, testStart.Add(at))
 			}
-			is.True(!s.Expire(start.Add(tt.held - 1)))
-			is.Equal(len(s.Departures(start)), 1)
-			is.True(s.Expire(start.Add(tt.held)))
-			is.Equal(len(s.Departures(start)), 0)
+			is.True(!s.Expire(testStart.Add(tt.held - 1)))
+			is.Equal(len(s.Departures(testStart)), 1)
+			is.True(s.Expire(testStart.Add(tt.held)))
+			is.Equal(len(s.Departures(testStart)), 0)
 		})
 	}
 }
 
-func TestDepartureIsOfItsIncarnationAlone(t *testing.T) {
+func TestDepartureAppliesToItsIncarnationOnly(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	s.Merge(departed("a", 1, 0), nil, start)
-	news := s.Merge(departed("a", 2, 0), nil, start)
-	is.Equal(news.Departures, []DepartureKey{{Leaf: "a", Incarnation: 2}})
-	is.Equal(len(s.Departures(start)), 2) // the first is not withdrawn
+	s.Merge(departed("a", 1, 0), nil, testStart)
+	updates := s.Merge(departed("a", 2, 0), nil, testStart)
+	is.Equal(updates.Departures, []DepartureKey{{Leaf: "a", Incarnation: 2}})
+	is.Equal(len(s.Departures(testStart)), 2) // the first is not withdrawn
 }
 
-func TestAgesTravel(t *testing.T) {
+func TestAgesAreKeptAcrossMerges(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	s.Merge(departed("a", 0, 4*time.Second), nil, start)
-	is.Equal(s.Departures(start)[0].GetAge().AsDuration(), 4*time.Second)
-	is.True(s.Expire(start.Add(time.Second)))
-	is.True(s.Merge(departed("a", 0, RefusalTTL), nil, start).Empty()) // came too late
-	is.True(s.Merge(nil, crashed(1, "a", 1, CrashTTL), start).Empty())
+	s.Merge(departed("a", 0, 4*time.Second), nil, testStart)
+	is.Equal(s.Departures(testStart)[0].GetAge().AsDuration(), 4*time.Second)
+	is.True(s.Expire(testStart.Add(time.Second)))
+	is.True(s.Merge(departed("a", 0, RefusalTTL), nil, testStart).Empty()) // came too late
+	is.True(s.Merge(nil, crashed(1, "a", 1, CrashTTL), testStart).Empty())
 }
 
 func TestCrashesCountOncePerLeafAndIncarnation(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	s.Merge(nil, crashed(1, "a", 1, 0), start)
-	is.True(s.Merge(nil, crashed(1, "a", 1, time.Second), start).Empty()) // another VM saw the same
-	s.Merge(nil, crashed(1, "a", 2, 0), start)
-	s.Merge(nil, crashed(1, "b", 1, 0), start.Add(time.Second))
-	s.Merge(nil, crashed(2, "b", 1, 0), start)
-	is.Equal(CrashCounts(s.Crashes(start)), map[uint64]int{1: 3, 2: 1})
-	s.Expire(start.Add(CrashTTL))
-	is.Equal(CrashCounts(s.Crashes(start)), map[uint64]int{1: 1})
+	s.Merge(nil, crashed(1, "a", 1, 0), testStart)
+	is.True(s.Merge(nil, crashed(1, "a", 1, time.Second), testStart).Empty()) // another VM saw the same
+	s.Merge(nil, crashed(1, "a", 2, 0), testStart)
+	s.Merge(nil, crashed(1, "b", 1, 0), testStart.Add(time.Second))
+	s.Merge(nil, crashed(2, "b", 1, 0), testStart)
+	is.Equal(CrashCounts(s.Crashes(testStart)), map[uint64]int{1: 3, 2: 1})
+	s.Expire(testStart.Add(CrashTTL))
+	is.Equal(CrashCounts(s.Crashes(testStart)), map[uint64]int{1: 1})
 }
 
 // TestWordOfAnAnswerIsNews: it is passed on for a crash that is known, and hashes differ until both sides have it.
@@ -88,63 +88,63 @@
 	is := is.New(t)
 	s, other := New(), New()
 	c := crashed(1, "a", 1, 0)
-	s.Merge(nil, c, start)
-	other.Merge(nil, c, start)
-	is.Equal(s.Hash(start), other.Hash(start))
-	vouched := crashed(1, "a", 1, 0)
-	vouched[0].Answered = true
-	is.Equal(len(s.Merge(nil, vouched, start).Crashes), 1)
-	is.True(s.Hash(start) != other.Hash(start))
-	is.True(s.Merge(nil, c, start).Empty()) // it isn't taken back by one who doesn't know
-	is.True(s.Crashes(start)[0].GetAnswered())
+	s.Merge(nil, c, testStart)
+	other.Merge(nil, c, testStart)
+	is.Equal(s.Hash(testStart), other.Hash(testStart))
+	answered := crashed(1, "a", 1, 0)
+	answered[0].Answered = true
+	is.Equal(len(s.Merge(nil, answered, testStart).Crashes), 1)
+	is.True(s.Hash(testStart) != other.Hash(testStart))
+	is.True(s.Merge(nil, c, testStart).Empty()) // it isn't taken back by one who doesn't know
+	is.True(s.Crashes(testStart)[0].GetAnswered())
 }
 
-func TestBoundsDropTheOldest(t *testing.T) {
+func TestLimitsDropTheOldest(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	for i := range uint64(MaxCrashes + 1) {
-		s.Merge(nil, crashed(i, "a", 1, 0), start.Add(time.Duration(i)))
+		s.Merge(nil, crashed(i, "a", 1, 0), testStart.Add(time.Duration(i)))
 	}
 	_, n := s.Len()
 	is.Equal(n, MaxCrashes)
-	is.Equal(s.Crash(CrashKey{RequestDigest: 0, Leaf: "a", Incarnation: 1}, start), nil)
+	is.Equal(s.Crash(CrashKey{RequestDigest: 0, Leaf: "a", Incarnation: 1}, testStart), nil)
 }
 
-// piece is one item of evidence.
-type piece struct {
+// item is one item of evidence.
+type item struct {
 	departures []*pb.Departure
 	crashes    []*pb.Crash
 }
 
-func genPiece(t *rapid.T) piece {
+func genItem(t *rapid.T) item {
 	leaf := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "leaf")
 	incarnation := rapid.Uint64Range(0, 2).Draw(t, "incarnation")
 	age := time.Duration(rapid.IntRange(0, 8).Draw(t, "age")) * time.Second
 	if rapid.Bool().Draw(t, "crash") {
 		c := crashed(rapid.Uint64Range(1, 2).Draw(t, "digest"), leaf, incarnation, age)
 		c[0].Alone, c[0].Answered = rapid.Bool().Draw(t, "alone"), rapid.Bool().Draw(t, "answered")
-		return piece{crashes: c}
+		return item{crashes: c}
 	}
 	d := departed(leaf, incarnation, age)
 	d[0].Vm = rapid.SampledFrom([]string{"v", "w"}).Draw(t, "vm")
-	return piece{departures: d}
+	return item{departures: d}
 }
 
 // merged returns a set of all pieces.
-func merged(pieces []piece) *Set {
+func merged(items []item) *Set {
 	s := New()
-	for _, p := range pieces {
-		s.Merge(p.departures, p.crashes, start)
+	for _, it := range items {
+		s.Merge(it.departures, it.crashes, testStart)
 	}
 	return s
 }
 
-// text shows all that a set holds.
-func text(s *Set) (out []string) {
-	for _, d := range s.Departures(start) {
+// contents shows all that a set holds.
+func contents(s *Set) (out []string) {
+	for _, d := range s.Departures(testStart) {
 		out = append(out, d.String())
 	}
-	for _, c := range s.Crashes(start) {
+	for _, c := range s.Crashes(testStart) {
 		out = append(out, c.String())
 	}
 	return out
@@ -153,15 +153,15 @@
 func TestMergeOrderAndRepetitionDoNotMatter(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
-		pieces := rapid.SliceOfN(rapid.Custom(genPiece), 0, 12).Draw(rt, "pieces")
-		shuffled := rapid.Permutation(pieces).Draw(rt, "shuffled")
-		one, other := merged(pieces), merged(append(shuffled, pieces...))
-		is.Equal(text(one), text(other))
-		is.Equal(one.Hash(start), other.Hash(start))
+		items := rapid.SliceOfN(rapid.Custom(genItem), 0, 12).Draw(rt, "pieces")
+		shuffled := rapid.Permutation(items).Draw(rt, "shuffled")
+		one, other := merged(items), merged(append(shuffled, items...))
+		is.Equal(contents(one), contents(other))
+		is.Equal(one.Hash(testStart), other.Hash(testStart))
 		// Whole sets merge as single pieces do.
-		cut := rapid.IntRange(0, len(pieces)).Draw(rt, "cut")
-		left, right := merged(pieces[:cut]), merged(pieces[cut:])
-		right.Merge(left.Departures(start), left.Crashes(start), start)
-		is.Equal(text(one), text(right))
+		cut := rapid.IntRange(0, len(items)).Draw(rt, "cut")
+		left, right := merged(items[:cut]), merged(items[cut:])
+		right.Merge(left.Departures(testStart), left.Crashes(testStart), testStart)
+		is.Equal(contents(one), contents(right))
 	})
 }
