--- a/internal/evidence/crash.go
+++ b/internal/evidence/crash.go
@@ -12,21 +12,21 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// CrashKey names one crash of an upstream with one request in flight. VMs that saw the same crash
-// have the same key.
+// CrashKey identifies one crash of an upstream with one request in flight. All VMs that observe the
+// same crash use the same key.
 type CrashKey struct {
 	RequestDigest uint64
 	Leaf          string
 	Incarnation   uint64
 }
 
-// crash is the newest sight of it.
+// crash is the merged evidence of one crash.
 type crash struct {
-	// seenAt is the local time at which its age was 0.
+	// seenAt is the local time at which the age of the newest observation was 0.
 	seenAt time.Time
-	// alone is true where any VM saw no other request in flight there.
+	// alone is true if any VM observed no other request in flight at the upstream.
 	alone bool
-	// answered is true where any VM knows that a leaf has answered the request.
+	// answered is true if any VM knows that a leaf has answered the request.
 	answered bool
 }
 
@@ -40,7 +40,7 @@
 	return c < 0
 }
 
-// hash covers the key and whether the request was answered.
+// hash returns a hash of the key and of whether the request was answered.
 func (c crash) hash(k CrashKey) uint64 {
 	b := binary.LittleEndian.AppendUint64([]byte("c"+k.Leaf), k.RequestDigest)
 	b = binary.LittleEndian.AppendUint64(b, k.Incarnation)
@@ -54,7 +54,8 @@
 	return crash{seenAt: now.Add(-max(c.GetAge().AsDuration(), 0)), alone: c.GetAlone(), answered: c.GetAnswered()}
 }
 
-// mergeCrash joins c to what is held, and tells whether that is news; mu is held.
+// mergeCrash merges c into the set and reports whether that is an update for other VMs: a new crash, or
+// alone or answered set for the first time. A crash of age CrashTTL or more is ignored. Requires mu.
 func (s *Set) mergeCrash(key CrashKey, c crash, now time.Time) (isNew bool) {
 	if key.Leaf == "" || now.Sub(c.seenAt) >= CrashTTL {
 		return false
@@ -69,7 +70,7 @@
 	return isNew
 }
 
-// Crash returns one crash with its age as it is sent, or nil.
+// Crash returns the crash of a key with its age at now, or nil if the set does not hold it.
 func (s *Set) Crash(key CrashKey, now time.Time) *pb.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +81,7 @@
 	return c.proto(key, now)
 }
 
-// Crashes returns all with their ages, by request, leaf and incarnation.
+// Crashes returns all crashes with their ages at now, sorted by request, leaf and incarnation.
 func (s *Set) Crashes(now time.Time) []*pb.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +105,8 @@
 	}
 }
 
-// CrashCounts returns for each request digest how many distinct crashes it was in flight at.
+// CrashCounts returns, by request digest, the number of distinct crashes that the request was in flight
+// at.
 func CrashCounts(crashes []*pb.Crash) map[uint64]int {
 	distinct := make(map[CrashKey]bool, len(crashes))
 	counts := make(map[uint64]int)
--- a/internal/evidence/departure.go
+++ b/internal/evidence/departure.go
@@ -12,15 +12,15 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// DepartureKey names the evidence that one incarnation of an upstream leaves. A departure is never
-// withdrawn: another incarnation of the upstream has another key.
+// DepartureKey identifies the evidence that one incarnation of an upstream is leaving. A departure is
+// never withdrawn: another incarnation of the upstream has another key.
 type DepartureKey struct {
 	Leaf string
-	// Incarnation is 0 where the source can't tell it.
+	// Incarnation is 0 if the source does not know it.
 	Incarnation uint64
 }
 
-// departure is the newest sight of it.
+// departure is the newest observation of one departure.
 type departure struct {
 	// seenAt is the local time at which its age was 0.
 	seenAt time.Time
@@ -55,12 +55,15 @@
 	return departure{seenAt: now.Add(-max(d.GetAge().AsDuration(), 0)), source: d.GetSource(), vm: d.GetVm()}
 }
 
-// compare orders sights of one departure: the newer holds, and any total order decides a tie.
+// compare orders observations of one departure. The newer one wins. Ties are broken by source and VM; any
+// total order would do.
 func (d departure) compare(o departure) int {
 	return cmp.Or(d.seenAt.Compare(o.seenAt), cmp.Compare(d.source, o.source), cmp.Compare(d.vm, o.vm))
 }
 
-// mergeDeparture takes d if it is newer, and tells whether that is news; mu is held.
+// mergeDeparture stores d if it is newer than the stored observation and reports whether that is an
+// update for other VMs: a new departure, or a refusal confirmed after confirmationInterval or more. A
+// departure whose age has reached its TTL is ignored. Requires mu.
 func (s *Set) mergeDeparture(key DepartureKey, d departure, now time.Time) (isNew bool) {
 	if key.Leaf == "" || now.Sub(d.seenAt) >= key.ttl() {
 		return false
@@ -73,7 +76,7 @@
 	return !ok || key.Incarnation == 0 && d.seenAt.Sub(existing.seenAt) >= confirmationInterval
 }
 
-// Departure returns one departure with its age as it is sent, or nil.
+// Departure returns the departure of a key with its age at now, or nil if the set does not hold it.
 func (s *Set) Departure(key DepartureKey, now time.Time) *pb.Departure {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +87,7 @@
 	return d.proto(key, now)
 }
 
-// Departures returns all with their ages, by leaf and incarnation.
+// Departures returns all departures with their ages at now, sorted by leaf and incarnation.
 func (s *Set) Departures(now time.Time) []*pb.Departure {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +108,8 @@
 	}
 }
 
-// roundAge shortens the encoded form; it never makes an age shorter.
+// roundAge rounds an age up to whole milliseconds, which shortens its encoded form. It never makes an age
+// smaller, except that it turns a negative one into 0.
 func roundAge(age time.Duration) time.Duration {
 	return max(age+time.Millisecond-1, 0).Truncate(time.Millisecond)
 }
--- a/internal/evidence/oldest.go
+++ b/internal/evidence/oldest.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// dropOldest removes the n oldest entries of m; keys decide between entries of one age.
+// dropOldest removes the n oldest entries of m. Entries of the same age are ordered by their keys.
 func dropOldest[K comparable, V any](m map[K]V, n int, seenAt func(V) time.Time, less func(a, b K) bool) {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/evidence/set.go
+++ b/internal/evidence/set.go
@@ -1,7 +1,7 @@
-// Package evidence holds what VMs saw of upstreams: departures of upstream incarnations, and
-// requests that were in flight when an upstream crashed. Evidence travels with its age, never with
-// a clock's time. The package is pure: the clock is an argument. Merging is commutative,
-// associative and idempotent, so the order in which VMs hear of each other doesn't matter.
+// Package evidence holds what VMs observed of upstreams: departures of upstream incarnations, and
+// requests that were in flight when an upstream crashed. Evidence is sent with its age, never with a
+// clock time. The package does not read the clock: callers pass the time. Merging is commutative,
+// associative and idempotent, so the order in which evidence arrives from other VMs does not matter.
 package evidence
 
 import (
@@ -12,38 +12,39 @@
 )
 
 const (
-	// RefusalTTL is how long evidence without an incarnation holds unless it is confirmed.
+	// RefusalTTL is how long evidence without an incarnation is valid unless it is confirmed.
 	RefusalTTL = 5 * time.Second
-	// DepartureTTL is how long a departure is remembered after it was last confirmed: longer than
-	// any upstream drains.
+	// DepartureTTL is how long a departure is remembered after it was last confirmed. It is longer than
+	// any upstream takes to drain.
 	DepartureTTL = 6 * time.Hour
 	// CrashTTL is how long a crash counts against a request.
 	CrashTTL = 10 * time.Minute
-	// confirmationInterval is how old a refusal must be before its confirmation is news.
+	// confirmationInterval is how old a refusal must be before a confirmation of it counts as an update.
 	confirmationInterval = time.Second
-	// hashMargin keeps evidence that is about to age out away from the hash, since VMs drop it at
-	// slightly different moments.
+	// hashMargin is how long before its expiry evidence is left out of the hash, since VMs drop it at
+	// slightly different times.
 	hashMargin = 10 * time.Second
-	// MaxDepartures and MaxCrashes bound the memory; beyond them the oldest go first.
+	// MaxDepartures and MaxCrashes bound the memory of a set. Above them the oldest entries are
+	// dropped first.
 	MaxDepartures = 20_000
 	MaxCrashes    = 10_000
 )
 
-// Set is one VM's evidence. It is safe for concurrent use.
+// Set holds the evidence of one VM. It is safe for concurrent use.
 type Set struct {
 	mu sync.Mutex
-	// departures and crashes are guarded by mu.
+	// mu guards departures and crashes.
 	departures map[DepartureKey]departure
 	crashes    map[CrashKey]crash
 }
 
-// Updates names the evidence that a merge brought.
+// Updates holds the keys of the evidence that a merge added or changed and that other VMs should get.
 type Updates struct {
 	Departures []DepartureKey
 	Crashes    []CrashKey
 }
 
-// Empty tells whether there is none.
+// Empty reports whether there are no updates.
 func (u Updates) Empty() bool { return len(u.Departures) == 0 && len(u.Crashes) == 0 }
 
 // New returns an empty set.
@@ -51,7 +52,7 @@
 	return &Set{departures: make(map[DepartureKey]departure), crashes: make(map[CrashKey]crash)}
 }
 
-// Merge takes evidence of another process or VM. Evidence that has aged out is left out.
+// Merge adds the evidence of another process or VM and returns the updates. Expired evidence is ignored.
 func (s *Set) Merge(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) Updates {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +71,7 @@
 	return updates
 }
 
-// Expire drops what has aged out and tells whether anything did.
+// Expire removes expired evidence and reports whether there was any.
 func (s *Set) Expire(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +89,8 @@
 	return len(s.departures)+len(s.crashes) != before
 }
 
-// Hash is equal for sets that hold the same lasting evidence. Evidence without an incarnation is
-// left out: it is gone before two VMs could compare.
+// Hash returns a hash that is equal for sets with the same lasting evidence. Departures without an
+// incarnation are left out, because they expire before two VMs could compare them.
 func (s *Set) Hash(now time.Time) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,14 +108,14 @@
 	return sum
 }
 
-// Len returns the number of departures and of crashes held.
+// Len returns the number of departures and the number of crashes in the set.
 func (s *Set) Len() (departures, crashes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.departures), len(s.crashes)
 }
 
-// enforceLimits drops the oldest evidence above the limits; mu is held.
+// enforceLimits drops the oldest evidence above MaxDepartures and MaxCrashes. Requires mu.
 func (s *Set) enforceLimits() {
 	if n := len(s.departures) - MaxDepartures; n > 0 {
 		dropOldest(s.departures, n, func(d departure) time.Time { return d.seenAt }, DepartureKey.less)
--- a/internal/evidence/set_test.go
+++ b/internal/evidence/set_test.go
@@ -25,15 +25,15 @@
 	tests := []struct {
 		name        string
 		incarnation uint64
-		// confirmed are the times after the first at which it is seen again; held is how long it
-		// is held then, from the start.
+		// confirmed holds the times after the first observation at which the departure is observed again.
+		// validFor is how long the departure is then kept, counted from the first observation.
 		confirmed []time.Duration
-		held      time.Duration
+		validFor  time.Duration
 	}{
-		{"an incarnation's stays", 7, nil, DepartureTTL},
-		{"an incarnation's stays longer when confirmed", 7, []time.Duration{time.Hour}, DepartureTTL + time.Hour},
-		{"a refusal ages out", 0, nil, RefusalTTL},
-		{"a confirmed refusal goes on", 0, []time.Duration{3 * time.Second, 6 * time.Second}, 6*time.Second + RefusalTTL},
+		{"departure of an incarnation", 7, nil, DepartureTTL},
+		{"confirmed departure of an incarnation", 7, []time.Duration{time.Hour}, DepartureTTL + time.Hour},
+		{"refusal", 0, nil, RefusalTTL},
+		{"confirmed refusal", 0, []time.Duration{3 * time.Second, 6 * time.Second}, 6*time.Second + RefusalTTL},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -43,9 +43,9 @@
 			for _, at := range tt.confirmed {
 				s.Merge(departed("a", tt.incarnation, 0), nil, testStart.Add(at))
 			}
-			is.True(!s.Expire(testStart.Add(tt.held - 1)))
+			is.True(!s.Expire(testStart.Add(tt.validFor - 1)))
 			is.Equal(len(s.Departures(testStart)), 1)
-			is.True(s.Expire(testStart.Add(tt.held)))
+			is.True(s.Expire(testStart.Add(tt.validFor)))
 			is.Equal(len(s.Departures(testStart)), 0)
 		})
 	}
@@ -66,7 +66,7 @@
 	s.Merge(departed("a", 0, 4*time.Second), nil, testStart)
 	is.Equal(s.Departures(testStart)[0].GetAge().AsDuration(), 4*time.Second)
 	is.True(s.Expire(testStart.Add(time.Second)))
-	is.True(s.Merge(departed("a", 0, RefusalTTL), nil, testStart).Empty()) // came too late
+	is.True(s.Merge(departed("a", 0, RefusalTTL), nil, testStart).Empty()) // expired on arrival
 	is.True(s.Merge(nil, crashed(1, "a", 1, CrashTTL), testStart).Empty())
 }
 
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	s := New()
 	s.Merge(nil, crashed(1, "a", 1, 0), testStart)
-	is.True(s.Merge(nil, crashed(1, "a", 1, time.Second), testStart).Empty()) // another VM saw the same
+	is.True(s.Merge(nil, crashed(1, "a", 1, time.Second), testStart).Empty()) // the same crash, observed by another VM
 	s.Merge(nil, crashed(1, "a", 2, 0), testStart)
 	s.Merge(nil, crashed(1, "b", 1, 0), testStart.Add(time.Second))
 	s.Merge(nil, crashed(2, "b", 1, 0), testStart)
@@ -83,7 +83,8 @@
 	is.Equal(CrashCounts(s.Crashes(testStart)), map[uint64]int{1: 1})
 }
 
-// TestWordOfAnAnswerIsNews: it is passed on for a crash that is known, and hashes differ until both sides have it.
+// TestWordOfAnAnswerIsNews: an answer report for a known crash is an update, and the hashes differ until
+// both sides have it.
 func TestWordOfAnAnswerIsNews(t *testing.T) {
 	is := is.New(t)
 	s, other := New(), New()
@@ -95,7 +96,7 @@
 	answered[0].Answered = true
 	is.Equal(len(s.Merge(nil, answered, testStart).Crashes), 1)
 	is.True(s.Hash(testStart) != other.Hash(testStart))
-	is.True(s.Merge(nil, c, testStart).Empty()) // it isn't taken back by one who doesn't know
+	is.True(s.Merge(nil, c, testStart).Empty()) // a VM that does not know of the answer does not withdraw it
 	is.True(s.Crashes(testStart)[0].GetAnswered())
 }
 
@@ -130,7 +131,7 @@
 	return item{departures: d}
 }
 
-// merged returns a set of all pieces.
+// merged returns a set with all items merged in order.
 func merged(items []item) *Set {
 	s := New()
 	for _, it := range items {
@@ -139,7 +140,7 @@
 	return s
 }
 
-// contents shows all that a set holds.
+// contents returns the text of all evidence in a set.
 func contents(s *Set) (out []string) {
 	for _, d := range s.Departures(testStart) {
 		out = append(out, d.String())
@@ -158,7 +159,7 @@
 		one, other := merged(items), merged(append(shuffled, items...))
 		is.Equal(contents(one), contents(other))
 		is.Equal(one.Hash(testStart), other.Hash(testStart))
-		// Whole sets merge as single pieces do.
+		// Merging whole sets gives the same result as merging single items.
 		cut := rapid.IntRange(0, len(items)).Draw(rt, "cut")
 		left, right := merged(items[:cut]), merged(items[cut:])
 		right.Merge(left.Departures(testStart), left.Crashes(testStart), testStart)
