--- a/internal/crashguard/crashguard.go
+++ b/internal/crashguard/crashguard.go
@@ -1,8 +1,8 @@
-// Package crashguard finds requests that crash the leaves that run them, and blocks them in the whole
-// fleet. A crash counts against a request where its connection to the leaf was lost while it ran and
-// the leaf's address takes no connections right after; a connection lost alone proves nothing. Such a request crashes
-// each leaf that runs it, so that one which any leaf answers isn't to blame: a cut that resets connections looks like
-// the crash of all leaves beyond it.
+// Package crashguard detects requests that crash the leaves that run them and blocks them in the whole
+// fleet. A crash counts against a request if the connection to the leaf was lost while the request ran
+// and the leaf's address refuses connections right after. A lost connection alone proves nothing. A
+// crashing request crashes every leaf that runs it, so a request that any leaf answers is not the cause:
+// a network partition that resets connections looks like the crash of all leaves beyond it.
 package crashguard
 
 import (
@@ -17,34 +17,39 @@
 )
 
 const (
-	// blockAt is the number of crashed leaves from which a request is blocked.
-	blockAt = 3
-	// blockFor is how long after its latest crash it stays blocked; it comes again and again.
-	blockFor = time.Minute
-	// downWithin is how soon after a lost connection the leaf's address must refuse another one.
-	downWithin = 1500 * time.Millisecond
-	// provenFor is how long an answer clears a request: crashes around it had another cause.
-	provenFor = time.Minute
+	// crashesToBlock is the number of crashed leaves at which a request is blocked.
+	crashesToBlock = 3
+	// blockPeriod is how long a crash counts towards the block of a request, because crashing requests
+	// are sent repeatedly.
+	blockPeriod = time.Minute
+	// refusalWindow is how soon after a lost connection the leaf's address must refuse another one for
+	// the loss to count as a crash.
+	refusalWindow = 1500 * time.Millisecond
+	// answerValidity is how long an answer clears a request. Crashes within that time had another cause.
+	answerValidity = time.Minute
 )
 
-// Fleet shares crashes with the other VMs.
+// Fleet shares crashes with the other VMs. Crashes returns the number of leaves that crashed
+// with the request in flight since the given time.
 type Fleet interface {
 	ReportCrash(c peers.Crash)
 	Crashes(digest uint64, since time.Time) int
 }
 
-// Guard is safe for concurrent use.
+// Guard blocks requests that crash leaves. It is safe for concurrent use.
 type Guard struct {
 	fleet Fleet
 	clock func() time.Time
 	log   *zap.Logger
 
 	mu sync.Mutex
-	// lost requests by leaf, when each was lost last, and answered when one of these was last answered; guarded by mu.
-	lost     map[catalog.LeafID][]loss
-	lostAt   map[uint64]time.Time
-	answered map[uint64]time.Time
-	swept    time.Time
+	// mu guards the fields below. losses holds the connection losses by leaf. lostAt is when each
+	// request last lost its connection. answeredAt is when one of these requests, or one with a crash
+	// reported in the fleet, was last answered. lastSweep is when sweep last removed old entries.
+	losses     map[catalog.LeafID][]loss
+	lostAt     map[uint64]time.Time
+	answeredAt map[uint64]time.Time
+	lastSweep  time.Time
 }
 
 type loss struct {
@@ -52,55 +57,59 @@
 	at     time.Time
 }
 
-// New returns a guard that suspects nothing.
+// New returns a guard without recorded losses.
 func New(f Fleet, clock func() time.Time, log *zap.Logger) *Guard {
 	return &Guard{
 		fleet: f, clock: clock, log: log,
-		lost: make(map[catalog.LeafID][]loss), lostAt: make(map[uint64]time.Time), answered: make(map[uint64]time.Time),
+		losses: make(map[catalog.LeafID][]loss), lostAt: make(map[uint64]time.Time), answeredAt: make(map[uint64]time.Time),
 	}
 }
 
-// Blocked tells whether the request has crashed too many leaves.
+// Blocked reports whether the request has crashed too many leaves since its last answer, within
+// blockPeriod.
 func (g *Guard) Blocked(digest uint64) bool {
 	now := g.clock()
-	since := now.Add(-blockFor)
+	since := now.Add(-blockPeriod)
 	g.mu.Lock()
-	if at := g.answered[digest]; at.After(since) {
+	if at := g.answeredAt[digest]; at.After(since) {
 		since = at
 	}
 	g.mu.Unlock()
-	return g.fleet.Crashes(digest, since) >= blockAt
+	return g.fleet.Crashes(digest, since) >= crashesToBlock
 }
 
-// Lost notes that the leaf's connection was lost while it ran the request.
+// Lost records that the connection to the leaf was lost while the leaf ran the request.
 func (g *Guard) Lost(digest uint64, leaf catalog.LeafID) {
 	now := g.clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(now)
-	g.lost[leaf] = append(g.lost[leaf], loss{digest, now})
+	g.losses[leaf] = append(g.losses[leaf], loss{digest, now})
 	g.lostAt[digest] = now
 }
 
-// Answered notes that a leaf has answered the request.
+// Answered records that a leaf has answered the request. It does nothing for a request without a
+// recorded loss or reported crash.
 func (g *Guard) Answered(digest uint64) {
 	now := g.clock()
-	told := g.fleet.Crashes(digest, now.Add(-blockFor)) > 0
+	reported := g.fleet.Crashes(digest, now.Add(-blockPeriod)) > 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, lost := g.lostAt[digest]; lost || told {
-		g.answered[digest] = now
+	if _, lost := g.lostAt[digest]; lost || reported {
+		g.answeredAt[digest] = now
 	}
 }
 
-// Down notes that the leaf's address takes no connections.
+// Down records that the leaf's address refuses connections. It reports a crash to the fleet for each
+// request that lost its connection to the leaf within refusalWindow and was not answered within
+// answerValidity.
 func (g *Guard) Down(leaf catalog.LeafID) {
 	now := g.clock()
 	g.mu.Lock()
-	losses := slices.DeleteFunc(g.lost[leaf], func(l loss) bool {
-		return now.Sub(l.at) > downWithin || now.Sub(g.answered[l.digest]) < provenFor
+	losses := slices.DeleteFunc(g.losses[leaf], func(l loss) bool {
+		return now.Sub(l.at) > refusalWindow || now.Sub(g.answeredAt[l.digest]) < answerValidity
 	})
-	delete(g.lost, leaf)
+	delete(g.losses, leaf)
 	g.mu.Unlock()
 	for _, l := range losses {
 		g.log.Warn("leaf crashed with a request in flight", zap.Stringer("leaf", leaf), zap.Uint64("digest", l.digest), zap.Duration("lost_before", now.Sub(l.at)))
@@ -108,25 +117,25 @@
 	}
 }
 
-// sweep drops what is too old to matter. Requires mu.
+// sweep removes entries that no longer have an effect, at most once per refusalWindow. Requires mu.
 func (g *Guard) sweep(now time.Time) {
-	if now.Sub(g.swept) < downWithin {
+	if now.Sub(g.lastSweep) < refusalWindow {
 		return
 	}
-	g.swept = now
-	for leaf, list := range g.lost {
-		if now.Sub(list[len(list)-1].at) > downWithin {
-			delete(g.lost, leaf)
+	g.lastSweep = now
+	for leaf, losses := range g.losses {
+		if now.Sub(losses[len(losses)-1].at) > refusalWindow {
+			delete(g.losses, leaf)
 		}
 	}
 	for digest, at := range g.lostAt {
-		if now.Sub(at) > downWithin {
+		if now.Sub(at) > refusalWindow {
 			delete(g.lostAt, digest)
 		}
 	}
-	for digest, at := range g.answered {
-		if now.Sub(at) > provenFor {
-			delete(g.answered, digest)
+	for digest, at := range g.answeredAt {
+		if now.Sub(at) > answerValidity {
+			delete(g.answeredAt, digest)
 		}
 	}
 }
--- a/internal/evidence/set.go
+++ b/internal/evidence/set.go
@@ -1,7 +1,7 @@
-// Package evidence holds what VMs saw of upstreams: departures of upstream incarnations, and
-// requests that were in flight when an upstream crashed. Evidence travels with its age, never with
-// a clock's time. The package is pure: the clock is an argument. Merging is commutative,
-// associative and idempotent, so the order in which VMs hear of each other doesn't matter.
+// Package evidence holds what VMs observed of upstreams: departures of upstream incarnations, and
+// requests that were in flight when an upstream crashed. Evidence is sent with its age, never with a
+// clock time. The package does not read the clock: callers pass the time. Merging is commutative,
+// associative and idempotent, so the order in which evidence arrives from other VMs does not matter.
 package evidence
 
 import (
@@ -12,114 +12,115 @@
 )
 
 const (
-	// RefusalTTL is how long evidence without an incarnation holds unless it is confirmed.
+	// RefusalTTL is how long evidence without an incarnation is valid unless it is confirmed.
 	RefusalTTL = 5 * time.Second
-	// DepartureTTL is how long a departure is remembered after it was last confirmed: longer than
-	// any upstream drains.
+	// DepartureTTL is how long a departure is remembered after it was last confirmed. It is longer than
+	// any upstream takes to drain.
 	DepartureTTL = 6 * time.Hour
 	// CrashTTL is how long a crash counts against a request.
 	CrashTTL = 10 * time.Minute
-	// confirmAfter is how old a refusal must be before its confirmation is news.
-	confirmAfter = time.Second
-	// hashMargin keeps evidence that is about to age out away from the hash, since VMs drop it at
-	// slightly different moments.
+	// confirmationInterval is how old a refusal must be before a confirmation of it counts as an update.
+	confirmationInterval = time.Second
+	// hashMargin is how long before its expiry evidence is left out of the hash, since VMs drop it at
+	// slightly different times.
 	hashMargin = 10 * time.Second
-	// MaxDepartures and MaxCrashes bound the memory; beyond them the oldest go first.
+	// MaxDepartures and MaxCrashes bound the memory of a set. Above them the oldest entries are
+	// dropped first.
 	MaxDepartures = 20_000
 	MaxCrashes    = 10_000
 )
 
-// Set is one VM's evidence. It is safe for concurrent use.
+// Set holds the evidence of one VM. It is safe for concurrent use.
 type Set struct {
 	mu sync.Mutex
-	// departures and crashes are guarded by mu.
+	// mu guards departures and crashes.
 	departures map[DepartureKey]departure
 	crashes    map[CrashKey]crash
 }
 
-// News names the evidence that a merge brought.
-type News struct {
+// Updates holds the keys of the evidence that a merge added or changed and that other VMs should get.
+type Updates struct {
 	Departures []DepartureKey
 	Crashes    []CrashKey
 }
 
-// Empty tells whether there is none.
-func (n News) Empty() bool { return len(n.Departures) == 0 && len(n.Crashes) == 0 }
+// Empty reports whether there are no updates.
+func (u Updates) Empty() bool { return len(u.Departures) == 0 && len(u.Crashes) == 0 }
 
 // New returns an empty set.
 func New() *Set {
 	return &Set{departures: make(map[DepartureKey]departure), crashes: make(map[CrashKey]crash)}
 }
 
-// Merge takes evidence of another process or VM. Evidence that has aged out is left out.
-func (s *Set) Merge(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) News {
+// Merge adds the evidence of another process or VM and returns the updates. Expired evidence is ignored.
+func (s *Set) Merge(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) Updates {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var news News
+	var updates Updates
 	for _, d := range departures {
-		if key := KeyOfDeparture(d); s.mergeDeparture(key, departureOf(d, now), now) {
-			news.Departures = append(news.Departures, key)
+		if key := KeyOfDeparture(d); s.mergeDeparture(key, newDeparture(d, now), now) {
+			updates.Departures = append(updates.Departures, key)
 		}
 	}
 	for _, c := range crashes {
-		if key := KeyOfCrash(c); s.mergeCrash(key, crashOf(c, now), now) {
-			news.Crashes = append(news.Crashes, key)
+		if key := KeyOfCrash(c); s.mergeCrash(key, newCrash(c, now), now) {
+			updates.Crashes = append(updates.Crashes, key)
 		}
 	}
-	s.bound()
-	return news
+	s.enforceLimits()
+	return updates
 }
 
-// Expire drops what has aged out and tells whether anything did.
+// Expire removes expired evidence and reports whether there was any.
 func (s *Set) Expire(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := len(s.departures) + len(s.crashes)
 	for k, d := range s.departures {
-		if now.Sub(d.seen) >= k.ttl() {
+		if now.Sub(d.seenAt) >= k.ttl() {
 			delete(s.departures, k)
 		}
 	}
 	for k, c := range s.crashes {
-		if now.Sub(c.seen) >= CrashTTL {
+		if now.Sub(c.seenAt) >= CrashTTL {
 			delete(s.crashes, k)
 		}
 	}
 	return len(s.departures)+len(s.crashes) != before
 }
 
-// Hash is equal for sets that hold the same lasting evidence. Evidence without an incarnation is
-// left out: it is gone before two VMs could compare.
+// Hash returns a hash that is equal for sets with the same lasting evidence. Departures without an
+// incarnation are left out, because they expire before two VMs could compare them.
 func (s *Set) Hash(now time.Time) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var sum uint64
 	for k, d := range s.departures {
-		if k.Incarnation != 0 && now.Sub(d.seen) < k.ttl()-hashMargin {
+		if k.Incarnation != 0 && now.Sub(d.seenAt) < k.ttl()-hashMargin {
 			sum += k.hash()
 		}
 	}
 	for k, c := range s.crashes {
-		if now.Sub(c.seen) < CrashTTL-hashMargin {
+		if now.Sub(c.seenAt) < CrashTTL-hashMargin {
 			sum += c.hash(k)
 		}
 	}
 	return sum
 }
 
-// Len returns the number of departures and of crashes held.
+// Len returns the number of departures and the number of crashes in the set.
 func (s *Set) Len() (departures, crashes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.departures), len(s.crashes)
 }
 
-// bound drops the oldest evidence above the limits; mu is held.
-func (s *Set) bound() {
+// enforceLimits drops the oldest evidence above MaxDepartures and MaxCrashes. Requires mu.
+func (s *Set) enforceLimits() {
 	if n := len(s.departures) - MaxDepartures; n > 0 {
-		dropOldest(s.departures, n, func(d departure) time.Time { return d.seen }, DepartureKey.less)
+		dropOldest(s.departures, n, func(d departure) time.Time { return d.seenAt }, DepartureKey.less)
 	}
 	if n := len(s.crashes) - MaxCrashes; n > 0 {
-		dropOldest(s.crashes, n, func(c crash) time.Time { return c.seen }, CrashKey.less)
+		dropOldest(s.crashes, n, func(c crash) time.Time { return c.seenAt }, CrashKey.less)
 	}
 }
--- a/internal/quarantine/leaves.go
+++ b/internal/quarantine/leaves.go
@@ -7,51 +7,57 @@
 )
 
 const (
-	// unsureFor is how long a lost connection may be that of a crash before the leaf's unchanged
-	// incarnation clears the request, where no new connection has shown it before.
-	unsureFor = time.Second
-	// wordFor is how long after a loss it is known here which requests were in flight at it anywhere: a gather needs up
-	// to 300 ms to be sure of a crash, and word of it 800 ms to spread.
-	wordFor = 1100 * time.Millisecond
-	// abandonedFor is how long a request that was given up unanswered may still bring its leaf down.
-	abandonedFor = time.Second
-	// awayFor is how long a leaf without a usable connection may be just reconnecting.
-	awayFor = 150 * time.Millisecond
-	// reunionHold is the hold of a leaf that was out of reach for long. Syncs that meet again compare
-	// all their evidence once it has differed for 2 s, one exchange after the other, each up to 3 s.
-	reunionHold = 10 * time.Second
-	// maxAbandoned bounds what is remembered of one leaf.
-	maxAbandoned = 64
+	// lossResolutionTimeout is how long a lost connection may count as a possible crash. After it the
+	// request is cleared if the leaf's incarnation has not changed. A new connection that shows the same
+	// incarnation clears the request earlier.
+	lossResolutionTimeout = time.Second
+	// evidencePropagationTime is how long after a loss this VM knows which requests were in flight at it
+	// on any VM: a gather needs up to 300 ms to confirm a crash, and the evidence 800 ms to spread.
+	evidencePropagationTime = 1100 * time.Millisecond
+	// abandonedWindow is how long a request that was given up unanswered may still crash its leaf.
+	abandonedWindow = time.Second
+	// reconnectGracePeriod is how long a leaf without a usable connection counts as reconnecting rather
+	// than lost.
+	reconnectGracePeriod = 150 * time.Millisecond
+	// partitionWithholdPeriod is how long a leaf is withheld after it was unreachable for a long time.
+	// Syncs that reconnect after a partition compare all their evidence once it has differed for 2 s.
+	// They run one exchange at a time, each taking up to 3 s.
+	partitionWithholdPeriod = 10 * time.Second
+	// maxAbandonedPerLeaf bounds the abandoned calls remembered for one leaf.
+	maxAbandonedPerLeaf = 64
 )
 
-// leaf is what the registry knows of one leaf.
+// leaf is the registry's state for one leaf.
 type leaf struct {
-	// incarnation last seen, 0 before the first; connected as last seen.
+	// incarnation is the one last seen, 0 if none has been seen. connected is whether the leaf had a
+	// usable connection when last observed.
 	incarnation uint64
 	connected   bool
-	// leaving as seen while it was last connected.
+	// leaving is whether the leaf announced its departure while it was last connected.
 	leaving bool
-	// watched is since when the leaf is known here.
-	watched time.Time
-	// awayAt is since when no connection has been usable, zero while one is or the loss is noted.
-	awayAt time.Time
-	// lostAt is when it was last lost without having said that it leaves.
+	// trackedSince is when this registry first tracked the leaf.
+	trackedSince time.Time
+	// disconnectedAt is since when no connection has been usable. It is zero while one is usable and
+	// once the loss has been recorded.
+	disconnectedAt time.Time
+	// lostAt is when the leaf was last lost without having announced its departure.
 	lostAt time.Time
-	// lostIncarnation is the one that was lost, goneAt is when that was first noted, heldUntil is until when the leaf
-	// takes no first run.
-	lostIncarnation uint64
-	goneAt          time.Time
-	heldUntil       time.Time
-	// unproven counts the unproven requests in flight there from this gather; solo is true where
-	// the one in flight must stay alone.
-	unproven int
-	solo     bool
-	// abandoned are the unproven requests given up lately, oldest first.
-	abandoned []abandoned
+	// lostIncarnation is the incarnation that was lost. lossFirstNotedAt is when that loss was first
+	// recorded. Until withheldUntil the leaf takes no first run.
+	lostIncarnation  uint64
+	lossFirstNotedAt time.Time
+	withheldUntil    time.Time
+	// unprovenInFlight counts this gather's unproven requests in flight at the leaf. exclusive is true
+	// if the one in flight admits no other beside it.
+	unprovenInFlight int
+	exclusive        bool
+	// abandoned lists the unproven calls given up recently, oldest first.
+	abandoned []abandonedCall
 }
 
-// abandoned is an unproven request that was given up before the leaf answered, and may run on there.
-type abandoned struct {
+// abandonedCall is an unproven request that was given up before the leaf answered and that may still
+// run there.
+type abandonedCall struct {
 	digest      uint64
 	incarnation uint64
 	at          time.Time
@@ -60,306 +66,319 @@
 func (r *Registry) leaf(id string) *leaf {
 	l := r.leaves[id]
 	if l == nil {
-		l = &leaf{watched: r.clock()}
+		l = &leaf{trackedSince: r.clock()}
 		r.leaves[id] = l
 	}
 	return l
 }
 
-// lose notes that a leaf was lost. Requests that may still have run there become suspects.
-func (r *Registry) lose(id string, incarnation uint64, now time.Time) {
+// recordLoss records that a leaf was lost and withholds it from first runs. Abandoned requests that
+// may still have run there become suspects. Requires mu.
+func (r *Registry) recordLoss(id string, incarnation uint64, now time.Time) {
 	l := r.leaf(id)
-	if now.After(l.heldUntil) {
-		l.goneAt = time.Time{} // another loss than the one before
+	if now.After(l.withheldUntil) {
+		l.lossFirstNotedAt = time.Time{} // a new loss, not a repeated record of the previous one
 	}
-	l.lost(incarnation, now)
-	l.awayAt = time.Time{}
-	l.holdTo(now.Add(r.settings.Hold.D()))
-	left := l.abandoned
+	l.noteLoss(incarnation, now)
+	l.disconnectedAt = time.Time{}
+	l.extendWithholding(now.Add(r.settings.Hold.D()))
+	calls := l.abandoned
 	l.abandoned = nil
-	for _, a := range left {
-		if now.Sub(a.at) <= abandonedFor {
-			r.accuse(a.digest, crash{crashID: crashID{id, a.incarnation}, at: now}, now)
+	for _, a := range calls {
+		if now.Sub(a.at) <= abandonedWindow {
+			r.addLoss(a.digest, crash{crashID: crashID{id, a.incarnation}, renewedAt: now}, now)
 		}
 	}
 }
 
-// Abandoned notes that an unproven request was given up before the leaf answered it.
-func (r *Registry) Abandoned(digest uint64, id string, incarnation uint64) {
+// RecordAbandoned records that an unproven request was given up before the leaf answered it. If the
+// incarnation is 0, the one last seen is recorded.
+func (r *Registry) RecordAbandoned(digest uint64, id string, incarnation uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.leaf(id)
 	if incarnation == 0 {
 		incarnation = l.incarnation
 	}
-	if len(l.abandoned) >= maxAbandoned {
+	if len(l.abandoned) >= maxAbandonedPerLeaf {
 		l.abandoned = l.abandoned[1:]
 	}
-	l.abandoned = append(l.abandoned, abandoned{digest: digest, incarnation: incarnation, at: r.clock()})
+	l.abandoned = append(l.abandoned, abandonedCall{digest: digest, incarnation: incarnation, at: r.clock()})
 }
 
-// Place says whether a leaf may be asked first.
-type Place int
+// Eligibility says whether a leaf may take the first run of a request.
+type Eligibility int
 
 const (
-	// PlaceFree: it may be asked.
-	PlaceFree Place = iota
-	// PlaceHeld: it was lost so lately that the request may be the cause and evidence of it is still
-	// on its way. It keeps its place without being asked, so that the next in rank isn't crashed in
-	// its stead.
-	PlaceHeld
-	// PlaceAbsent: it is out of use for another cause; the next in rank takes its place.
-	PlaceAbsent
+	// LeafEligible means that the leaf may take the first run.
+	LeafEligible Eligibility = iota
+	// LeafWithheld means that the leaf was lost so recently that the request may be the cause, with
+	// the evidence still spreading. The leaf keeps its place in the ranking but gets no call, so that
+	// the next in rank is not crashed instead.
+	LeafWithheld
+	// LeafUnavailable means that the leaf is out of use for another reason. The next in rank takes its
+	// place.
+	LeafUnavailable
 )
 
-// Place says how a leaf stands for the first run of a request. A loss that a quarantined request
-// explains holds it back from others only until it is known which of them were in flight at it, too.
-func (r *Registry) Place(id string, digest uint64) Place {
+// Eligibility returns whether the leaf may take the first run of the request. If a quarantined request
+// explains the leaf's loss, the leaf is withheld from other requests only until it is known which of
+// them were also in flight at the loss.
+func (r *Registry) Eligibility(id string, digest uint64) Eligibility {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p, _ := r.place(id, digest, r.clock())
-	return p
+	e, _ := r.eligibility(id, digest, r.clock())
+	return e
 }
 
-// HeldFor returns for how long at most the leaf keeps its place without being asked. Where the place is absent, it is
-// how much longer the leaf counts as lost so lately that it may be about to come back; else 0 for one that isn't held.
-func (r *Registry) HeldFor(id string, digest uint64) time.Duration {
+// WithheldFor returns how much longer at most the leaf is withheld from the request, or 0 if it is
+// eligible. For an unavailable leaf it returns how much longer the leaf counts as lost so recently that
+// it may be about to return.
+func (r *Registry) WithheldFor(id string, digest uint64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	p, rest := r.place(id, digest, now)
-	if p == PlaceAbsent {
-		return max(0, r.leaf(id).heldUntil.Sub(now))
+	e, remaining := r.eligibility(id, digest, now)
+	if e == LeafUnavailable {
+		return max(0, r.leaf(id).withheldUntil.Sub(now))
 	}
-	return rest
+	return remaining
 }
 
-// place returns for a held place besides for how long at most it is so. Requires mu.
-func (r *Registry) place(id string, digest uint64, now time.Time) (Place, time.Duration) {
-	r.sample(id, now)
+// eligibility also returns how much longer at most a withheld leaf stays so. Requires mu.
+func (r *Registry) eligibility(id string, digest uint64, now time.Time) (Eligibility, time.Duration) {
+	r.observe(id, now)
 	l := r.leaf(id)
 	if l.connected && l.leaving {
-		return PlaceAbsent, 0
+		return LeafUnavailable, 0
 	}
-	if rest := r.heldFor(id, l, digest, now); rest > 0 {
-		return PlaceHeld, rest
+	if remaining := r.withheldFor(id, l, digest, now); remaining > 0 {
+		return LeafWithheld, remaining
 	}
 	if !l.connected {
-		return PlaceAbsent, 0
+		return LeafUnavailable, 0
 	}
-	return PlaceFree, 0
+	return LeafEligible, 0
 }
 
-// heldFor returns how much longer a leaf that was lost, or may have been, takes no first run of a request. Requires
-// mu.
-func (r *Registry) heldFor(id string, l *leaf, digest uint64, now time.Time) time.Duration {
+// withheldFor returns how much longer a leaf that was lost, or may have been, takes no first run of a
+// request. Requires mu.
+func (r *Registry) withheldFor(id string, l *leaf, digest uint64, now time.Time) time.Duration {
 	hold := r.settings.Hold.D()
 	switch {
 	case r.explainedLoss(id, l, digest, now):
-		return min(l.goneAt.Add(min(wordFor, hold)).Sub(now), l.heldUntil.Sub(now))
-	case r.lostLately(l, now):
-		return l.heldUntil.Sub(now)
+		return min(l.lossFirstNotedAt.Add(min(evidencePropagationTime, hold)).Sub(now), l.withheldUntil.Sub(now))
+	case r.lostRecently(l, now):
+		return l.withheldUntil.Sub(now)
 	case !l.connected && !l.leaving:
-		return hold - now.Sub(l.since())
+		return hold - now.Sub(l.disconnectedSince())
 	}
 	return 0
 }
 
-// since returns from when on a leaf without a connection counts as away: since it went, or since it
-// is watched where it was never seen.
-func (l *leaf) since() time.Time {
-	if !l.awayAt.IsZero() {
-		return l.awayAt
+// disconnectedSince returns since when a leaf without a connection counts as disconnected: since its
+// connections broke, or since it is tracked if it was never seen connected.
+func (l *leaf) disconnectedSince() time.Time {
+	if !l.disconnectedAt.IsZero() {
+		return l.disconnectedAt
 	}
-	return l.watched
+	return l.trackedSince
 }
 
-// Held tells whether the leaf takes no unproven order now for a loss that the order may have caused. One that a
-// quarantined request explains doesn't hold an order back, which goes to one leaf only in any case.
-func (r *Registry) Held(id string, digest uint64) bool {
+// Withheld reports whether the leaf takes no unproven order now because of a loss that the order may
+// have caused. A loss that a quarantined request explains does not withhold the leaf from orders, since
+// an order goes to one leaf only in any case.
+func (r *Registry) Withheld(id string, digest uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	p, _ := r.place(id, digest, now)
-	return p == PlaceHeld && !r.explainedLoss(id, r.leaf(id), digest, now)
+	e, _ := r.eligibility(id, digest, now)
+	return e == LeafWithheld && !r.explainedLoss(id, r.leaf(id), digest, now)
 }
 
-func (r *Registry) lostLately(l *leaf, now time.Time) bool {
-	return now.Before(l.heldUntil)
+func (r *Registry) lostRecently(l *leaf, now time.Time) bool {
+	return now.Before(l.withheldUntil)
 }
 
-// explainedLoss tells whether the leaf was lost lately at a crash that another, quarantined request explains.
-// Requires mu.
+// explainedLoss reports whether the leaf was lost recently at a crash that another, quarantined request
+// explains. Requires mu.
 func (r *Registry) explainedLoss(id string, l *leaf, digest uint64, now time.Time) bool {
-	return r.lostLately(l, now) && r.explained(crashID{id, l.lostIncarnation}, digest)
+	return r.lostRecently(l, now) && r.explained(crashID{id, l.lostIncarnation}, digest)
 }
 
-// explained tells whether a quarantined request other than that of the digest was in flight at the
-// crash.
+// explained reports whether a quarantined request with another digest was in flight at the crash.
+// Requires mu.
 func (r *Registry) explained(id crashID, digest uint64) bool {
 	for _, s := range r.suspects {
-		if s.digest != digest && s.has(id) && r.stands(s, r.clock()) == Quarantined {
+		if s.digest != digest && s.hasCrash(id) && r.statusOf(s, r.clock()) == Quarantined {
 			return true
 		}
 	}
 	return false
 }
 
-// sample compares a leaf's state with the one seen before and notes a loss. A leaf was lost where it
-// came back as another incarnation, or stays away, and had not said before that it leaves. What is
-// said after its connections broke doesn't count: a refused connection is taken for leaving, too.
-func (r *Registry) sample(id string, now time.Time) {
-	s, known := r.states(id)
+// observe compares a leaf's state with the previous one and records a loss. A leaf is lost if it
+// returns with another incarnation or stays disconnected without having announced its departure.
+// A departure announced only after the connections broke does not count, because a refused connection
+// also sets Leaving. Requires mu.
+func (r *Registry) observe(id string, now time.Time) {
+	s, known := r.leafState(id)
 	if !known {
 		return
 	}
 	l := r.leaf(id)
 	if s.Connected {
-		r.present(id, l, s, now)
+		r.observeConnected(id, l, s, now)
 		return
 	}
 	if l.connected && !l.leaving {
-		l.awayAt = now
+		l.disconnectedAt = now
 	}
 	l.connected = false
-	if !l.awayAt.IsZero() && (s.Leaving || now.Sub(l.awayAt) > awayFor) {
-		r.lose(id, l.incarnation, l.awayAt)
+	if !l.disconnectedAt.IsZero() && (s.Leaving || now.Sub(l.disconnectedAt) > reconnectGracePeriod) {
+		r.recordLoss(id, l.incarnation, l.disconnectedAt)
 	}
 }
 
-// present takes in the state of a leaf with a usable connection.
-func (r *Registry) present(id string, l *leaf, s upstream.State, now time.Time) {
+// observeConnected applies the state of a leaf with a usable connection. Requires mu.
+func (r *Registry) observeConnected(id string, l *leaf, s upstream.State, now time.Time) {
 	replaced := l.incarnation != 0 && s.Incarnation != 0 && s.Incarnation != l.incarnation
 	if replaced && !l.leaving {
 		at := now
-		if !l.awayAt.IsZero() {
-			at = l.awayAt
+		if !l.disconnectedAt.IsZero() {
+			at = l.disconnectedAt
 		}
-		if l.connected || !l.awayAt.IsZero() {
-			r.lose(id, l.incarnation, at)
+		if l.connected || !l.disconnectedAt.IsZero() {
+			r.recordLoss(id, l.incarnation, at)
 		}
 	}
-	if back := !l.connected && l.awayAt.IsZero() && l.incarnation != 0; (replaced || back) && !l.leaving {
-		r.hold(l, now)
+	if reconnected := !l.connected && l.disconnectedAt.IsZero() && l.incarnation != 0; (replaced || reconnected) && !l.leaving {
+		r.withholdReturned(l, now)
 	}
 	if s.Incarnation != 0 {
 		l.incarnation = s.Incarnation
 	}
 	if survived(l.lostIncarnation, s) {
-		l.lostAt, l.goneAt, l.heldUntil = time.Time{}, time.Time{}, time.Time{}
+		l.lostAt, l.lossFirstNotedAt, l.withheldUntil = time.Time{}, time.Time{}, time.Time{}
 	}
-	l.connected, l.leaving, l.awayAt = true, s.Leaving, time.Time{}
+	l.connected, l.leaving, l.disconnectedAt = true, s.Leaving, time.Time{}
 }
 
-// hold keeps a leaf that came back, as another incarnation or one that isn't shown yet, from first
-// runs. It may have crashed just now, so the hold counts from now. Where it was out of reach for
-// longer than evidence takes, its crash may have been seen on the other side of a cut only.
-func (r *Registry) hold(l *leaf, now time.Time) {
+// withholdReturned withholds from first runs a leaf that returned with another incarnation or with one
+// it has not shown yet. The leaf may have crashed just now, so the period starts now. If it was
+// unreachable for longer than evidence takes to spread, its crash may have been observed only on the
+// other side of a partition, and the period is at least partitionWithholdPeriod.
+func (r *Registry) withholdReturned(l *leaf, now time.Time) {
 	hold := r.settings.Hold.D()
 	if !l.connected && now.Sub(l.lostAt) > hold {
-		hold = max(hold, reunionHold)
+		hold = max(hold, partitionWithholdPeriod)
 	}
-	l.lost(l.incarnation, now)
-	l.holdTo(now.Add(hold))
+	l.noteLoss(l.incarnation, now)
+	l.extendWithholding(now.Add(hold))
 }
 
-// lost notes the loss of an incarnation, which may be noted again when the leaf comes back.
-func (l *leaf) lost(incarnation uint64, now time.Time) {
-	if l.goneAt.IsZero() || l.lostIncarnation != incarnation {
-		l.goneAt = now
+// noteLoss records the loss of an incarnation. The same loss may be recorded again when the leaf
+// returns.
+func (l *leaf) noteLoss(incarnation uint64, now time.Time) {
+	if l.lossFirstNotedAt.IsZero() || l.lostIncarnation != incarnation {
+		l.lossFirstNotedAt = now
 	}
 	l.lostAt, l.lostIncarnation = now, incarnation
 }
 
-// holdTo lengthens the hold; it never shortens one.
-func (l *leaf) holdTo(end time.Time) {
-	if end.After(l.heldUntil) {
-		l.heldUntil = end
+// extendWithholding moves withheldUntil to end unless it is later already.
+func (l *leaf) extendWithholding(end time.Time) {
+	if end.After(l.withheldUntil) {
+		l.withheldUntil = end
 	}
 }
 
-// survived tells whether the incarnation, which lost a connection, has shown itself again since.
+// survived reports whether the incarnation that lost a connection has been seen again since.
 func survived(incarnation uint64, s upstream.State) bool {
 	return incarnation != 0 && s.Incarnation == incarnation && s.Survived
 }
 
-// Enter asks to run an unproven request on the leaf; alone where solo is set. Leave must be called
-// at its end where it returns true.
-func (r *Registry) Enter(id string, solo bool) bool {
+// TryAcquire reports whether an unproven request may run on the leaf now. With exclusive set, no other
+// unproven request from this gather runs there at the same time. If it returns true, the caller must
+// call Release when the request ends.
+func (r *Registry) TryAcquire(id string, exclusive bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.leaf(id)
-	if l.solo || solo && l.unproven > 0 {
+	if l.exclusive || exclusive && l.unprovenInFlight > 0 {
 		return false
 	}
-	l.unproven++
-	l.solo = solo
+	l.unprovenInFlight++
+	l.exclusive = exclusive
 	return true
 }
 
-// Leave ends what Enter began and tells whether the request was the only unproven one there.
-func (r *Registry) Leave(id string) (alone bool) {
+// Release ends a run admitted by TryAcquire and reports whether the request was the only unproven one
+// in flight at the leaf.
+func (r *Registry) Release(id string) (alone bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.leaf(id)
-	alone = l.unproven == 1
-	l.unproven--
-	if l.unproven == 0 {
-		l.solo = false
+	alone = l.unprovenInFlight == 1
+	l.unprovenInFlight--
+	if l.unprovenInFlight == 0 {
+		l.exclusive = false
 	}
 	return alone
 }
 
-// settle decides which lost connections were crashes: the leaf is gone or has another incarnation.
-func (r *Registry) settle(now time.Time) {
-	kept := r.unsure[:0]
-	for _, u := range r.unsure {
-		switch r.judge(u, now) {
-		case verdictCrash:
+// resolveLosses decides which lost connections were crashes: those whose leaf is gone or has another
+// incarnation. It reports crashes to the other VMs and withdraws the evidence of losses without a
+// crash. Requires mu.
+func (r *Registry) resolveLosses(now time.Time) {
+	kept := r.unresolved[:0]
+	for _, l := range r.unresolved {
+		switch r.classifyLoss(l, now) {
+		case lossByCrash:
 			r.metrics.crashes.Inc()
-			r.tell(u.digest, u.crash, now)
-		case verdictAlive:
-			r.clear(u)
+			r.reportCrash(l.digest, l.crash, now)
+		case lossWithoutCrash:
+			r.withdrawEvidence(l)
 		default:
-			kept = append(kept, u)
+			kept = append(kept, l)
 		}
 	}
-	r.unsure = kept
+	r.unresolved = kept
 }
 
-// verdict on a lost connection.
-type verdict int
+// lossCause is the result of classifying a lost connection.
+type lossCause int
 
 const (
-	verdictUnsure verdict = iota
-	verdictCrash
-	verdictAlive
+	lossUnresolved lossCause = iota
+	lossByCrash
+	lossWithoutCrash
 )
 
-func (r *Registry) judge(u loss, now time.Time) verdict {
-	s, known := r.states(u.leaf)
+func (r *Registry) classifyLoss(l loss, now time.Time) lossCause {
+	s, known := r.leafState(l.leaf)
 	switch {
-	case survived(u.incarnation, s):
-		return verdictAlive
-	case known && !s.Connected && (s.Leaving || now.Sub(u.seen) > awayFor):
-		return verdictCrash
-	case u.incarnation != 0 && s.Incarnation != 0 && s.Incarnation != u.incarnation:
-		return verdictCrash
-	case now.Sub(u.seen) > unsureFor:
-		return verdictAlive
+	case survived(l.incarnation, s):
+		return lossWithoutCrash
+	case known && !s.Connected && (s.Leaving || now.Sub(l.notedAt) > reconnectGracePeriod):
+		return lossByCrash
+	case l.incarnation != 0 && s.Incarnation != 0 && s.Incarnation != l.incarnation:
+		return lossByCrash
+	case now.Sub(l.notedAt) > lossResolutionTimeout:
+		return lossWithoutCrash
 	}
-	return verdictUnsure
+	return lossUnresolved
 }
 
-// clear takes back what a lost connection spoke against a request.
-func (r *Registry) clear(u loss) {
-	s := r.suspects[u.digest]
+// withdrawEvidence removes a lost connection from the evidence against its request. Requires mu.
+func (r *Registry) withdrawEvidence(l loss) {
+	s := r.suspects[l.digest]
 	if s == nil {
 		return
 	}
 	r.metrics.cleared.Inc()
-	s.drop(u.crashID)
+	s.removeCrash(l.crashID)
 	if len(s.crashes) == 0 {
-		delete(r.suspects, u.digest)
+		delete(r.suspects, l.digest)
 	}
 }
--- a/internal/quarantine/leaves_test.go
+++ b/internal/quarantine/leaves_test.go
@@ -9,136 +9,137 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-func TestHeldLeaves(t *testing.T) {
+func TestWithheldLeaves(t *testing.T) {
 	const other = 99
 	hold := DefaultSettings().Hold.D()
 	up := upstream.State{Incarnation: 1, Connected: true}
 	tests := map[string]struct {
-		do   func(b *bench)
-		held bool
+		do       func(b *testbed)
+		withheld bool
 	}{
-		"up":              {do: func(*bench) {}},
-		"lost":            {do: func(b *bench) { b.crash("a") }, held: true},
-		"back as another": {do: func(b *bench) { b.leaves["a"] = upstream.State{Incarnation: 2, Connected: true} }, held: true},
-		"reconnecting":    {do: func(b *bench) { b.leaves["a"] = upstream.State{Incarnation: 1} }, held: true},
-		"reconnected":     {do: func(b *bench) { b.leaves["a"] = upstream.State{Incarnation: 1}; b.Look(); b.leaves["a"] = up }},
-		"left in order": {do: func(b *bench) {
+		"up":                  {do: func(*testbed) {}},
+		"lost":                {do: func(b *testbed) { b.crash("a") }, withheld: true},
+		"another incarnation": {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 2, Connected: true} }, withheld: true},
+		"reconnecting":        {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 1} }, withheld: true},
+		"reconnected":         {do: func(b *testbed) { b.leaves["a"] = upstream.State{Incarnation: 1}; b.Refresh(); b.leaves["a"] = up }},
+		"announced its departure": {do: func(b *testbed) {
 			b.leaves["a"] = upstream.State{Incarnation: 1, Connected: true, Leaving: true}
-			b.Look()
+			b.Refresh()
 			b.crash("a")
 		}},
-		"lost long ago": {do: func(b *bench) { b.crash("a"); b.Look(); b.pass(hold) }},
-		"another request explains": {do: func(b *bench) {
+		"lost long ago": {do: func(b *testbed) { b.crash("a"); b.Refresh(); b.advance(hold) }},
+		"explained by another request": {do: func(b *testbed) {
 			b.crash("a")
-			b.Look()
-			b.heard(other, "a", 1)
-			b.heard(other, "b", 1)
-			b.pass(doubtFor)
+			b.Refresh()
+			b.receiveCrash(other, "a", 1)
+			b.receiveCrash(other, "b", 1)
+			b.advance(doubtPeriod)
 		}},
-		"its own doesn't": {do: func(b *bench) {
+		"not explained by the request itself": {do: func(b *testbed) {
 			b.crash("a")
-			b.Look()
-			b.heard(bad.Digest, "a", 1)
-			b.heard(bad.Digest, "b", 1)
-			b.pass(doubtFor)
-		}, held: true},
-		"one crash doesn't": {do: func(b *bench) { b.crash("a"); b.Look(); b.heard(other, "a", 1) }, held: true},
+			b.Refresh()
+			b.receiveCrash(testKey.Digest, "a", 1)
+			b.receiveCrash(testKey.Digest, "b", 1)
+			b.advance(doubtPeriod)
+		}, withheld: true},
+		"not explained by one crash of another request": {do: func(b *testbed) { b.crash("a"); b.Refresh(); b.receiveCrash(other, "a", 1) }, withheld: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(nil)
+			b := newTestbed(nil)
 			tt.do(b)
-			is.Equal(b.Held("a", bad.Digest), tt.held)
+			is.Equal(b.Withheld("a", testKey.Digest), tt.withheld)
 		})
 	}
 }
 
-// TestExplainedLossHoldsUntilWordIsHere guards against a second crashing text that ends more leaves than promised: it
-// may have been in flight at the loss at another gather, whose word is still on its way. A leaf that is back is free
-// after that, and one that stays away gives up its place, where a loss that nothing explains would hold it on.
-func TestExplainedLossHoldsUntilWordIsHere(t *testing.T) {
+// TestExplainedLossWithholdsLeafUntilEvidenceSpreads guards against a second crashing text that ends
+// more leaves than promised: the text may have been in flight at the loss at another gather whose
+// evidence has not arrived yet. After that time a leaf that has returned is eligible and one that stays
+// away gives up its place. An unexplained loss withholds the leaf for longer.
+func TestExplainedLossWithholdsLeafUntilEvidenceSpreads(t *testing.T) {
 	for name, tt := range map[string]struct {
 		after upstream.State
-		want  Place
+		want  Eligibility
 	}{
-		"stays away": {upstream.State{Leaf: "a", Incarnation: 1, Leaving: true}, PlaceAbsent},
-		"comes back": {upstream.State{Leaf: "a", Incarnation: 2, Connected: true}, PlaceFree},
+		"stays away": {upstream.State{Leaf: "a", Incarnation: 1, Leaving: true}, LeafUnavailable},
+		"returns":    {upstream.State{Leaf: "a", Incarnation: 2, Connected: true}, LeafEligible},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(nil)
+			b := newTestbed(nil)
 			b.crash("a")
-			b.Look()
-			b.heard(99, "a", 1)
-			b.heard(99, "b", 1)
-			b.pass(doubtFor)
+			b.Refresh()
+			b.receiveCrash(99, "a", 1)
+			b.receiveCrash(99, "b", 1)
+			b.advance(doubtPeriod)
 			b.leaves["a"] = tt.after
-			is.Equal(b.Place("a", bad.Digest), PlaceHeld)
-			is.Equal(b.HeldFor("a", bad.Digest), wordFor-doubtFor)
-			is.Equal(b.Held("a", bad.Digest), false) // for an order
-			b.pass(wordFor - doubtFor)
-			is.Equal(b.Place("a", bad.Digest), tt.want)
-			is.Equal(b.Place("a", 99), PlaceHeld)
+			is.Equal(b.Eligibility("a", testKey.Digest), LeafWithheld)
+			is.Equal(b.WithheldFor("a", testKey.Digest), evidencePropagationTime-doubtPeriod)
+			is.Equal(b.Withheld("a", testKey.Digest), false) // for an order
+			b.advance(evidencePropagationTime - doubtPeriod)
+			is.Equal(b.Eligibility("a", testKey.Digest), tt.want)
+			is.Equal(b.Eligibility("a", 99), LeafWithheld)
 		})
 	}
 }
 
-// TestEachLossHoldsUntilItsOwnWord: the word that is waited for is that of the newest loss, also where the leaf lost a
-// connection before and lived on.
-func TestEachLossHoldsUntilItsOwnWord(t *testing.T) {
+// TestEachLossWithholdsLeafUntilItsOwnEvidenceSpreads checks that the wait counts from the newest loss,
+// also if the leaf lost a connection before and survived.
+func TestEachLossWithholdsLeafUntilItsOwnEvidenceSpreads(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
-	b.LostLeaf("a", 1)
-	b.pass(2 * DefaultSettings().Hold.D())
+	b := newTestbed(nil)
+	b.RecordConnectionLoss("a", 1)
+	b.advance(2 * DefaultSettings().Hold.D())
 	b.crash("a")
-	b.LostLeaf("a", 1)
-	b.heard(99, "a", 1)
-	b.heard(99, "b", 1)
-	b.pass(doubtFor)
-	is.Equal(b.Place("a", bad.Digest), PlaceHeld)
-	is.Equal(b.HeldFor("a", bad.Digest), wordFor-doubtFor)
+	b.RecordConnectionLoss("a", 1)
+	b.receiveCrash(99, "a", 1)
+	b.receiveCrash(99, "b", 1)
+	b.advance(doubtPeriod)
+	is.Equal(b.Eligibility("a", testKey.Digest), LeafWithheld)
+	is.Equal(b.WithheldFor("a", testKey.Digest), evidencePropagationTime-doubtPeriod)
 }
 
-// TestLeafThatWasNeverSeenUpKeepsItsPlace: a gather that has just started doesn't know whether a leaf
-// that it can't reach has crashed a moment ago. The next in rank must not be asked in its stead.
-func TestLeafThatWasNeverSeenUpKeepsItsPlace(t *testing.T) {
+// TestNeverConnectedLeafIsWithheld: a gather that has just started does not know whether a leaf that it
+// cannot reach has just crashed. The next in rank must not be called instead.
+func TestNeverConnectedLeafIsWithheld(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newTestbed(nil)
 	b.leaves["d"] = upstream.State{Incarnation: 1, Leaving: true}
-	is.Equal(b.Place("d", bad.Digest), PlaceHeld)
-	b.pass(DefaultSettings().Hold.D())
-	is.Equal(b.Place("d", bad.Digest), PlaceAbsent)
+	is.Equal(b.Eligibility("d", testKey.Digest), LeafWithheld)
+	b.advance(DefaultSettings().Hold.D())
+	is.Equal(b.Eligibility("d", testKey.Digest), LeafUnavailable)
 }
 
-// TestLeafBackFromOutOfReachIsHeldForNewsOfTheOtherSide: behind a cut a leaf may have crashed at any
-// time up to its return, and evidence of that comes only once the VMs of both sides have met.
-func TestLeafBackFromOutOfReachIsHeldForNewsOfTheOtherSide(t *testing.T) {
+// TestLeafBackAfterPartitionIsWithheld: a leaf behind a partition may have crashed at any time up to its
+// return, and evidence of that arrives only once the VMs of both sides have exchanged theirs.
+func TestLeafBackAfterPartitionIsWithheld(t *testing.T) {
 	hold := DefaultSettings().Hold.D()
 	tests := map[string]struct {
-		back upstream.State
-		held time.Duration
+		returned    upstream.State
+		withheldFor time.Duration
 	}{
-		"another incarnation": {back: upstream.State{Incarnation: 2, Connected: true, Survived: true}, held: reunionHold},
-		"not shown yet":       {back: upstream.State{Incarnation: 1, Connected: true}, held: reunionHold},
-		"the same":            {back: upstream.State{Incarnation: 1, Connected: true, Survived: true}},
+		"another incarnation":       {returned: upstream.State{Incarnation: 2, Connected: true, Survived: true}, withheldFor: partitionWithholdPeriod},
+		"incarnation not shown yet": {returned: upstream.State{Incarnation: 1, Connected: true}, withheldFor: partitionWithholdPeriod},
+		"same incarnation":          {returned: upstream.State{Incarnation: 1, Connected: true, Survived: true}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(nil)
+			b := newTestbed(nil)
 			b.leaves["a"] = upstream.State{Incarnation: 1}
-			b.Look()
-			b.pass(2 * hold)
-			b.Look()
-			is.Equal(b.Place("a", bad.Digest), PlaceAbsent)
-			b.leaves["a"] = tt.back
-			for d := time.Duration(0); d < tt.held; d += hold / 2 {
-				is.Equal(b.Place("a", bad.Digest), PlaceHeld)
-				b.pass(hold / 2)
+			b.Refresh()
+			b.advance(2 * hold)
+			b.Refresh()
+			is.Equal(b.Eligibility("a", testKey.Digest), LeafUnavailable)
+			b.leaves["a"] = tt.returned
+			for d := time.Duration(0); d < tt.withheldFor; d += hold / 2 {
+				is.Equal(b.Eligibility("a", testKey.Digest), LeafWithheld)
+				b.advance(hold / 2)
 			}
-			b.pass(hold / 2)
-			is.Equal(b.Place("a", bad.Digest), PlaceFree)
+			b.advance(hold / 2)
+			is.Equal(b.Eligibility("a", testKey.Digest), LeafEligible)
 		})
 	}
 }
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -6,19 +6,19 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics of the duty.
+// Metrics holds the metrics of the quarantine.
 type Metrics struct {
-	suspicions *prometheus.CounterVec
-	crashes    prometheus.Counter
-	cleared    prometheus.Counter
-	suspects   *prometheus.GaugeVec
-	proven     prometheus.Gauge
+	evidence *prometheus.CounterVec
+	crashes  prometheus.Counter
+	cleared  prometheus.Counter
+	suspects *prometheus.GaugeVec
+	proven   prometheus.Gauge
 }
 
-// NewMetrics registers the metrics of the duty.
+// NewMetrics creates the metrics and registers them with reg.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		suspicions: prometheus.NewCounterVec(prometheus.CounterOpts{
+		evidence: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "burdock_quarantine_evidence_total", Help: "Pieces of crash evidence taken in, by where they arose.",
 		}, []string{"from"}),
 		crashes: prometheus.NewCounter(prometheus.CounterOpts{
@@ -34,17 +34,17 @@
 			Name: "burdock_quarantine_proven", Help: "Requests remembered as answered.",
 		}),
 	}
-	reg.MustRegister(m.suspicions, m.crashes, m.cleared, m.suspects, m.proven)
+	reg.MustRegister(m.evidence, m.crashes, m.cleared, m.suspects, m.proven)
 	return m
 }
 
-// show sets the gauges. Requires mu.
-func (r *Registry) show(now time.Time) {
-	counts := make(map[Standing]int)
+// updateGauges sets the gauges from the current suspects and proven requests. Requires mu.
+func (r *Registry) updateGauges(now time.Time) {
+	counts := make(map[Status]int)
 	for _, s := range r.suspects {
-		counts[r.stands(s, now)]++
+		counts[r.statusOf(s, now)]++
 	}
-	for _, st := range []Standing{Suspect, Doubted, Quarantined} {
+	for _, st := range []Status{Suspect, Doubted, Quarantined} {
 		r.metrics.suspects.WithLabelValues(st.String()).Set(float64(counts[st]))
 	}
 	r.metrics.proven.Set(float64(r.proven.len()))
--- a/internal/search/calls.go
+++ b/internal/search/calls.go
@@ -115,7 +115,7 @@
 func (r *run) reportToGuard(res callResult, err error, guardLeaf string) {
 	alone := false
 	if guardLeaf != "" {
-		alone = r.e.guard.Leave(guardLeaf)
+		alone = r.e.guard.Release(guardLeaf)
 	}
 	if res.answer != nil || err == nil {
 		return
@@ -128,12 +128,12 @@
 	guard, proven := r.e.guard, r.proven.Load()
 	switch {
 	case res.failure == failLost && proven:
-		guard.LostProven(r.key)
-		guard.LostLeaf(res.leaf, incarnation)
+		guard.RecordProvenLoss(r.key)
+		guard.RecordConnectionLoss(res.leaf, incarnation)
 	case res.failure == failLost:
-		guard.LostUnproven(r.key.Digest, res.leaf, incarnation, alone)
+		guard.RecordUnprovenLoss(r.key.Digest, res.leaf, incarnation, alone)
 	case (res.failure == failDeadline || res.failure == failCancelled) && !proven && res.wrote:
-		guard.Abandoned(r.key.Digest, res.leaf, incarnation)
+		guard.RecordAbandoned(r.key.Digest, res.leaf, incarnation)
 	}
 }
 
--- a/internal/search/run.go
+++ b/internal/search/run.go
@@ -85,7 +85,7 @@
 
 // checkQuarantine refuses a quarantined request, and decides whether the request first runs on one leaf.
 func (r *run) checkQuarantine() *outcome.Error {
-	status, after := r.e.guard.Standing(r.key)
+	status, after := r.e.guard.Status(r.key)
 	r.e.metrics.statuses.WithLabelValues(r.q.service.Name, status.String()).Inc()
 	switch status {
 	case quarantine.Quarantined:
@@ -172,7 +172,7 @@
 	if r.proven.Swap(true) {
 		return
 	}
-	r.e.guard.Prove(r.key)
+	r.e.guard.RecordAnswer(r.key)
 	r.setBlocked(false)
 	r.firstRun = nil
 	r.fanOut = true
--- a/internal/search/trial.go
+++ b/internal/search/trial.go
@@ -68,7 +68,7 @@
 // mayAdvance checks the status of the request again. Since the last check, other searches with the same text may have
 // proven it, made it a suspect or put it in quarantine.
 func (f *firstRun) mayAdvance() bool {
-	switch status, after := f.r.e.guard.Standing(f.r.key); status {
+	switch status, after := f.r.e.guard.Status(f.r.key); status {
 	case quarantine.Quarantined:
 		f.r.refusal = quarantineRefusal(after).At(f.peer)
 		return false
@@ -99,8 +99,8 @@
 			return localFirst(available, localZone)
 		}
 	}
-	crashed := f.r.e.guard.CrashedAt(f.r.key.Digest)
-	absent := func(l string) bool { return f.status(l) == quarantine.PlaceAbsent && !slices.Contains(crashed, l) }
+	crashed := f.r.e.guard.CrashedLeaves(f.r.key.Digest)
+	absent := func(l string) bool { return f.status(l) == quarantine.LeafUnavailable && !slices.Contains(crashed, l) }
 	leaves := slices.Clone(f.primaries)
 	if f.inFlight == 0 && (f.textAnswered || !f.exclusive) {
 		leaves = f.ranking.withSubstitutes(absent)
@@ -120,7 +120,7 @@
 	if f.inFlight > 0 {
 		return nil
 	}
-	return f.ranking.withSubstitutes(func(l string) bool { return f.called[l] || f.status(l) != quarantine.PlaceFree })
+	return f.ranking.withSubstitutes(func(l string) bool { return f.called[l] || f.status(l) != quarantine.LeafEligible })
 }
 
 // withoutCrashed removes the leaves that crashed with the request in flight, unless all primaries did.
@@ -135,14 +135,14 @@
 // status returns whether the first run may use a leaf. It checks whether the leaf is usable before it asks the guard:
 // if the leaf crashes between the two checks, the guard reports it as lost and no other leaf replaces it. In the
 // opposite order such a leaf counted as out of use, and the next in rank was called, and crashed, instead.
-func (f *firstRun) status(leaf string) quarantine.Place {
+func (f *firstRun) status(leaf string) quarantine.Eligibility {
 	usable := f.r.fleet.usable(leaf, f.r.plan.snapshot.Version)
-	p := f.r.e.guard.Place(leaf, f.r.key.Digest)
+	p := f.r.e.guard.Eligibility(leaf, f.r.key.Digest)
 	switch {
-	case p == quarantine.PlaceFree && !usable:
-		return quarantine.PlaceAbsent
-	case p == quarantine.PlaceAbsent && f.exclusive && f.r.e.guard.HeldFor(leaf, f.r.key.Digest) > 0:
-		return quarantine.PlaceHeld // no other leaf may replace it, so the run waits for it
+	case p == quarantine.LeafEligible && !usable:
+		return quarantine.LeafUnavailable
+	case p == quarantine.LeafUnavailable && f.exclusive && f.r.e.guard.WithheldFor(leaf, f.r.key.Digest) > 0:
+		return quarantine.LeafWithheld // no other leaf may replace it, so the run waits for it
 	}
 	return p
 }
@@ -155,9 +155,9 @@
 	for _, l := range candidates {
 		status := f.status(l.leaf)
 		switch {
-		case f.called[l.leaf], status == quarantine.PlaceAbsent:
-		case status == quarantine.PlaceHeld:
-			if time.Until(f.r.q.deadline) > f.r.e.guard.HeldFor(l.leaf, f.r.key.Digest) {
+		case f.called[l.leaf], status == quarantine.LeafUnavailable:
+		case status == quarantine.LeafWithheld:
+			if time.Until(f.r.q.deadline) > f.r.e.guard.WithheldFor(l.leaf, f.r.key.Digest) {
 				withheld = append(withheld, l.leaf)
 			}
 		case f.r.shards[l.shard].inFlight > 0:
@@ -187,7 +187,7 @@
 			return false
 		}
 		leaf := call.Leaf()
-		if f.r.e.guard.Enter(leaf, f.exclusive) {
+		if f.r.e.guard.TryAcquire(leaf, f.exclusive) {
 			f.launch(byLeaf[leaf], call)
 			return true
 		}
@@ -242,7 +242,7 @@
 		reason = pb.Reason_REASON_QUARANTINED
 	}
 	if !blocked {
-		after = max(after, f.r.e.guard.Hold())
+		after = max(after, f.r.e.guard.WithholdPeriod())
 	}
 	f.r.refusal = outcome.NotRun(reason, Step, "no leaf answered the first run of the request").At(f.peer).After(after)
 }
