--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -17,10 +17,10 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// LapseHold is how long a leaf whose entry was removed without a word may still be asked where its
+// ExpiryGracePeriod is how long a leaf whose entry was removed without a word may still be asked where its
 // group has no other. Entries lapse while the store is away, and are back about 2 s after its return;
 // a leaf that is really leaving gets no work later than the 3 s that the platform allows.
-const LapseHold = 2200 * time.Millisecond
+const ExpiryGracePeriod = 2200 * time.Millisecond
 
 // Decoder knows the platform's format of items.
 type Decoder interface {
@@ -36,8 +36,8 @@
 	Config *catalog.Config
 	// Leaves of each service that may take work, in no order.
 	Leaves map[string][]catalog.Leaf
-	// Lapsed leaves of each service: their entry was removed less than LapseHold ago.
-	Lapsed map[string][]catalog.Leaf
+	// Expired leaves of each service: their entry was removed less than ExpiryGracePeriod ago.
+	Expired map[string][]catalog.Leaf
 	// Revision of the store up to which the view is complete.
 	Revision uint64
 }
@@ -125,7 +125,7 @@
 func (d *Directory) Refresh(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	v := &View{Leaves: make(map[string][]catalog.Leaf), Lapsed: make(map[string][]catalog.Leaf), Revision: d.mirror.CompleteTo()}
+	v := &View{Leaves: make(map[string][]catalog.Leaf), Expired: make(map[string][]catalog.Leaf), Revision: d.mirror.CompleteTo()}
 	next := idleRefresh
 	seen := make(map[string]bool)
 	for _, it := range d.mirror.All() {
@@ -148,23 +148,23 @@
 }
 
 // lapse shows a removed leaf as lapsed for a while. Requires mu.
-func (d *Directory) lapse(v *View, it mirror.Held, now time.Time) time.Duration {
+func (d *Directory) lapse(v *View, it mirror.ReceivedItem, now time.Time) time.Duration {
 	l, ok := d.leaves[it.Key]
 	if !ok || !l.usable || l.leaf.Draining {
 		return idleRefresh
 	}
-	left := LapseHold - now.Sub(it.Since)
+	left := ExpiryGracePeriod - now.Sub(it.ReceivedAt)
 	if left <= 0 {
 		delete(d.leaves, it.Key)
 		d.log.Info("leaf gone", zap.Stringer("leaf", l.leaf.ID), zap.String("service", l.leaf.Service), zap.Uint64("revision", it.Revision))
 		return idleRefresh
 	}
-	v.Lapsed[l.leaf.Service] = append(v.Lapsed[l.leaf.Service], l.leaf)
+	v.Expired[l.leaf.Service] = append(v.Expired[l.leaf.Service], l.leaf)
 	return left
 }
 
 // take adds an item to the view. Requires mu.
-func (d *Directory) take(v *View, it mirror.Held, now time.Time) {
+func (d *Directory) take(v *View, it mirror.ReceivedItem, now time.Time) {
 	if known, ok := d.leaves[it.Key]; ok && known.revision == it.Revision {
 		known.addTo(v)
 		return
@@ -183,7 +183,7 @@
 
 // takeConfig puts a newer configuration in force; one that can't be decoded leaves the last in
 // force. Requires mu.
-func (d *Directory) takeConfig(it mirror.Held) {
+func (d *Directory) takeConfig(it mirror.ReceivedItem) {
 	c, ok, err := d.decoder.Config(it.Key, it.Value)
 	if !ok {
 		return
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -91,7 +91,7 @@
 	f.put("leaf/1", "x draining")
 	is.Equal(ids(f.Current().Leaves["x"]), "")
 	f.drop("leaf/1")
-	is.Equal(ids(f.Current().Lapsed["x"]), "")
+	is.Equal(ids(f.Current().Expired["x"]), "")
 }
 
 // An entry may lapse while the store is away, so its leaf stays a last resort for a while, less than
@@ -100,13 +100,13 @@
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "x ready")
-	is.Equal(f.drop("leaf/1"), LapseHold)
+	is.Equal(f.drop("leaf/1"), ExpiryGracePeriod)
 	is.Equal(ids(f.Current().Leaves["x"]), "")
-	is.Equal(ids(f.Current().Lapsed["x"]), "1")
-	f.pass(LapseHold - time.Millisecond)
-	is.Equal(ids(f.Current().Lapsed["x"]), "1")
+	is.Equal(ids(f.Current().Expired["x"]), "1")
+	f.pass(ExpiryGracePeriod - time.Millisecond)
+	is.Equal(ids(f.Current().Expired["x"]), "1")
 	f.pass(time.Millisecond)
-	is.Equal(ids(f.Current().Lapsed["x"]), "")
+	is.Equal(ids(f.Current().Expired["x"]), "")
 	f.put("leaf/1", "x ready") // it is back
 	is.Equal(ids(f.Current().Leaves["x"]), "1")
 }
@@ -143,7 +143,7 @@
 	f.put("other", "key")
 	is.Equal(len(f.Current().Leaves), 1)
 	f.drop("leaf/1")
-	is.Equal(len(f.Current().Lapsed), 0)
+	is.Equal(len(f.Current().Expired), 0)
 	is.Equal(f.Current().Revision, f.revision)
 }
 
@@ -168,7 +168,7 @@
 	f.put("leaf/1", "x ready 3000") // it leaves in order, and is back at once
 	is.Equal(ids(f.Current().Leaves["x"]), "1@3000")
 	f.drop("leaf/1")
-	is.Equal(ids(f.Current().Lapsed["x"]), "1@3000")
+	is.Equal(ids(f.Current().Expired["x"]), "1@3000")
 }
 
 // Entries that another writer put in a leaf's place name no leaf, and one with a start far ahead doesn't keep the
--- a/internal/directory/registration.go
+++ b/internal/directory/registration.go
@@ -37,7 +37,7 @@
 
 // register takes a new entry of a key, err where it can't be decoded. A late entry of an earlier start doesn't
 // displace the newer leaf; one that no leaf wrote names no leaf until a good one is in its place. Requires mu.
-func (d *Directory) register(it mirror.Held, leaf catalog.Leaf, err error, now time.Time) registration {
+func (d *Directory) register(it mirror.ReceivedItem, leaf catalog.Leaf, err error, now time.Time) registration {
 	known := d.leaves[it.Key]
 	born := leaf.ID.Born
 	switch {
@@ -65,7 +65,7 @@
 }
 
 // ignore counts an entry that changes nothing or names no leaf, and tells of it as far as lines are left.
-func (d *Directory) ignore(it mirror.Held, why error) {
+func (d *Directory) ignore(it mirror.ReceivedItem, why error) {
 	d.ignored.Inc()
 	if d.ignoredLines.Allow() {
 		d.log.Warn("entry of a leaf ignored", zap.String("key", it.Key), zap.Uint64("revision", it.Revision), zap.Int("bytes", len(it.Value)), zap.Error(why))
--- a/internal/dispatch/calls.go
+++ b/internal/dispatch/calls.go
@@ -14,7 +14,7 @@
 // moment ago.
 func (r *run) candidates(g *group) []catalog.Leaf {
 	view := r.e.directory.Current()
-	for _, list := range [][]catalog.Leaf{view.Leaves[g.service], view.Lapsed[g.service]} {
+	for _, list := range [][]catalog.Leaf{view.Leaves[g.service], view.Expired[g.service]} {
 		out := make([]catalog.Leaf, 0, len(list))
 		for _, l := range list {
 			if !slices.Contains(g.tried, l.ID) && !r.e.moved.has(l) {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -150,7 +150,7 @@
 		is := is.New(t)
 		w.set("s1-a", refuses())
 		w.set("s2-a", always(reply{after: ms, status: 500}))
-		w.set("s3-a", fail(leafcall.Spoiled))
+		w.set("s3-a", fail(leafcall.InvalidAnswer))
 		a, took := w.ask(t.Context(), "/s/q")
 		is.Equal(a.Missing, 0)
 		is.True(!slices.ContainsFunc(a.Signatures, func(s string) bool { return strings.HasPrefix(s, "bad") }))
@@ -183,7 +183,7 @@
 		"slow":                  {ok(1500 * ms), 1, Served},
 		"leaf's own failure":    {always(reply{after: ms, status: 500}), 1, LeafFailure},
 		"connection lost":       {fail(leafcall.ConnectionLost), 1, Unknown},
-		"spoiled answer":        {fail(leafcall.Spoiled), 1, Unknown},
+		"spoiled answer":        {fail(leafcall.InvalidAnswer), 1, Unknown},
 		"no answer in time":     {ok(time.Hour), 1, TimedOut},
 		"refused":               {refuses(), 2, Served},
 		"address of another":    {always(reply{after: ms, moved: true}), 2, Served},
@@ -377,7 +377,7 @@
 func TestLapsedLeavesAreTheLastResort(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		w.view.Lapsed = map[string][]catalog.Leaf{"x": w.view.Leaves["x"][:1]}
+		w.view.Expired = map[string][]catalog.Leaf{"x": w.view.Leaves["x"][:1]}
 		w.view.Leaves["x"] = w.view.Leaves["x"][1:]
 		a, _ := w.ask(t.Context(), "/i/1")
 		is.Equal(a.Outcome, Served)
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -117,7 +117,7 @@
 	case b.refuse:
 		return &leafcall.Response{Status: http.StatusServiceUnavailable, NotRun: true, Signature: "s"}, nil
 	case b.moved:
-		return &leafcall.Response{Status: http.StatusMisdirectedRequest, NotRun: true, Moved: true}, nil
+		return &leafcall.Response{Status: http.StatusMisdirectedRequest, NotRun: true, WrongIncarnation: true}, nil
 	case b.status != 0:
 		return &leafcall.Response{Status: b.status, Signature: "bad-" + id, Body: []byte("why")}, nil
 	}
--- a/internal/dispatch/hopeless.go
+++ b/internal/dispatch/hopeless.go
@@ -16,7 +16,7 @@
 	without, mute, longest := 0, 0, time.Duration(0)
 	for i := range r.groups {
 		s := r.groups[i].service
-		ready, lapsed := r.view.Leaves[s], r.view.Lapsed[s]
+		ready, lapsed := r.view.Leaves[s], r.view.Expired[s]
 		if len(ready)+len(lapsed) == 0 {
 			without++
 			continue
@@ -51,7 +51,7 @@
 	short := r.needed - r.done
 	for i := range r.groups {
 		g := &r.groups[i]
-		if g.part == nil && !g.dead && r.muteFor(now, r.view.Leaves[g.service], r.view.Lapsed[g.service]) == 0 {
+		if g.part == nil && !g.dead && r.muteFor(now, r.view.Leaves[g.service], r.view.Expired[g.service]) == 0 {
 			short--
 		}
 	}
--- a/internal/dispatch/learn.go
+++ b/internal/dispatch/learn.go
@@ -19,7 +19,7 @@
 	call.End(resultOf(resp, err), now)
 	var failure *leafcall.Error
 	switch {
-	case resp != nil && resp.Moved:
+	case resp != nil && resp.WrongIncarnation:
 		r.e.moved.add(leaf, now)
 	case resp != nil && !resp.NotRun:
 		r.answered.Store(true)
@@ -37,7 +37,7 @@
 func resultOf(resp *leafcall.Response, err error) replica.Result {
 	if resp != nil {
 		switch {
-		case resp.Moved, resp.NotRun:
+		case resp.WrongIncarnation, resp.NotRun:
 			return replica.Refused
 		case resp.Status >= http.StatusInternalServerError:
 			return replica.Failed
--- a/internal/leafcall/leafcall.go
+++ b/internal/leafcall/leafcall.go
@@ -34,15 +34,15 @@
 	Signature string
 	// NotRun is set where the leaf states that it did not run the request.
 	NotRun bool
-	// Moved is set where another incarnation has the address.
-	Moved bool
+	// WrongIncarnation is set where another incarnation has the address.
+	WrongIncarnation bool
 	// Load is the leaf's report of its load; nil where there is none.
 	Load *replica.Load
 }
 
 // Success tells whether the answer is a signed success.
 func (r *Response) Success() bool {
-	return r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices && r.Signature != "" && !r.NotRun && !r.Moved
+	return r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices && r.Signature != "" && !r.NotRun && !r.WrongIncarnation
 }
 
 // Conn is a connection to a leaf that carries one call at a time.
@@ -71,8 +71,8 @@
 	ConnectionFull Cause = "connections in use"
 	// ConnectionLost: the connection ended without an answer.
 	ConnectionLost Cause = "connection lost"
-	// Spoiled: what came isn't an answer.
-	Spoiled Cause = "answer spoiled"
+	// InvalidAnswer: what came isn't an answer.
+	InvalidAnswer Cause = "answer spoiled"
 	// TimedOut: the deadline passed.
 	TimedOut Cause = "deadline passed"
 	// Abandoned: the call was given up.
--- a/internal/leafpool/ahead.go
+++ b/internal/leafpool/ahead.go
@@ -54,7 +54,7 @@
 // ahead tells whether a connection to the leaf is opened before it is needed, and kept. Requires mu.
 func (p *Pool) ahead(l catalog.Leaf) bool {
 	share := p.share(l.Service)
-	return !share.Rare && !share.Unsettled && (l.Zone == p.zone || p.most(l) >= roomy)
+	return !share.OnDemand && !share.FleetUnknown && (l.Zone == p.zone || p.most(l) >= roomy)
 }
 
 // unused takes out the idle connections that have ended, and those that aren't kept.
--- a/internal/leafpool/leafpool_test.go
+++ b/internal/leafpool/leafpool_test.go
@@ -90,7 +90,7 @@
 	is := is.New(t)
 	d := newDialer()
 	p := New(d, "z", prometheus.NewRegistry())
-	p.SetLeaves([]catalog.Leaf{nearLeaf}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6, Rare: true} })
+	p.SetLeaves([]catalog.Leaf{nearLeaf}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6, OnDemand: true} })
 	is.Equal(len(p.bare(time.Now())), 0)
 	_, err := p.Do(t.Context(), leafID("near"), &leafcall.Request{})
 	is.NoErr(err)
@@ -392,7 +392,7 @@
 	d := newDialer()
 	p := newPool(d, 6)
 	unsettled := true
-	p.SetLeaves([]catalog.Leaf{nearLeaf, farLeaf}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6, Unsettled: unsettled} })
+	p.SetLeaves([]catalog.Leaf{nearLeaf, farLeaf}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6, FleetUnknown: unsettled} })
 	is.Equal(len(p.bare(time.Now())), 0)
 	_, err := p.Do(t.Context(), nearLeaf.ID, &leafcall.Request{})
 	is.NoErr(err) // what is needed is opened
--- a/internal/leafpool/share.go
+++ b/internal/leafpool/share.go
@@ -29,11 +29,11 @@
 type Share struct {
 	// VMs that call them as a rule, this one among them or beside them.
 	VMs int
-	// Rare is set where this VM calls them in exceptional cases only: it opens a connection when it needs one,
+	// OnDemand is set where this VM calls them in exceptional cases only: it opens a connection when it needs one,
 	// and closes it soon after.
-	Rare bool
-	// Unsettled is set while it isn't known yet who calls them: no connection is opened ahead.
-	Unsettled bool
+	OnDemand bool
+	// FleetUnknown is set while it isn't known yet who calls them: no connection is opened ahead.
+	FleetUnknown bool
 }
 
 // youngTime is how long this VM is young for the leaves of a service that so many VMs call. VMs that started together
@@ -47,7 +47,7 @@
 	share := p.share(l.Service)
 	limit := p.limits[l.Service]
 	switch {
-	case share.Rare:
+	case share.OnDemand:
 		return rareMost
 	case limit <= 0:
 		return mostPerLeaf
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -64,19 +64,19 @@
 	return m.completeTo
 }
 
-// Held is an item with the time since which this copy knows it.
-type Held struct {
+// ReceivedItem is an item with the time since which this copy knows it.
+type ReceivedItem struct {
 	Item
-	Since time.Time
+	ReceivedAt time.Time
 }
 
 // All returns every item, deletions included.
-func (m *Mirror) All() []Held {
+func (m *Mirror) All() []ReceivedItem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make([]Held, 0, len(m.items))
+	out := make([]ReceivedItem, 0, len(m.items))
 	for _, h := range m.items {
-		out = append(out, Held{h.item, h.since})
+		out = append(out, ReceivedItem{h.item, h.since})
 	}
 	return out
 }
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -33,9 +33,9 @@
 // yet may become shards, and a shard belongs to the VMs that gather, whatever else leads to it.
 func (s shares) connections(service string) leafpool.Share {
 	if s.single[service] && !s.shards[service] {
-		return leafpool.Share{VMs: s.vms, Unsettled: s.unsettled}
+		return leafpool.Share{VMs: s.vms, FleetUnknown: s.unsettled}
 	}
-	return leafpool.Share{VMs: s.plan.Gatherers, Rare: len(s.plan.To) > 0, Unsettled: s.unsettled}
+	return leafpool.Share{VMs: s.plan.Gatherers, OnDemand: len(s.plan.To) > 0, FleetUnknown: s.unsettled}
 }
 
 const (
@@ -81,7 +81,7 @@
 // connections are open when one does.
 func callable(v *directory.View) []catalog.Leaf {
 	var out []catalog.Leaf
-	for _, lists := range []map[string][]catalog.Leaf{v.Leaves, v.Lapsed} {
+	for _, lists := range []map[string][]catalog.Leaf{v.Leaves, v.Expired} {
 		for _, list := range lists {
 			out = append(out, list...)
 		}
--- a/internal/node/shares_test.go
+++ b/internal/node/shares_test.go
@@ -33,6 +33,6 @@
 	is.Equal(s.connections("s1"), leafpool.Share{VMs: 15})
 	is.Equal(s.connections("x"), leafpool.Share{VMs: 295})
 	s.plan = delegate.Plan{To: []string{"strong"}, Gatherers: 15, Others: 280}
-	is.Equal(s.connections("s0"), leafpool.Share{VMs: 15, Rare: true})
+	is.Equal(s.connections("s0"), leafpool.Share{VMs: 15, OnDemand: true})
 	is.Equal(s.connections("x"), leafpool.Share{VMs: 295})
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -52,7 +52,7 @@
 	gauge(m.configVersion, version)
 	gauge(m.storeRevision, float64(view.Revision))
 	age := -1.0
-	if _, since := m.d.peers.Zone(time.Now()); since < peers.Never {
+	if _, since := m.d.peers.ZoneStatus(time.Now()); since < peers.Never {
 		age = since.Seconds()
 	}
 	gauge(m.storeContactAge, age)
--- a/internal/peers/large_test.go
+++ b/internal/peers/large_test.go
@@ -67,13 +67,13 @@
 		for z, zone := range vms {
 			if now.Sub(contacts[z]) >= every {
 				contacts[z] = now
-				zone[7].Contact(now)
+				zone[7].RecordStoreContact(now)
 			}
 			for _, m := range zone {
 				if now.Sub(first) < every {
 					continue // nobody can know of a second contact yet
 				}
-				members, age := m.Zone(now)
+				members, age := m.ZoneStatus(now)
 				looks++
 				unknown += len(zone) - len(members)
 				if age > bound {
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -26,7 +26,7 @@
 
 // round is the time between two exchanges that this VM begins.
 func (m *Manager) round() time.Duration {
-	if m.Live() > smallFleet {
+	if m.LiveCount() > smallFleet {
 		return longPeriod
 	}
 	return period
@@ -76,16 +76,16 @@
 	m.crashed.Fire()
 }
 
-// Contact notes that the store has answered this VM.
-func (m *Manager) Contact(now time.Time) {
+// RecordStoreContact notes that the store has answered this VM.
+func (m *Manager) RecordStoreContact(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.contactAt = now
 	m.self.Heartbeat++ // so that the word counts as newer
 }
 
-// Live returns how many other VMs show signs of life.
-func (m *Manager) Live() int { return len(m.VMs()) }
+// LiveCount returns how many other VMs show signs of life.
+func (m *Manager) LiveCount() int { return len(m.VMs()) }
 
 // VM is a VM of the fleet as the others know it.
 type VM struct {
@@ -109,9 +109,9 @@
 	return out
 }
 
-// Zone returns the live members of the own zone, this VM included, and the age of the newest contact of
+// ZoneStatus returns the live members of the own zone, this VM included, and the age of the newest contact of
 // any of them with the store; Never where there was none.
-func (m *Manager) Zone(now time.Time) (members []string, contact time.Duration) {
+func (m *Manager) ZoneStatus(now time.Time) (members []string, contact time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	newest := m.contactAt
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -113,7 +113,7 @@
 func allKnowAll(t *testing.T, d time.Duration, vms []*Manager) {
 	t.Helper()
 	within(t, d, "all know all", func() bool {
-		return !slices.ContainsFunc(vms, func(m *Manager) bool { return m.Live() < len(vms)-1 })
+		return !slices.ContainsFunc(vms, func(m *Manager) bool { return m.LiveCount() < len(vms)-1 })
 	})
 }
 
@@ -206,7 +206,7 @@
 	t.Logf("%.1f exchanges a second cross zones", rate)
 	is.True(rate < 45) // 102 where all VMs talk to those of other zones, most with lists of all members
 	for _, m := range vms {
-		is.Equal(m.Live(), len(vms)-1) // nobody was taken for gone
+		is.Equal(m.LiveCount(), len(vms)-1) // nobody was taken for gone
 	}
 }
 
@@ -239,9 +239,9 @@
 	b, copyB := n.vm("b", "z", 1, "a", "b")
 	wg.Go(func() { _ = a.Run(ctx) })
 	wg.Go(func() { _ = b.Run(ctx) })
-	within(t, time.Second, "they know each other", func() bool { return a.Live() == 1 && b.Live() == 1 })
+	within(t, time.Second, "they know each other", func() bool { return a.LiveCount() == 1 && b.LiveCount() == 1 })
 	n.setCut("b", true)
-	within(t, 2*silentRounds*period, "a takes b for gone", func() bool { return a.Live() == 0 })
+	within(t, 2*silentRounds*period, "a takes b for gone", func() bool { return a.LiveCount() == 0 })
 	copyA.Merge(item(9), time.Now())
 	is.Equal(copyB.CompleteTo(), uint64(0))
 	n.setCut("b", false)
@@ -257,7 +257,7 @@
 	copyA.Merge(item(5), time.Now())
 	a.exchange(t.Context(), "b", false)
 	is.Equal(copyOld.CompleteTo(), uint64(5))
-	is.Equal(old.Live(), 1)
+	is.Equal(old.LiveCount(), 1)
 	_, copyNew := n.vm("b", "z", 2)
 	copyA.Merge(mirror.Delta{Items: []mirror.Item{{Key: "x", Revision: 6}}, CompleteFrom: 5, CompleteTo: 6}, time.Now())
 	a.exchange(t.Context(), "b", false)
@@ -351,21 +351,21 @@
 	b, _ := n.vm("b", "z", 1)
 	c, _ := n.vm("c", "other", 1)
 	now := time.Now()
-	_, contact := a.Zone(now)
+	_, contact := a.ZoneStatus(now)
 	is.True(contact > time.Hour)
-	c.Contact(now)
+	c.RecordStoreContact(now)
 	c.exchange(t.Context(), "a", false)
-	members, contact := a.Zone(now)
+	members, contact := a.ZoneStatus(now)
 	is.Equal(members, []string{"a"})
 	is.True(contact > time.Hour) // another zone's contact is of no use when the zones are cut apart
-	b.Contact(now.Add(-time.Second))
+	b.RecordStoreContact(now.Add(-time.Second))
 	b.exchange(t.Context(), "a", false)
-	members, contact = a.Zone(now)
+	members, contact = a.ZoneStatus(now)
 	is.Equal(len(members), 2)
 	is.True(contact > 900*time.Millisecond && contact < 2*time.Second)
 	b.Leave()
 	b.exchange(t.Context(), "a", false)
-	members, _ = a.Zone(now)
+	members, _ = a.ZoneStatus(now)
 	is.Equal(members, []string{"a"})
 }
 
--- a/internal/peers/start.go
+++ b/internal/peers/start.go
@@ -35,14 +35,14 @@
 	for first := true; ; first = false {
 		starting := m.cfg.Mirror.CompleteTo() == 0 && time.Since(begun) < startSpan
 		// A large fleet may have shown itself during the pause.
-		if first || starting || m.Live() < smallFleet || time.Since(asked) >= seedSeldom {
+		if first || starting || m.LiveCount() < smallFleet || time.Since(asked) >= seedSeldom {
 			asked = time.Now()
 			for _, a := range m.toAsk(first, starting) {
 				go m.ask(ctx, a)
 			}
 		}
 		pause := seedPeriod
-		switch live := m.Live(); {
+		switch live := m.LiveCount(); {
 		case starting:
 			pause = seedStart
 		case live == 0:
@@ -60,7 +60,7 @@
 // have the platform's state and not too busy to tell.
 func (m *Manager) toAsk(first, starting bool) []string {
 	seeds := slices.DeleteFunc(slices.Clone(m.cfg.Seeds()), func(a string) bool { return a == m.cfg.Self })
-	if first || m.Live() == 0 {
+	if first || m.LiveCount() == 0 {
 		return seeds
 	}
 	if near, ok := m.nearby(); starting && ok {
--- a/internal/readers/readers.go
+++ b/internal/readers/readers.go
@@ -17,10 +17,10 @@
 	// TakeoverAfter is the age of the newest platform contact, of any VM, from which others take
 	// over. It is above the wait of a long poll.
 	TakeoverAfter = 8 * time.Second
-	// Turn is how long each group of PerZone VMs tries before the next one does.
-	Turn = 2 * time.Second
-	// Hold is how long a VM that took over and reached the platform goes on reading.
-	Hold = time.Minute
+	// TurnDuration is how long each group of PerZone VMs tries before the next one does.
+	TurnDuration = 2 * time.Second
+	// TakeoverDuration is how long a VM that took over and reached the platform goes on reading.
+	TakeoverDuration = time.Minute
 )
 
 // Rank returns the VM's place among those of its zone by rendezvous hashing, 0 first. A VM that
@@ -37,8 +37,8 @@
 	return rank
 }
 
-// Order returns the VMs by rank.
-func Order(zone string, vms []string) []string {
+// ByRank returns the VMs by rank.
+func ByRank(zone string, vms []string) []string {
 	out := slices.Clone(vms)
 	slices.SortFunc(out, func(a, b string) int {
 		return cmp.Or(cmp.Compare(weight(zone, b), weight(zone, a)), cmp.Compare(a, b))
@@ -67,15 +67,15 @@
 	if s.Rank < PerZone {
 		return true
 	}
-	if s.SinceTakeover >= 0 && s.SinceTakeover < Hold {
+	if s.SinceTakeover >= 0 && s.SinceTakeover < TakeoverDuration {
 		return true
 	}
-	late := s.ContactAge - TakeoverAfter - time.Duration(s.Jitter*float64(Turn)/2)
+	late := s.ContactAge - TakeoverAfter - time.Duration(s.Jitter*float64(TurnDuration)/2)
 	if late < 0 {
 		return false
 	}
 	others := s.Members - PerZone
 	turns := (others + PerZone - 1) / PerZone
-	turn := int(late/Turn) % max(turns, 1)
+	turn := int(late/TurnDuration) % max(turns, 1)
 	return (s.Rank-PerZone)/PerZone == turn
 }
--- a/internal/readers/readers_test.go
+++ b/internal/readers/readers_test.go
@@ -33,7 +33,7 @@
 		is := is.New(t)
 		is.Equal(len(active(vms(n), 0)), min(n, PerZone))
 		is.Equal(len(active(vms(n), TakeoverAfter-1)), min(n, PerZone))
-		for age := TakeoverAfter; age < TakeoverAfter+70*Turn; age += Turn {
+		for age := TakeoverAfter; age < TakeoverAfter+70*TurnDuration; age += TurnDuration {
 			is.True(len(active(vms(n), age)) <= 2*PerZone) // also while the platform is down
 		}
 	}
@@ -43,7 +43,7 @@
 	is := is.New(t)
 	members := vms(9)
 	seen := make(map[string]bool)
-	for age := TakeoverAfter; age < TakeoverAfter+4*Turn; age += Turn {
+	for age := TakeoverAfter; age < TakeoverAfter+4*TurnDuration; age += TurnDuration {
 		for _, vm := range active(members, age) {
 			seen[vm] = true
 		}
@@ -53,9 +53,9 @@
 
 func TestTakeoverIsHeldForAWhile(t *testing.T) {
 	is := is.New(t)
-	s := State{Rank: 5, Members: 8, ContactAge: time.Second, SinceTakeover: Hold - 1}
+	s := State{Rank: 5, Members: 8, ContactAge: time.Second, SinceTakeover: TakeoverDuration - 1}
 	is.True(Active(s))
-	s.SinceTakeover = Hold
+	s.SinceTakeover = TakeoverDuration
 	is.True(!Active(s))
 }
 
@@ -63,13 +63,13 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
 		members := vms(rapid.IntRange(2, 40).Draw(rt, "n"))
-		before := Order("az-1", members)
+		before := ByRank("az-1", members)
 		for i, vm := range before {
 			is.Equal(Rank("az-1", members, vm), i)
 		}
 		lost := rapid.SampledFrom(members).Draw(rt, "lost")
 		left := slices.DeleteFunc(slices.Clone(members), func(vm string) bool { return vm == lost })
-		after := Order("az-1", left)
+		after := ByRank("az-1", left)
 		is.Equal(after, slices.DeleteFunc(before, func(vm string) bool { return vm == lost }))
 	})
 }
--- a/internal/storeread/storeread.go
+++ b/internal/storeread/storeread.go
@@ -86,11 +86,11 @@
 
 // Fleet tells of the other VMs.
 type Fleet interface {
-	Zone(now time.Time) (members []string, contact time.Duration)
+	ZoneStatus(now time.Time) (members []string, contact time.Duration)
 	// Zones returns the availability zones that have a live VM, the own one included.
 	Zones() []string
-	Contact(now time.Time)
-	Live() int
+	RecordStoreContact(now time.Time)
+	LiveCount() int
 }
 
 // Reader is the duty.
@@ -165,7 +165,7 @@
 		return settle
 	case r.seed:
 		return settleSeed
-	case r.fleet.Live() == 0:
+	case r.fleet.LiveCount() == 0:
 		return settleAlone + part(turn, aloneSpread)
 	}
 	return settleTold + part(turn, toldSpread)
@@ -181,7 +181,7 @@
 // contactAge returns the members of the zone and the age of its newest contact. Where the state came from other
 // zones it counts from the start at most, when the first by rank begins to read.
 func (r *Reader) contactAge(now time.Time) (members []string, age time.Duration) {
-	members, age = r.fleet.Zone(now)
+	members, age = r.fleet.ZoneStatus(now)
 	if r.mirror.CompleteTo() > 0 {
 		age = min(age, now.Sub(r.settled))
 	}
@@ -285,5 +285,5 @@
 		r.log.Info("reading in place of the first by rank", zap.Duration("contact_age", contact))
 		r.tookOver = now
 	}
-	r.fleet.Contact(now)
+	r.fleet.RecordStoreContact(now)
 }
--- a/internal/storeread/storeread_test.go
+++ b/internal/storeread/storeread_test.go
@@ -50,10 +50,10 @@
 	zones   []string
 }
 
-func (f *fakeFleet) Zone(time.Time) ([]string, time.Duration) { return f.members, f.contact }
-func (f *fakeFleet) Contact(time.Time)                        { f.noted++; f.contact = 0 }
-func (f *fakeFleet) Live() int                                { return len(f.members) - 1 }
-func (f *fakeFleet) Zones() []string                          { return f.zones }
+func (f *fakeFleet) ZoneStatus(time.Time) ([]string, time.Duration) { return f.members, f.contact }
+func (f *fakeFleet) RecordStoreContact(time.Time)                   { f.noted++; f.contact = 0 }
+func (f *fakeFleet) LiveCount() int                                 { return len(f.members) - 1 }
+func (f *fakeFleet) Zones() []string                                { return f.zones }
 
 const bound = 3 * time.Second
 
--- a/internal/syncd/reader.go
+++ b/internal/syncd/reader.go
@@ -149,7 +149,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.reached.IsZero() || now.Sub(r.reached) >= readers.Hold {
+	if r.reached.IsZero() || now.Sub(r.reached) >= readers.TakeoverDuration {
 		r.reached = now
 	}
 }
