--- a/internal/leafpool/ahead.go
+++ b/internal/leafpool/ahead.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// retryDial is how long after a failed opening ahead the next one is tried.
-	retryDial = time.Second
-	// openPeriod is how often connections are opened ahead, and idle ones looked at.
-	openPeriod = 250 * time.Millisecond
-	// roomy is the number of connections that a VM may have to a leaf from which they are opened ahead to
+	// preopenRetryDelay is how long after a failed opening ahead the next one is tried.
+	preopenRetryDelay = time.Second
+	// preopenInterval is how often connections are opened ahead, and idle ones looked at.
+	preopenInterval = 250 * time.Millisecond
+	// preopenAllMinConns is the number of connections that a VM may have to a leaf from which they are opened ahead to
 	// all leaves, and kept. Below it the fleet would fill the leaves' limits, and after a loss of power
 	// the dead connections of all VMs would keep the new ones out: then only leaves of the own zone are
 	// connected to ahead, and others as long as they are in use.
-	roomy = 2
-	// farIdle is how long an idle connection is kept that isn't opened ahead.
-	farIdle = 2 * time.Second
-	// openAtOnce bounds the connections that are opened ahead at the same time.
-	openAtOnce = 8
+	preopenAllMinConns = 2
+	// onDemandIdleTimeout is how long an idle connection is kept that isn't opened ahead.
+	onDemandIdleTimeout = 2 * time.Second
+	// maxConcurrentPreopens bounds the connections that are opened ahead at the same time.
+	maxConcurrentPreopens = 8
 )
 
 // Run opens a connection ahead to each leaf that needs one, and closes idle ones, until ctx ends.
 func (p *Pool) Run(ctx context.Context) error {
-	t := time.NewTicker(openPeriod)
+	t := time.NewTicker(preopenInterval)
 	defer t.Stop()
-	slots := make(chan struct{}, openAtOnce)
+	slots := make(chan struct{}, maxConcurrentPreopens)
 	for {
-		p.closeAll(p.unused(time.Now()))
-		for _, e := range p.bare(time.Now()) {
+		p.closeAll(p.removeUnneeded(time.Now()))
+		for _, e := range p.reserveUnconnected(time.Now()) {
 			select {
 			case slots <- struct{}{}:
 			case <-ctx.Done():
@@ -39,7 +39,7 @@
 			go func() {
 				defer func() { <-slots }()
 				if c, err := p.dial(ctx, e); err == nil {
-					p.give(e, c, true, false)
+					p.release(e, c, true, false)
 				}
 			}()
 		}
@@ -51,14 +51,14 @@
 	}
 }
 
-// ahead tells whether a connection to the leaf is opened before it is needed, and kept. Requires mu.
-func (p *Pool) ahead(l catalog.Leaf) bool {
+// keepsOpen tells whether a connection to the leaf is opened before it is needed, and kept. Requires mu.
+func (p *Pool) keepsOpen(l catalog.Leaf) bool {
 	share := p.share(l.Service)
-	return !share.OnDemand && !share.FleetUnknown && (l.Zone == p.zone || p.most(l) >= roomy)
+	return !share.OnDemand && !share.FleetUnknown && (l.Zone == p.zone || p.maxConns(l) >= preopenAllMinConns)
 }
 
-// unused takes out the idle connections that have ended, and those that aren't kept.
-func (p *Pool) unused(now time.Time) []idleConn {
+// removeUnneeded takes out the idle connections that have ended, and those that aren't kept.
+func (p *Pool) removeUnneeded(now time.Time) []idleConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []idleConn
@@ -66,12 +66,12 @@
 		kept := e.idle[:0]
 		for _, c := range e.idle {
 			alive := c.Alive()
-			if alive && (p.ahead(e.leaf) || now.Sub(c.since) < farIdle) {
+			if alive && (p.keepsOpen(e.leaf) || now.Sub(c.since) < onDemandIdleTimeout) {
 				kept = append(kept, c)
 				continue
 			}
 			if !alive && !c.used {
-				p.endedUnused(e, now.Sub(c.since), now)
+				p.noteEndedUnused(e, now.Sub(c.since), now)
 			}
 			out = append(out, c)
 			e.open--
@@ -81,25 +81,25 @@
 	return out
 }
 
-// endedUnused notes that a connection ended that had been opened ahead and never used: soon after it was opened, as
+// noteEndedUnused notes that a connection ended that had been opened ahead and never used: soon after it was opened, as
 // a leaf at its limit ends it, or after the time that leaves keep idle ones. Each of 300 VMs that sees ten requests in
 // two minutes for as many leaves would open them all anew every ten seconds. Before its first call a VM can't know
 // which ones it needs. Requires mu.
-func (p *Pool) endedUnused(e *peer, age time.Duration, now time.Time) {
-	if age < refusedFor+openPeriod {
+func (p *Pool) noteEndedUnused(e *leafConns, age time.Duration, now time.Time) {
+	if age < resetBackoff+preopenInterval {
 		e.failedAt = now
 		return
 	}
-	e.idled = p.called
+	e.endedUnused = p.anyCall
 }
 
-// bare returns leaves without a connection, each counted as having one from now on.
-func (p *Pool) bare(now time.Time) []*peer {
+// reserveUnconnected returns leaves without a connection, each counted as having one from now on.
+func (p *Pool) reserveUnconnected(now time.Time) []*leafConns {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []*peer
+	var out []*leafConns
 	for _, e := range p.leaves {
-		if e.open == 0 && !e.gone && !e.idled && p.ahead(e.leaf) && now.Sub(e.failedAt) >= retryDial && now.Sub(e.refusedAt) >= retryDial {
+		if e.open == 0 && !e.gone && !e.endedUnused && p.keepsOpen(e.leaf) && now.Sub(e.failedAt) >= preopenRetryDelay && now.Sub(e.resetAt) >= preopenRetryDelay {
 			e.open++
 			out = append(out, e)
 		}
--- a/internal/leafpool/leafpool.go
+++ b/internal/leafpool/leafpool.go
@@ -21,9 +21,9 @@
 	// of a processor stands still for a tenth of a second, and a lost packet is sent again after a second only:
 	// what isn't open by then won't be soon.
 	dialTimeout = 250 * time.Millisecond
-	// refusedFor is how long no connection is opened to a leaf after it reset a new one: it is at its
+	// resetBackoff is how long no connection is opened to a leaf after it reset a new one: it is at its
 	// limit, and each further one would be reset as well.
-	refusedFor = 300 * time.Millisecond
+	resetBackoff = 300 * time.Millisecond
 )
 
 // Step names this duty in errors.
@@ -36,20 +36,20 @@
 	metrics *metrics
 	// started is when the pool was made, at the start of the process; turn is the part of the VMs whose turn to open
 	// more connections comes before this one's, by chance.
-	started time.Time
-	turn    float64
+	started        time.Time
+	startupStagger float64
 
 	mu sync.Mutex
 	// What follows is guarded by mu.
-	leaves map[catalog.LeafID]*peer
+	leaves map[catalog.LeafID]*leafConns
 	share  func(service string) Share
 	limits map[string]int
-	// called is set from the first call on, to whichever leaf.
-	called bool
+	// anyCall is set from the first call on, to whichever leaf.
+	anyCall bool
 }
 
-// peer is a leaf with its connections.
-type peer struct {
+// leafConns is a leaf with its connections.
+type leafConns struct {
 	// address of the leaf; where a leaf shows up at another one, that is a peer of its own.
 	address string
 	leaf    catalog.Leaf
@@ -58,10 +58,10 @@
 	open int
 	// failedAt is when a connection last could not be opened, or ended right after it was opened ahead; refusedAt is
 	// when a new one was reset under a call.
-	failedAt, refusedAt time.Time
-	gone                bool
-	// idled is set where a connection ended without having carried a call, until the next call.
-	idled bool
+	failedAt, resetAt time.Time
+	gone              bool
+	// endedUnused is set where a connection ended without having carried a call, until the next call.
+	endedUnused bool
 }
 
 // idleConn is a connection that waits for a call since a time; used is set where it has carried one.
@@ -85,7 +85,7 @@
 		open: prometheus.NewGauge(prometheus.GaugeOpts{Name: "burdock_leaf_connections", Help: "Open connections to leaves."}),
 	}
 	reg.MustRegister(m.opened, m.open)
-	return &Pool{dialer: d, zone: zone, metrics: m, started: time.Now(), turn: rand.Float64(), leaves: make(map[catalog.LeafID]*peer), limits: make(map[string]int),
+	return &Pool{dialer: d, zone: zone, metrics: m, started: time.Now(), startupStagger: rand.Float64(), leaves: make(map[catalog.LeafID]*leafConns), limits: make(map[string]int),
 		share: func(string) Share { return Share{VMs: 1} }}
 }
 
@@ -106,7 +106,7 @@
 		if e != nil {
 			drop = append(drop, e.retire()...)
 		}
-		p.leaves[l.ID] = &peer{address: l.Address, leaf: l}
+		p.leaves[l.ID] = &leafConns{address: l.Address, leaf: l}
 	}
 	for id, e := range p.leaves {
 		if known[id] {
@@ -123,7 +123,7 @@
 
 // retire takes out the idle connections of a peer that isn't called any more; those in use are closed once they
 // are given back. Requires the pool's mu.
-func (e *peer) retire() []idleConn {
+func (e *leafConns) retire() []idleConn {
 	idle := e.idle
 	e.gone, e.idle = true, nil
 	e.open -= len(idle)
@@ -148,43 +148,43 @@
 	if len(e.idle) > 0 {
 		return true, true
 	}
-	return e.open < p.most(e.leaf) && time.Since(e.refusedAt) >= refusedFor, false
+	return e.open < p.maxConns(e.leaf) && time.Since(e.resetAt) >= resetBackoff, false
 }
 
 // Do makes the call. An error is a *leafcall.Error.
 func (p *Pool) Do(ctx context.Context, id catalog.LeafID, r *leafcall.Request) (*leafcall.Response, error) {
-	c, e, fresh, err := p.take(ctx, id)
+	c, e, fresh, err := p.acquire(ctx, id)
 	if err != nil {
 		return nil, err
 	}
 	resp, reusable, err := c.Do(ctx, r)
 	if fresh && err != nil {
-		p.noteRefusal(e, err)
+		p.noteReset(e, err)
 	}
-	p.give(e, c, reusable && err == nil, true)
+	p.release(e, c, reusable && err == nil, true)
 	return resp, err
 }
 
-// noteRefusal remembers a leaf that ended a new connection without an answer.
-func (p *Pool) noteRefusal(e *peer, err error) {
+// noteReset remembers a leaf that ended a new connection without an answer.
+func (p *Pool) noteReset(e *leafConns, err error) {
 	var failure *leafcall.Error
 	if !errors.As(err, &failure) || failure.Cause != leafcall.ConnectionLost {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e.refusedAt = time.Now()
+	e.resetAt = time.Now()
 }
 
-// take returns an idle connection, or a fresh one.
-func (p *Pool) take(ctx context.Context, id catalog.LeafID) (c leafcall.Conn, e *peer, fresh bool, err error) {
+// acquire returns an idle connection, or a fresh one.
+func (p *Pool) acquire(ctx context.Context, id catalog.LeafID) (c leafcall.Conn, e *leafConns, fresh bool, err error) {
 	p.mu.Lock()
 	e = p.leaves[id]
 	if e == nil {
 		p.mu.Unlock()
 		return nil, nil, false, &leafcall.Error{Cause: leafcall.NoConnection, Step: Step, Peer: id.String(), Err: errors.New("leaf is not known")}
 	}
-	p.called, e.idled = true, false
+	p.anyCall, e.endedUnused = true, false
 	for len(e.idle) > 0 {
 		c := e.idle[len(e.idle)-1]
 		e.idle = e.idle[:len(e.idle)-1]
@@ -196,7 +196,7 @@
 		p.metrics.open.Dec()
 		c.Close()
 	}
-	if e.open >= p.most(e.leaf) || time.Since(e.refusedAt) < refusedFor {
+	if e.open >= p.maxConns(e.leaf) || time.Since(e.resetAt) < resetBackoff {
 		p.mu.Unlock()
 		return nil, nil, false, &leafcall.Error{Cause: leafcall.ConnectionFull, Step: Step, Peer: id.String(), Err: errors.New("at this VM's part of the limit")}
 	}
@@ -207,7 +207,7 @@
 }
 
 // dial opens a connection that is counted already.
-func (p *Pool) dial(ctx context.Context, e *peer) (leafcall.Conn, error) {
+func (p *Pool) dial(ctx context.Context, e *leafConns) (leafcall.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	c, err := p.dialer.Dial(ctx, e.address)
@@ -224,8 +224,8 @@
 	return nil, err
 }
 
-// give takes a connection back, used where it has carried a call.
-func (p *Pool) give(e *peer, c leafcall.Conn, reusable, used bool) {
+// release takes a connection back, used where it has carried a call.
+func (p *Pool) release(e *leafConns, c leafcall.Conn, reusable, used bool) {
 	p.mu.Lock()
 	keep := reusable && !e.gone
 	if keep {
@@ -247,15 +247,15 @@
 func (p *Pool) Dump() any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	type shown struct {
+	type leafDump struct {
 		Service string `json:"service"`
 		Open    int    `json:"open"`
 		Idle    int    `json:"idle"`
-		Most    int    `json:"most"`
+		Max     int    `json:"most"`
 	}
-	out := make(map[string]shown, len(p.leaves))
+	out := make(map[string]leafDump, len(p.leaves))
 	for id, e := range p.leaves {
-		out[id.String()] = shown{e.leaf.Service, e.open, len(e.idle), p.most(e.leaf)}
+		out[id.String()] = leafDump{e.leaf.Service, e.open, len(e.idle), p.maxConns(e.leaf)}
 	}
 	return out
 }
--- a/internal/leafpool/leafpool_test.go
+++ b/internal/leafpool/leafpool_test.go
@@ -17,11 +17,11 @@
 
 // fakeDialer opens fake connections; fail lets it refuse, and end is what calls on new ones return.
 type fakeDialer struct {
-	mu     sync.Mutex
-	opened map[string]int
-	conns  []*fakeConn
-	fail   error
-	end    error
+	mu      sync.Mutex
+	opened  map[string]int
+	conns   []*fakeConn
+	dialErr error
+	callErr error
 }
 
 func newDialer() *fakeDialer { return &fakeDialer{opened: make(map[string]int)} }
@@ -30,10 +30,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.opened[address]++
-	if d.fail != nil {
-		return nil, d.fail
+	if d.dialErr != nil {
+		return nil, d.dialErr
 	}
-	c := &fakeConn{d: d, alive: true, end: d.end}
+	c := &fakeConn{d: d, alive: true, callErr: d.callErr}
 	d.conns = append(d.conns, c)
 	return c, nil
 }
@@ -45,19 +45,19 @@
 }
 
 type fakeConn struct {
-	d      *fakeDialer
-	alive  bool
-	closed bool
-	end    error
-	block  chan struct{}
+	d       *fakeDialer
+	alive   bool
+	closed  bool
+	callErr error
+	block   chan struct{}
 }
 
 func (c *fakeConn) Do(context.Context, *leafcall.Request) (*leafcall.Response, bool, error) {
 	if c.block != nil {
 		<-c.block
 	}
-	if c.end != nil {
-		return nil, false, c.end
+	if c.callErr != nil {
+		return nil, false, c.callErr
 	}
 	return &leafcall.Response{Status: 200}, true, nil
 }
@@ -81,37 +81,37 @@
 	farLeaf  = catalog.Leaf{ID: leafID("far"), Service: "x", Address: "far", Zone: "other"}
 )
 
-// evenly shares the connections among so many VMs.
-func evenly(vms int) func(string) Share { return func(string) Share { return Share{VMs: vms} } }
+// sharedBy shares the connections among so many VMs.
+func sharedBy(vms int) func(string) Share { return func(string) Share { return Share{VMs: vms} } }
 
 // A VM that calls a leaf in exceptional cases only opens no connection ahead, one where it needs it, and
 // doesn't keep that: its part of the leaf's limit is with those that call it all the time.
-func TestRarelyCalledLeaf(t *testing.T) {
+func TestOnDemandLeaf(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
 	p := New(d, "z", prometheus.NewRegistry())
 	p.SetLeaves([]catalog.Leaf{nearLeaf}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6, OnDemand: true} })
-	is.Equal(len(p.bare(time.Now())), 0)
+	is.Equal(len(p.reserveUnconnected(time.Now())), 0)
 	_, err := p.Do(t.Context(), leafID("near"), &leafcall.Request{})
 	is.NoErr(err)
 	is.Equal(d.count("near"), 1)
 	free, open := p.Free(leafID("near"))
 	is.True(free && open)
-	p.closeAll(p.unused(time.Now().Add(farIdle / 2)))
+	p.closeAll(p.removeUnneeded(time.Now().Add(onDemandIdleTimeout / 2)))
 	is.True(!d.conns[0].closed)
-	p.closeAll(p.unused(time.Now().Add(2 * farIdle)))
+	p.closeAll(p.removeUnneeded(time.Now().Add(2 * onDemandIdleTimeout)))
 	is.True(d.conns[0].closed)
 }
 
 // newPool has both leaves, of which a fleet of the size shares 30 connections each.
 func newPool(d *fakeDialer, vms int) *Pool {
 	p := New(d, "z", prometheus.NewRegistry())
-	p.started, p.turn = p.started.Add(-youngFor), 0 // as after the first seconds
-	p.SetLeaves([]catalog.Leaf{nearLeaf, farLeaf}, map[string]int{"x": 30}, evenly(vms))
+	p.started, p.startupStagger = p.started.Add(-startupPeriod), 0 // as after the first seconds
+	p.SetLeaves([]catalog.Leaf{nearLeaf, farLeaf}, map[string]int{"x": 30}, sharedBy(vms))
 	return p
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
 	p := newPool(d, 6)
@@ -133,11 +133,11 @@
 
 // All VMs together stay below a leaf's limit, with room for connections that it still counts of VMs
 // that are gone.
-func TestPartOfTheLimit(t *testing.T) {
+func TestQuotaPerLeaf(t *testing.T) {
 	for vms, want := range map[int]int{1: 4, 6: 4, 8: 3, 9: 2, 12: 2, 24: 1, 61: 1} {
 		is := is.New(t)
 		p := newPool(newDialer(), vms)
-		is.Equal(p.most(nearLeaf), want)
+		is.Equal(p.maxConns(nearLeaf), want)
 		is.True(vms > 24 || vms*want <= 24)
 	}
 }
@@ -146,7 +146,7 @@
 	is := is.New(t)
 	d := newDialer()
 	p := newPool(d, 24)
-	c, e, fresh, err := p.take(t.Context(), leafID("near"))
+	c, e, fresh, err := p.acquire(t.Context(), leafID("near"))
 	is.NoErr(err)
 	is.True(fresh)
 	free, _ := p.Free(leafID("near"))
@@ -156,14 +156,14 @@
 	is.True(errors.As(err, &full))
 	is.Equal(full.Cause, leafcall.ConnectionFull)
 	is.True(!full.Sent)
-	p.give(e, c, true, true)
+	p.release(e, c, true, true)
 	free, _ = p.Free(leafID("near"))
 	is.True(free)
 }
 
 // Where a VM may have one connection to a leaf, only those of the own zone are opened ahead, and far
 // ones end soon after their use; with more room all are opened and kept.
-func TestConnectionsAhead(t *testing.T) {
+func TestPreopenedConnections(t *testing.T) {
 	for name, tt := range map[string]struct {
 		vms       int
 		far, kept int
@@ -172,36 +172,36 @@
 			is := is.New(t)
 			p := newPool(newDialer(), tt.vms)
 			now := time.Now()
-			bare := p.bare(now)
-			is.Equal(len(bare), 1+tt.far)
-			is.Equal(len(p.bare(now)), 0) // they are being opened
-			openEach(t, p, bare)
+			reserved := p.reserveUnconnected(now)
+			is.Equal(len(reserved), 1+tt.far)
+			is.Equal(len(p.reserveUnconnected(now)), 0) // they are being opened
+			openReserved(t, p, reserved)
 			_, err := p.Do(t.Context(), leafID("far"), &leafcall.Request{})
 			is.NoErr(err)
-			is.Equal(len(p.unused(time.Now())), 0)
-			is.Equal(len(p.unused(time.Now().Add(2*farIdle))), 1-tt.kept)
+			is.Equal(len(p.removeUnneeded(time.Now())), 0)
+			is.Equal(len(p.removeUnneeded(time.Now().Add(2*onDemandIdleTimeout))), 1-tt.kept)
 			is.Equal(p.leaves[leafID("near")].open, 1)
 			is.Equal(p.leaves[leafID("far")].open, tt.kept)
 		})
 	}
 }
 
-// openAhead opens the connections that are due ahead, and returns how many.
-func openAhead(t *testing.T, p *Pool, now time.Time) int {
-	bare := p.bare(now)
-	openEach(t, p, bare)
-	return len(bare)
+// preopen opens the connections that are due ahead, and returns how many.
+func preopen(t *testing.T, p *Pool, now time.Time) int {
+	reserved := p.reserveUnconnected(now)
+	openReserved(t, p, reserved)
+	return len(reserved)
 }
 
-// openEach opens a connection to each of the leaves that bare returned.
-func openEach(t *testing.T, p *Pool, bare []*peer) {
+// openReserved opens a connection to each of the leaves that bare returned.
+func openReserved(t *testing.T, p *Pool, reserved []*leafConns) {
 	t.Helper()
-	for _, e := range bare {
+	for _, e := range reserved {
 		c, err := p.dial(t.Context(), e)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.give(e, c, true, false)
+		p.release(e, c, true, false)
 	}
 }
 
@@ -216,80 +216,80 @@
 
 // Leaves end idle connections after some seconds. A VM that has seen calls opens anew those that carried one; before
 // its first call it keeps one to each leaf. The others wait for a call.
-func TestUnusedConnectionIsNotOpenedAgain(t *testing.T) {
+func TestUnusedConnectionIsNotReopened(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
 	p := newPool(d, 6)
 	now := time.Now()
-	is.Equal(openAhead(t, p, now), 2)
+	is.Equal(preopen(t, p, now), 2)
 	d.endAll()
 	now = now.Add(10 * time.Second)
-	is.Equal(len(p.unused(now)), 2)
-	is.Equal(openAhead(t, p, now), 2) // no call so far
+	is.Equal(len(p.removeUnneeded(now)), 2)
+	is.Equal(preopen(t, p, now), 2) // no call so far
 
 	_, err := p.Do(t.Context(), leafID("near"), &leafcall.Request{})
 	is.NoErr(err)
 	d.endAll()
 	now = now.Add(10 * time.Second)
-	is.Equal(len(p.unused(now)), 2)
-	is.Equal(openAhead(t, p, now), 1)
+	is.Equal(len(p.removeUnneeded(now)), 2)
+	is.Equal(preopen(t, p, now), 1)
 	is.Equal(d.count("far"), 2)
 
 	_, err = p.Do(t.Context(), leafID("far"), &leafcall.Request{})
 	is.NoErr(err)
 	d.endAll()
 	now = now.Add(10 * time.Second)
-	is.Equal(len(p.unused(now)), 2)
-	is.Equal(openAhead(t, p, now), 1) // far again, near was not used
+	is.Equal(len(p.removeUnneeded(now)), 2)
+	is.Equal(preopen(t, p, now), 1) // far again, near was not used
 	is.Equal(d.count("far"), 4)
 }
 
 // A leaf at its limit ends a connection that was opened ahead, too: the next one is opened a second later, not at
 // the next look.
-func TestLeafAtItsLimitIsNotOpenedAheadAtOnce(t *testing.T) {
+func TestPreopenWaitsAtLeafLimit(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
 	p := newPool(d, 6)
 	now := time.Now()
-	is.Equal(openAhead(t, p, now), 2)
+	is.Equal(preopen(t, p, now), 2)
 	d.endAll()
-	now = now.Add(openPeriod)
-	is.Equal(len(p.unused(now)), 2)
-	is.Equal(openAhead(t, p, now), 0)
-	is.Equal(openAhead(t, p, now.Add(retryDial)), 2)
+	now = now.Add(preopenInterval)
+	is.Equal(len(p.removeUnneeded(now)), 2)
+	is.Equal(preopen(t, p, now), 0)
+	is.Equal(preopen(t, p, now.Add(preopenRetryDelay)), 2)
 }
 
 // VMs that started together and are young no more don't open their connections to the leaves of other zones at once.
-func TestConnectionsOfALargeFleetAreSpread(t *testing.T) {
+func TestLargeFleetStaggersConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const vms = 300
 		var fleet []*Pool
 		for range vms {
 			p := New(newDialer(), "z", prometheus.NewRegistry())
-			p.SetLeaves([]catalog.Leaf{farLeaf}, map[string]int{"x": 1800}, evenly(vms))
+			p.SetLeaves([]catalog.Leaf{farLeaf}, map[string]int{"x": 1800}, sharedBy(vms))
 			fleet = append(fleet, p)
 		}
-		opened, most := 0, 0
-		for range int((youngFor+vms*openSpacing)/openPeriod) + 1 {
-			time.Sleep(openPeriod)
+		opened, maxPerInterval := 0, 0
+		for range int((startupPeriod+vms*startupOpenInterval)/preopenInterval) + 1 {
+			time.Sleep(preopenInterval)
 			now := 0
 			for _, p := range fleet {
-				now += openAhead(t, p, time.Now())
+				now += preopen(t, p, time.Now())
 			}
-			opened, most = opened+now, max(most, now)
+			opened, maxPerInterval = opened+now, max(maxPerInterval, now)
 		}
 		is.Equal(opened, vms)
-		is.True(most < 2*int(openPeriod/openSpacing)) // of 42 in a period
+		is.True(maxPerInterval < 2*int(preopenInterval/startupOpenInterval)) // of 42 in a period
 	})
 }
 
 // A leaf at its limit resets what is new: it is left alone for a moment, so that calls go elsewhere
 // without being sent.
-func TestLeafAtItsLimit(t *testing.T) {
+func TestResetSuspendsNewConnections(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
-	d.end = &leafcall.Error{Cause: leafcall.ConnectionLost, Sent: true}
+	d.callErr = &leafcall.Error{Cause: leafcall.ConnectionLost, Sent: true}
 	p := newPool(d, 6)
 	_, err := p.Do(t.Context(), leafID("near"), &leafcall.Request{})
 	is.True(err != nil)
@@ -300,36 +300,36 @@
 	is.True(errors.As(err, &full))
 	is.True(!full.Sent)
 	is.Equal(d.count("near"), 1)
-	time.Sleep(refusedFor)
+	time.Sleep(resetBackoff)
 	free, _ = p.Free(leafID("near"))
 	is.True(free)
 }
 
-func TestFailedOpeningIsNotCounted(t *testing.T) {
+func TestFailedDialIsNotCounted(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
-	d.fail = &leafcall.Error{Cause: leafcall.NoConnection}
+	d.dialErr = &leafcall.Error{Cause: leafcall.NoConnection}
 	p := newPool(d, 6)
 	for range 10 {
 		_, err := p.Do(t.Context(), leafID("near"), &leafcall.Request{})
 		is.True(err != nil)
 	}
 	is.Equal(p.leaves[leafID("near")].open, 0)
-	is.Equal(len(p.bare(time.Now())), 1) // only the other one: it has just failed here
+	is.Equal(len(p.reserveUnconnected(time.Now())), 1) // only the other one: it has just failed here
 }
 
-func TestLeafThatIsGone(t *testing.T) {
+func TestRemovedLeaf(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
 	p := newPool(d, 6)
 	_, err := p.Do(t.Context(), leafID("near"), &leafcall.Request{})
 	is.NoErr(err)
-	c, e, _, err := p.take(t.Context(), leafID("far"))
+	c, e, _, err := p.acquire(t.Context(), leafID("far"))
 	is.NoErr(err)
-	p.SetLeaves(nil, nil, evenly(6))
+	p.SetLeaves(nil, nil, sharedBy(6))
 	is.True(d.conns[0].closed)
 	is.Equal(len(p.leaves), 1) // a call is in flight at the other
-	p.give(e, c, true, true)
+	p.release(e, c, true, true)
 	is.True(d.conns[1].closed)
 	is.Equal(len(p.leaves), 0)
 }
@@ -337,7 +337,7 @@
 // A leaf that starts again under its id has none of the connections of before: those at rest are closed at once,
 // those in use with their call, and neither counts toward what the new start may have. The same holds where a
 // leaf that doesn't tell its start shows up at another address.
-func TestConnectionsStayWithOneStart(t *testing.T) {
+func TestRestartedLeafGetsNewConnections(t *testing.T) {
 	for name, again := range map[string]catalog.Leaf{
 		"same address":   {ID: catalog.LeafID{Name: "near", Born: 2}, Service: "x", Address: "near", Zone: "z"},
 		"other address":  {ID: catalog.LeafID{Name: "near", Born: 2}, Service: "x", Address: "other", Zone: "z"},
@@ -353,7 +353,7 @@
 				p.SetLeaves([]catalog.Leaf{l}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6} })
 			}
 			set(first)
-			used, e, _, err := p.take(t.Context(), first.ID)
+			used, e, _, err := p.acquire(t.Context(), first.ID)
 			is.NoErr(err)
 			_, err = p.Do(t.Context(), first.ID, &leafcall.Request{})
 			is.NoErr(err)
@@ -365,7 +365,7 @@
 			_, err = p.Do(t.Context(), again.ID, &leafcall.Request{})
 			is.NoErr(err)
 			is.Equal(len(d.conns), 3)
-			p.give(e, used, true, true)
+			p.release(e, used, true, true)
 			is.True(d.conns[0].closed)
 			is.Equal(p.leaves[again.ID].open, 1)
 			is.Equal(len(p.leaves), 1)
@@ -379,23 +379,23 @@
 	is := is.New(t)
 	p := newPool(newDialer(), 6)
 	p.started = time.Now()
-	is.Equal(p.most(nearLeaf), youngMost)
-	is.Equal(len(p.bare(time.Now())), 1) // the one in the own zone
-	p.started = time.Now().Add(-youngFor)
-	is.True(p.most(nearLeaf) > youngMost)
+	is.Equal(p.maxConns(nearLeaf), startupMaxConns)
+	is.Equal(len(p.reserveUnconnected(time.Now())), 1) // the one in the own zone
+	p.started = time.Now().Add(-startupPeriod)
+	is.True(p.maxConns(nearLeaf) > startupMaxConns)
 }
 
 // A VM that doesn't know the fleet yet opens no connection ahead: of 295 that start together 280 hand their searches
 // over, and would open one to each leaf of their zone before they know it.
-func TestNoConnectionsAheadBeforeTheFleetIsKnown(t *testing.T) {
+func TestNoPreopenBeforeFleetIsKnown(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
 	p := newPool(d, 6)
-	unsettled := true
-	p.SetLeaves([]catalog.Leaf{nearLeaf, farLeaf}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6, FleetUnknown: unsettled} })
-	is.Equal(len(p.bare(time.Now())), 0)
+	fleetUnknown := true
+	p.SetLeaves([]catalog.Leaf{nearLeaf, farLeaf}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6, FleetUnknown: fleetUnknown} })
+	is.Equal(len(p.reserveUnconnected(time.Now())), 0)
 	_, err := p.Do(t.Context(), nearLeaf.ID, &leafcall.Request{})
 	is.NoErr(err) // what is needed is opened
-	unsettled = false
-	is.True(len(p.bare(time.Now())) > 0)
+	fleetUnknown = false
+	is.True(len(p.reserveUnconnected(time.Now())) > 0)
 }
