--- a/internal/leafpool/ahead.go
+++ b/internal/leafpool/ahead.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// preopenRetryDelay is how long after a failed opening ahead the next one is tried.
+	// preopenRetryDelay is the delay after a failed attempt to open a connection in advance, before the next
+	// attempt.
 	preopenRetryDelay = time.Second
-	// preopenInterval is how often connections are opened ahead, and idle ones looked at.
+	// preopenInterval is how often connections are opened in advance and idle ones are checked.
 	preopenInterval = 250 * time.Millisecond
-	// preopenAllMinConns is the number of connections that a VM may have to a leaf from which they are opened ahead to
-	// all leaves, and kept. Below it the fleet would fill the leaves' limits, and after a loss of power
-	// the dead connections of all VMs would keep the new ones out: then only leaves of the own zone are
-	// connected to ahead, and others as long as they are in use.
+	// preopenAllMinConns is the quota of connections per leaf from which a VM opens connections in advance to all
+	// leaves, and keeps them. If VMs with a smaller quota did so, the fleet would fill the leaves' limits, and after
+	// a power loss the dead connections of all VMs would keep the new ones out. They open connections in advance
+	// only to the leaves of their own zone, and keep others only while they are in use.
 	preopenAllMinConns = 2
-	// onDemandIdleTimeout is how long an idle connection is kept that isn't opened ahead.
+	// onDemandIdleTimeout is how long an idle connection is kept that is not opened in advance.
 	onDemandIdleTimeout = 2 * time.Second
-	// maxConcurrentPreopens bounds the connections that are opened ahead at the same time.
+	// maxConcurrentPreopens bounds the connections that are being opened in advance at the same time.
 	maxConcurrentPreopens = 8
 )
 
-// Run opens a connection ahead to each leaf that needs one, and closes idle ones, until ctx ends.
+// Run opens connections in advance to the leaves that need one, and closes idle ones that are not kept, until ctx
+// ends. It returns nil.
 func (p *Pool) Run(ctx context.Context) error {
 	t := time.NewTicker(preopenInterval)
 	defer t.Stop()
@@ -51,13 +53,14 @@
 	}
 }
 
-// keepsOpen tells whether a connection to the leaf is opened before it is needed, and kept. Requires mu.
+// keepsOpen reports whether a connection to the leaf is opened before it is needed, and kept. The caller must hold
+// mu.
 func (p *Pool) keepsOpen(l catalog.Leaf) bool {
 	share := p.share(l.Service)
 	return !share.OnDemand && !share.FleetUnknown && (l.Zone == p.zone || p.maxConns(l) >= preopenAllMinConns)
 }
 
-// removeUnneeded takes out the idle connections that have ended, and those that aren't kept.
+// removeUnneeded removes and returns the idle connections that have ended and those that are not kept.
 func (p *Pool) removeUnneeded(now time.Time) []idleConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,10 +84,11 @@
 	return out
 }
 
-// noteEndedUnused notes that a connection ended that had been opened ahead and never used: soon after it was opened, as
-// a leaf at its limit ends it, or after the time that leaves keep idle ones. Each of 300 VMs that sees ten requests in
-// two minutes for as many leaves would open them all anew every ten seconds. Before its first call a VM can't know
-// which ones it needs. Requires mu.
+// noteEndedUnused records that a connection that was opened in advance ended without having carried a call. If it
+// ended soon after it was opened, the leaf is at its limit. Otherwise the leaf closed it after its idle timeout,
+// and once this VM has made calls the connection is not opened in advance again before the next call to the leaf:
+// each of 300 VMs that sees ten requests in two minutes for as many leaves would otherwise reopen all of them every
+// ten seconds. Before its first call a VM can't know which connections it needs. The caller must hold mu.
 func (p *Pool) noteEndedUnused(e *leafConns, age time.Duration, now time.Time) {
 	if age < resetBackoff+preopenInterval {
 		e.failedAt = now
@@ -93,7 +97,8 @@
 	e.endedUnused = p.anyCall
 }
 
-// reserveUnconnected returns leaves without a connection, each counted as having one from now on.
+// reserveUnconnected returns the leaves that need a connection opened in advance, and counts a connection to each
+// of them as open.
 func (p *Pool) reserveUnconnected(now time.Time) []*leafConns {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/leafpool/leafpool.go
+++ b/internal/leafpool/leafpool.go
@@ -1,6 +1,6 @@
-// Package leafpool keeps this VM's connections to the leaves: few to each, so that all VMs together
-// stay below a leaf's limit, opened ahead of the first call, since a new connection holds a slot of
-// the leaf for some milliseconds.
+// Package leafpool keeps this VM's connections to the leaves. Each VM has few connections to a leaf, so that all
+// VMs together stay below the leaf's limit. Connections are opened before the first call, since a new one occupies
+// a slot of the leaf for some milliseconds.
 package leafpool
 
 import (
@@ -17,54 +17,54 @@
 )
 
 const (
-	// dialTimeout bounds opening a connection. A round trip takes milliseconds, a VM that has used up its quota
-	// of a processor stands still for a tenth of a second, and a lost packet is sent again after a second only:
-	// what isn't open by then won't be soon.
+	// dialTimeout bounds opening a connection. A round trip takes milliseconds, a VM that has used up its CPU quota
+	// pauses for a tenth of a second, and a lost packet is retransmitted only after a second. A connection that is
+	// not open by then will not open soon.
 	dialTimeout = 250 * time.Millisecond
-	// resetBackoff is how long no connection is opened to a leaf after it reset a new one: it is at its
-	// limit, and each further one would be reset as well.
+	// resetBackoff is how long no connection is opened to a leaf after it reset a new one: it is at its limit and
+	// would reset further ones as well.
 	resetBackoff = 300 * time.Millisecond
 )
 
-// Step names this duty in errors.
+// Step names this component in errors.
 const Step = "leafpool"
 
-// Pool holds the connections. It is safe for concurrent use.
+// Pool holds the connections to the leaves. It is safe for concurrent use.
 type Pool struct {
 	dialer  leafcall.Dialer
 	zone    string
 	metrics *metrics
-	// started is when the pool was made, at the start of the process; turn is the part of the VMs whose turn to open
-	// more connections comes before this one's, by chance.
+	// started is when the pool was created, at the start of the process. startupStagger is the fraction of the VMs
+	// that open more connections before this one does; it is drawn at random.
 	started        time.Time
 	startupStagger float64
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu.
 	leaves map[catalog.LeafID]*leafConns
 	share  func(service string) Share
 	limits map[string]int
-	// anyCall is set from the first call on, to whichever leaf.
+	// anyCall is set once this VM has made a call to any leaf.
 	anyCall bool
 }
 
 // leafConns is a leaf with its connections.
 type leafConns struct {
-	// address of the leaf; where a leaf shows up at another one, that is a peer of its own.
+	// address of the leaf. A leaf that appears at another address gets a leafConns of its own.
 	address string
 	leaf    catalog.Leaf
 	idle    []idleConn
-	// open counts all connections, those in use and being opened included.
+	// open counts all connections, including those in use and those being opened.
 	open int
-	// failedAt is when a connection last could not be opened, or ended right after it was opened ahead; refusedAt is
-	// when a new one was reset under a call.
+	// failedAt is when a connection last could not be opened, or ended right after it was opened in advance.
+	// resetAt is when the leaf last reset a new connection during a call.
 	failedAt, resetAt time.Time
 	gone              bool
-	// endedUnused is set where a connection ended without having carried a call, until the next call.
+	// endedUnused is set when a connection ended without having carried a call, and cleared by the next call.
 	endedUnused bool
 }
 
-// idleConn is a connection that waits for a call since a time; used is set where it has carried one.
+// idleConn is a connection that has been idle since the given time. used is set if it has carried a call.
 type idleConn struct {
 	leafcall.Conn
 	since time.Time
@@ -76,7 +76,7 @@
 	open   prometheus.Gauge
 }
 
-// New returns a pool without connections, of a VM in the zone.
+// New returns a pool without connections for a VM in the zone.
 func New(d leafcall.Dialer, zone string, reg prometheus.Registerer) *Pool {
 	m := &metrics{
 		opened: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -89,8 +89,8 @@
 		share: func(string) Share { return Share{VMs: 1} }}
 }
 
-// SetLeaves tells which leaves may be called, the connection limit of each service, and this VM's share.
-// Connections to others are closed once they are idle.
+// SetLeaves sets the leaves that may be called, the connection limit of each service, and this VM's share.
+// Connections to other leaves are closed once they are idle.
 func (p *Pool) SetLeaves(leaves []catalog.Leaf, limits map[string]int, share func(service string) Share) {
 	p.mu.Lock()
 	var drop []idleConn
@@ -121,8 +121,8 @@
 	p.closeAll(drop)
 }
 
-// retire takes out the idle connections of a peer that isn't called any more; those in use are closed once they
-// are given back. Requires the pool's mu.
+// retire removes and returns the idle connections of a leaf that is no longer called. Those in use are closed when
+// they are released. The caller must hold the pool's mu.
 func (e *leafConns) retire() []idleConn {
 	idle := e.idle
 	e.gone, e.idle = true, nil
@@ -137,7 +137,7 @@
 	}
 }
 
-// Free tells whether a call to the leaf would find a connection, and whether that is open already.
+// Free reports whether a call to the leaf would get a connection, and whether that connection is already open.
 func (p *Pool) Free(id catalog.LeafID) (free, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,7 +151,7 @@
 	return e.open < p.maxConns(e.leaf) && time.Since(e.resetAt) >= resetBackoff, false
 }
 
-// Do makes the call. An error is a *leafcall.Error.
+// Do makes the call. Any error is a *leafcall.Error.
 func (p *Pool) Do(ctx context.Context, id catalog.LeafID, r *leafcall.Request) (*leafcall.Response, error) {
 	c, e, fresh, err := p.acquire(ctx, id)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return resp, err
 }
 
-// noteReset remembers a leaf that ended a new connection without an answer.
+// noteReset records that a leaf ended a new connection without an answer.
 func (p *Pool) noteReset(e *leafConns, err error) {
 	var failure *leafcall.Error
 	if !errors.As(err, &failure) || failure.Cause != leafcall.ConnectionLost {
@@ -176,13 +176,13 @@
 	e.resetAt = time.Now()
 }
 
-// acquire returns an idle connection, or a fresh one.
+// acquire returns an idle connection, or opens a new one and sets fresh.
 func (p *Pool) acquire(ctx context.Context, id catalog.LeafID) (c leafcall.Conn, e *leafConns, fresh bool, err error) {
 	p.mu.Lock()
 	e = p.leaves[id]
 	if e == nil {
 		p.mu.Unlock()
-		return nil, nil, false, &leafcall.Error{Cause: leafcall.NoConnection, Step: Step, Peer: id.String(), Err: errors.New("leaf is not known")}
+		return nil, nil, false, &leafcall.Error{Cause: leafcall.NoConnection, Step: Step, Peer: id.String(), Err: errors.New("leaf is unknown")}
 	}
 	p.anyCall, e.endedUnused = true, false
 	for len(e.idle) > 0 {
@@ -198,7 +198,7 @@
 	}
 	if e.open >= p.maxConns(e.leaf) || time.Since(e.resetAt) < resetBackoff {
 		p.mu.Unlock()
-		return nil, nil, false, &leafcall.Error{Cause: leafcall.ConnectionFull, Step: Step, Peer: id.String(), Err: errors.New("at this VM's part of the limit")}
+		return nil, nil, false, &leafcall.Error{Cause: leafcall.ConnectionFull, Step: Step, Peer: id.String(), Err: errors.New("this VM's connection quota is used up, or the leaf has just reset a new connection")}
 	}
 	e.open++
 	p.mu.Unlock()
@@ -206,7 +206,7 @@
 	return c, e, true, err
 }
 
-// dial opens a connection that is counted already.
+// dial opens a connection that is already counted in open.
 func (p *Pool) dial(ctx context.Context, e *leafConns) (leafcall.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -224,7 +224,7 @@
 	return nil, err
 }
 
-// release takes a connection back, used where it has carried a call.
+// release returns a connection to the pool, or closes it. used is set if the connection has carried a call.
 func (p *Pool) release(e *leafConns, c leafcall.Conn, reusable, used bool) {
 	p.mu.Lock()
 	keep := reusable && !e.gone
@@ -243,7 +243,7 @@
 	}
 }
 
-// Dump shows the connections by leaf.
+// Dump returns the connection counts of each leaf.
 func (p *Pool) Dump() any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/leafpool/leafpool_test.go
+++ b/internal/leafpool/leafpool_test.go
@@ -15,7 +15,7 @@
 	"github.com/burdockplank/burdockplank/internal/leafcall"
 )
 
-// fakeDialer opens fake connections; fail lets it refuse, and end is what calls on new ones return.
+// fakeDialer opens fake connections. dialErr is the error of Dial, callErr that of calls on new connections.
 type fakeDialer struct {
 	mu      sync.Mutex
 	opened  map[string]int
@@ -81,11 +81,11 @@
 	farLeaf  = catalog.Leaf{ID: leafID("far"), Service: "x", Address: "far", Zone: "other"}
 )
 
-// sharedBy shares the connections among so many VMs.
+// sharedBy returns the share of one VM in the given number of VMs.
 func sharedBy(vms int) func(string) Share { return func(string) Share { return Share{VMs: vms} } }
 
-// A VM that calls a leaf in exceptional cases only opens no connection ahead, one where it needs it, and
-// doesn't keep that: its part of the leaf's limit is with those that call it all the time.
+// A VM that calls a leaf only in exceptional cases opens no connection in advance. It opens one when it needs it
+// and does not keep it, because the leaf's limit is planned for the VMs that call it all the time.
 func TestOnDemandLeaf(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
@@ -103,10 +103,10 @@
 	is.True(d.conns[0].closed)
 }
 
-// newPool has both leaves, of which a fleet of the size shares 30 connections each.
+// newPool returns a pool with both leaves, each with a limit of 30 connections that the given number of VMs share.
 func newPool(d *fakeDialer, vms int) *Pool {
 	p := New(d, "z", prometheus.NewRegistry())
-	p.started, p.startupStagger = p.started.Add(-startupPeriod), 0 // as after the first seconds
+	p.started, p.startupStagger = p.started.Add(-startupPeriod), 0 // after the startup period
 	p.SetLeaves([]catalog.Leaf{nearLeaf, farLeaf}, map[string]int{"x": 30}, sharedBy(vms))
 	return p
 }
@@ -131,8 +131,8 @@
 	is.True(err != nil)
 }
 
-// All VMs together stay below a leaf's limit, with room for connections that it still counts of VMs
-// that are gone.
+// All VMs together stay below a leaf's limit, with room for connections of VMs that are gone and that the leaf
+// still counts.
 func TestQuotaPerLeaf(t *testing.T) {
 	for vms, want := range map[int]int{1: 4, 6: 4, 8: 3, 9: 2, 12: 2, 24: 1, 61: 1} {
 		is := is.New(t)
@@ -161,8 +161,8 @@
 	is.True(free)
 }
 
-// Where a VM may have one connection to a leaf, only those of the own zone are opened ahead, and far
-// ones end soon after their use; with more room all are opened and kept.
+// With a quota of one connection per leaf only those of the own zone are opened in advance, and those to other
+// zones are closed soon after their use. With a larger quota all are opened and kept.
 func TestPreopenedConnections(t *testing.T) {
 	for name, tt := range map[string]struct {
 		vms       int
@@ -186,14 +186,14 @@
 	}
 }
 
-// preopen opens the connections that are due ahead, and returns how many.
+// preopen opens the connections that are due in advance and returns their number.
 func preopen(t *testing.T, p *Pool, now time.Time) int {
 	reserved := p.reserveUnconnected(now)
 	openReserved(t, p, reserved)
 	return len(reserved)
 }
 
-// openReserved opens a connection to each of the leaves that bare returned.
+// openReserved opens a connection to each of the leaves that reserveUnconnected returned.
 func openReserved(t *testing.T, p *Pool, reserved []*leafConns) {
 	t.Helper()
 	for _, e := range reserved {
@@ -205,7 +205,7 @@
 	}
 }
 
-// endAll lets the leaves end all connections.
+// endAll ends all connections from the leaves' side.
 func (d *fakeDialer) endAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -214,8 +214,8 @@
 	}
 }
 
-// Leaves end idle connections after some seconds. A VM that has seen calls opens anew those that carried one; before
-// its first call it keeps one to each leaf. The others wait for a call.
+// Leaves end idle connections after some seconds. A VM that has made calls opens only those again that carried one,
+// and the others wait for a call. Before its first call it keeps one connection to each leaf.
 func TestUnusedConnectionIsNotReopened(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
@@ -244,8 +244,8 @@
 	is.Equal(d.count("far"), 4)
 }
 
-// A leaf at its limit ends a connection that was opened ahead, too: the next one is opened a second later, not at
-// the next look.
+// A leaf at its limit also ends connections that were opened in advance. The next one is opened a second later, not
+// at the next check.
 func TestPreopenWaitsAtLeafLimit(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
@@ -259,7 +259,8 @@
 	is.Equal(preopen(t, p, now.Add(preopenRetryDelay)), 2)
 }
 
-// VMs that started together and are young no more don't open their connections to the leaves of other zones at once.
+// VMs that started together do not open their connections to leaves of other zones all at once when their startup
+// period ends.
 func TestLargeFleetStaggersConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -280,12 +281,12 @@
 			opened, maxPerInterval = opened+now, max(maxPerInterval, now)
 		}
 		is.Equal(opened, vms)
-		is.True(maxPerInterval < 2*int(preopenInterval/startupOpenInterval)) // of 42 in a period
+		is.True(maxPerInterval < 2*int(preopenInterval/startupOpenInterval)) // of 42 that are expected in an interval
 	})
 }
 
-// A leaf at its limit resets what is new: it is left alone for a moment, so that calls go elsewhere
-// without being sent.
+// A leaf at its limit resets new connections. It gets no new one for a short time, so that calls go elsewhere
+// without being sent to it.
 func TestResetSuspendsNewConnections(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
@@ -315,7 +316,7 @@
 		is.True(err != nil)
 	}
 	is.Equal(p.leaves[leafID("near")].open, 0)
-	is.Equal(len(p.reserveUnconnected(time.Now())), 1) // only the other one: it has just failed here
+	is.Equal(len(p.reserveUnconnected(time.Now())), 1) // only the other leaf: dialing this one has just failed
 }
 
 func TestRemovedLeaf(t *testing.T) {
@@ -328,15 +329,15 @@
 	is.NoErr(err)
 	p.SetLeaves(nil, nil, sharedBy(6))
 	is.True(d.conns[0].closed)
-	is.Equal(len(p.leaves), 1) // a call is in flight at the other
+	is.Equal(len(p.leaves), 1) // a call to the other leaf is in flight
 	p.release(e, c, true, true)
 	is.True(d.conns[1].closed)
 	is.Equal(len(p.leaves), 0)
 }
 
-// A leaf that starts again under its id has none of the connections of before: those at rest are closed at once,
-// those in use with their call, and neither counts toward what the new start may have. The same holds where a
-// leaf that doesn't tell its start shows up at another address.
+// A leaf that restarts under its id gets none of its earlier connections: idle ones are closed at once, those in
+// use after their call, and neither counts toward the quota of the new start. The same holds for a leaf without a
+// start time that appears at another address.
 func TestRestartedLeafGetsNewConnections(t *testing.T) {
 	for name, again := range map[string]catalog.Leaf{
 		"same address":   {ID: catalog.LeafID{Name: "near", Born: 2}, Service: "x", Address: "near", Zone: "z"},
@@ -373,8 +374,8 @@
 	}
 }
 
-// Right after its start a VM leaves room for the others: a leaf may still count the connections of VMs that lost
-// power with it.
+// Right after its start a VM leaves room for the others, because a leaf may still count the connections of VMs that
+// lost power together with it.
 func TestYoungVMHasFewConnections(t *testing.T) {
 	is := is.New(t)
 	p := newPool(newDialer(), 6)
@@ -385,8 +386,8 @@
 	is.True(p.maxConns(nearLeaf) > startupMaxConns)
 }
 
-// A VM that doesn't know the fleet yet opens no connection ahead: of 295 that start together 280 hand their searches
-// over, and would open one to each leaf of their zone before they know it.
+// A VM that does not know the fleet yet opens no connection in advance. Of 295 VMs that start together 280 delegate
+// their searches, and would open a connection to each leaf of their zone before they know that.
 func TestNoPreopenBeforeFleetIsKnown(t *testing.T) {
 	is := is.New(t)
 	d := newDialer()
@@ -395,7 +396,7 @@
 	p.SetLeaves([]catalog.Leaf{nearLeaf, farLeaf}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6, FleetUnknown: fleetUnknown} })
 	is.Equal(len(p.reserveUnconnected(time.Now())), 0)
 	_, err := p.Do(t.Context(), nearLeaf.ID, &leafcall.Request{})
-	is.NoErr(err) // what is needed is opened
+	is.NoErr(err) // a call still opens a connection
 	fleetUnknown = false
 	is.True(len(p.reserveUnconnected(time.Now())) > 0)
 }
