--- a/internal/leafcall/leafcall.go
+++ b/internal/leafcall/leafcall.go
@@ -1,4 +1,4 @@
-// Package leafcall holds the messages of a call to a leaf as plain types, free of any wire format.
+// Package leafcall defines the messages of a call to a leaf as plain types, independent of any wire format.
 package leafcall
 
 import (
@@ -12,45 +12,45 @@
 
 // Request is one call to a leaf.
 type Request struct {
-	// ID of the caller's attempt, passed on as it came.
+	// ID of the caller's attempt, passed on unchanged.
 	ID string
-	// Method, Target (path and query as they came) and Host of the caller's request.
+	// Method, Target (path and query, unchanged) and Host of the caller's request.
 	Method, Target, Host string
-	// Header holds the caller's further headers, without those of one connection.
+	// Header holds the caller's other headers, without hop-by-hop headers.
 	Header http.Header
 	Body   []byte
-	// Remaining is how long the caller still waits.
+	// Remaining is how long the caller will still wait.
 	Remaining time.Duration
-	// Leaf is the incarnation that has to run the request; another one refuses.
+	// Leaf is the incarnation that must run the request. Any other incarnation refuses it.
 	Leaf string
 }
 
-// Response is the whole answer of a leaf.
+// Response is the complete answer of a leaf.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Signature is the leaf's proof that it made the answer; empty where there is none.
+	// Signature is the leaf's proof that it produced the answer; empty if there is none.
 	Signature string
-	// NotRun is set where the leaf states that it did not run the request.
+	// NotRun is set if the leaf states that it did not run the request.
 	NotRun bool
-	// WrongIncarnation is set where another incarnation has the address.
+	// WrongIncarnation is set if another incarnation of the leaf has the address.
 	WrongIncarnation bool
-	// Load is the leaf's report of its load; nil where there is none.
+	// Load is the load that the leaf reported; nil if it reported none.
 	Load *replica.Load
 }
 
-// Success tells whether the answer is a signed success.
+// Success reports whether the answer is a signed success.
 func (r *Response) Success() bool {
 	return r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices && r.Signature != "" && !r.NotRun && !r.WrongIncarnation
 }
 
-// Conn is a connection to a leaf that carries one call at a time.
+// Conn is a connection to a leaf. It carries one call at a time.
 type Conn interface {
-	// Do sends the request and reads its answer. An error is an *Error. The connection is of no use
-	// after an error, or where reusable is false.
+	// Do sends the request and reads its answer. Any error is an *Error. The connection must not be used again
+	// after an error, or if reusable is false.
 	Do(ctx context.Context, r *Request) (resp *Response, reusable bool, err error)
-	// Alive tells whether the connection is still open and nothing waits to be read.
+	// Alive reports whether the connection is still open and has no unread data.
 	Alive() bool
 	Close()
 }
@@ -60,7 +60,7 @@
 	Dial(ctx context.Context, address string) (Conn, error)
 }
 
-// Cause says why a call has no answer.
+// Cause is the reason why a call has no answer.
 type Cause string
 
 // The causes of calls without an answer.
@@ -71,22 +71,22 @@
 	ConnectionFull Cause = "connections in use"
 	// ConnectionLost: the connection ended without an answer.
 	ConnectionLost Cause = "connection lost"
-	// InvalidAnswer: what came isn't an answer.
+	// InvalidAnswer: the leaf sent something that is not a valid answer.
 	InvalidAnswer Cause = "answer spoiled"
 	// TimedOut: the deadline passed.
 	TimedOut Cause = "deadline passed"
-	// Abandoned: the call was given up.
+	// Abandoned: the call was cancelled before its deadline.
 	Abandoned Cause = "given up"
 )
 
-// Error is a call without an answer.
+// Error describes a call without an answer.
 type Error struct {
 	Cause Cause
-	// Step and Peer tell where it arose.
+	// Step names the component, and Peer the leaf, at which the call failed.
 	Step, Peer string
-	// Sent is true where a byte of the request may have reached the leaf.
+	// Sent is set if a byte of the request may have reached the leaf.
 	Sent bool
-	// Refused is true where the address took no connection at all, as after a crash.
+	// Refused is set if the address refused the connection, as after a crash.
 	Refused bool
 	Err     error
 }
@@ -96,5 +96,5 @@
 	return fmt.Sprintf("%s: leaf %s: %s: %v", e.Step, e.Peer, e.Cause, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
