--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -50,23 +50,23 @@
 	decoder Decoder
 	log     *zap.Logger
 	ignored prometheus.Counter
-	// ignoredLines bounds the lines of ignored entries.
-	ignoredLines *rate.Limiter
-	current      atomic.Pointer[View]
+	// ignoredLogLimiter bounds the lines of ignored entries.
+	ignoredLogLimiter *rate.Limiter
+	current           atomic.Pointer[View]
 
 	mu sync.Mutex
 	// decoded leaves and the configuration by the revision of their item; guarded by mu.
-	leaves   map[string]registration
-	config   *catalog.Config
-	configAt uint64
+	leaves         map[string]registration
+	config         *catalog.Config
+	configRevision uint64
 }
 
-// ignoredLines bounds the lines a second of entries that name no leaf: whoever writes them may do so often.
-const ignoredLines = 2
+// maxIgnoredLogsPerSecond bounds the lines a second of entries that name no leaf: whoever writes them may do so often.
+const maxIgnoredLogsPerSecond = 2
 
-// bornAhead is how far ahead of this VM's time of day a leaf's start may lie. Clocks jump by seconds; a start
+// maxStartAhead is how far ahead of this VM's time of day a leaf's start may lie. Clocks jump by seconds; a start
 // beyond would keep out every later one of that leaf.
-const bornAhead = time.Hour
+const maxStartAhead = time.Hour
 
 // New returns a directory of the mirror, whose changes fire changed. It fires updated itself.
 func New(m *mirror.Mirror, changed, updated *notify.Notifier, d Decoder, log *zap.Logger, reg prometheus.Registerer) *Directory {
@@ -75,7 +75,7 @@
 	})
 	reg.MustRegister(ignored)
 	dir := &Directory{
-		ignored: ignored, ignoredLines: rate.NewLimiter(ignoredLines, ignoredLines),
+		ignored: ignored, ignoredLogLimiter: rate.NewLimiter(maxIgnoredLogsPerSecond, maxIgnoredLogsPerSecond),
 		mirror: m, changed: changed, updated: updated, decoder: d, log: log, leaves: make(map[string]registration)}
 	dir.current.Store(&View{})
 	return dir
@@ -118,23 +118,23 @@
 	}
 }
 
-// idleRefresh is how often the view is built anew without news; it only bounds the wait.
-const idleRefresh = time.Minute
+// maxRefreshInterval is how often the view is built anew without news; it only bounds the wait.
+const maxRefreshInterval = time.Minute
 
 // Refresh builds the view of what the mirror holds, and returns after which time it changes by itself.
 func (d *Directory) Refresh(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	v := &View{Leaves: make(map[string][]catalog.Leaf), Expired: make(map[string][]catalog.Leaf), Revision: d.mirror.CompleteTo()}
-	next := idleRefresh
+	next := maxRefreshInterval
 	seen := make(map[string]bool)
 	for _, it := range d.mirror.All() {
 		seen[it.Key] = true
 		if it.Deleted {
-			next = min(next, d.lapse(v, it, now))
+			next = min(next, d.addExpired(v, it, now))
 			continue
 		}
-		d.take(v, it, now)
+		d.addItem(v, it, now)
 	}
 	for key := range d.leaves {
 		if !seen[key] {
@@ -147,24 +147,24 @@
 	return next
 }
 
-// lapse shows a removed leaf as lapsed for a while. Requires mu.
-func (d *Directory) lapse(v *View, it mirror.ReceivedItem, now time.Time) time.Duration {
+// addExpired shows a removed leaf as lapsed for a while. Requires mu.
+func (d *Directory) addExpired(v *View, it mirror.ReceivedItem, now time.Time) time.Duration {
 	l, ok := d.leaves[it.Key]
 	if !ok || !l.usable || l.leaf.Draining {
-		return idleRefresh
+		return maxRefreshInterval
 	}
-	left := ExpiryGracePeriod - now.Sub(it.ReceivedAt)
-	if left <= 0 {
+	remaining := ExpiryGracePeriod - now.Sub(it.ReceivedAt)
+	if remaining <= 0 {
 		delete(d.leaves, it.Key)
 		d.log.Info("leaf gone", zap.Stringer("leaf", l.leaf.ID), zap.String("service", l.leaf.Service), zap.Uint64("revision", it.Revision))
-		return idleRefresh
+		return maxRefreshInterval
 	}
 	v.Expired[l.leaf.Service] = append(v.Expired[l.leaf.Service], l.leaf)
-	return left
+	return remaining
 }
 
-// take adds an item to the view. Requires mu.
-func (d *Directory) take(v *View, it mirror.ReceivedItem, now time.Time) {
+// addItem adds an item to the view. Requires mu.
+func (d *Directory) addItem(v *View, it mirror.ReceivedItem, now time.Time) {
 	if known, ok := d.leaves[it.Key]; ok && known.revision == it.Revision {
 		known.addTo(v)
 		return
@@ -176,19 +176,19 @@
 		r.addTo(v)
 		return
 	}
-	if it.Revision > d.configAt {
-		d.takeConfig(it)
+	if it.Revision > d.configRevision {
+		d.applyConfig(it)
 	}
 }
 
-// takeConfig puts a newer configuration in force; one that can't be decoded leaves the last in
+// applyConfig puts a newer configuration in force; one that can't be decoded leaves the last in
 // force. Requires mu.
-func (d *Directory) takeConfig(it mirror.ReceivedItem) {
+func (d *Directory) applyConfig(it mirror.ReceivedItem) {
 	c, ok, err := d.decoder.Config(it.Key, it.Value)
 	if !ok {
 		return
 	}
-	d.configAt = it.Revision
+	d.configRevision = it.Revision
 	if err != nil {
 		d.log.Error("configuration ignored", zap.Uint64("revision", it.Revision), zap.Error(err))
 		return
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -64,13 +64,13 @@
 	f.Refresh(f.now)
 }
 
-func (f *fixture) drop(key string) time.Duration {
+func (f *fixture) remove(key string) time.Duration {
 	f.revision++
 	f.m.Merge(mirror.Delta{Items: []mirror.Item{{Key: key, Revision: f.revision, Deleted: true}}, CompleteFrom: f.revision - 1, CompleteTo: f.revision}, f.now)
 	return f.Refresh(f.now)
 }
 
-func (f *fixture) pass(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.Refresh(f.now)
 }
@@ -83,35 +83,35 @@
 	return strings.Join(out, " ")
 }
 
-func TestDrainingLeafGetsNothingMore(t *testing.T) {
+func TestDrainingLeafGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "x ready")
 	is.Equal(ids(f.Current().Leaves["x"]), "1")
 	f.put("leaf/1", "x draining")
 	is.Equal(ids(f.Current().Leaves["x"]), "")
-	f.drop("leaf/1")
+	f.remove("leaf/1")
 	is.Equal(ids(f.Current().Expired["x"]), "")
 }
 
 // An entry may lapse while the store is away, so its leaf stays a last resort for a while, less than
 // the three seconds after which one that is gone may get nothing.
-func TestLapsedEntry(t *testing.T) {
+func TestExpiredEntry(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "x ready")
-	is.Equal(f.drop("leaf/1"), ExpiryGracePeriod)
+	is.Equal(f.remove("leaf/1"), ExpiryGracePeriod)
 	is.Equal(ids(f.Current().Leaves["x"]), "")
 	is.Equal(ids(f.Current().Expired["x"]), "1")
-	f.pass(ExpiryGracePeriod - time.Millisecond)
+	f.advance(ExpiryGracePeriod - time.Millisecond)
 	is.Equal(ids(f.Current().Expired["x"]), "1")
-	f.pass(time.Millisecond)
+	f.advance(time.Millisecond)
 	is.Equal(ids(f.Current().Expired["x"]), "")
 	f.put("leaf/1", "x ready") // it is back
 	is.Equal(ids(f.Current().Leaves["x"]), "1")
 }
 
-func TestConfigNeverGoesBack(t *testing.T) {
+func TestConfigVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	is.True(f.Current().Config == nil)
@@ -122,11 +122,11 @@
 	is.Equal(f.Current().Config.Version, uint64(3))
 	f.put("config", "5")
 	is.Equal(f.Current().Config.Version, uint64(5))
-	f.drop("config")
+	f.remove("config")
 	is.Equal(f.Current().Config.Version, uint64(5))
 }
 
-func TestAwaitReturnsWithTheConfiguration(t *testing.T) {
+func TestAwaitReturnsOnceConfigured(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	is.True(f.Await(t.Context(), time.Millisecond).Config == nil)
@@ -135,21 +135,21 @@
 	is.Equal(f.Await(t.Context(), 10*time.Second).Config.Version, uint64(3))
 }
 
-func TestBadEntryIsIgnored(t *testing.T) {
+func TestInvalidEntryIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "nothing")
 	f.put("leaf/2", "x ready")
 	f.put("other", "key")
 	is.Equal(len(f.Current().Leaves), 1)
-	f.drop("leaf/1")
+	f.remove("leaf/1")
 	is.Equal(len(f.Current().Expired), 0)
 	is.Equal(f.Current().Revision, f.revision)
 }
 
 // A leaf that starts again under its id is another leaf. A late entry of the earlier start doesn't take its place,
 // also not after one that no leaf wrote.
-func TestLeafStartsAgain(t *testing.T) {
+func TestRestartedLeaf(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "x ready 1000")
@@ -164,16 +164,16 @@
 	f.put("leaf/1", "x ready 2000")
 	is.Equal(ids(f.Current().Leaves["x"]), "1@2000")
 	f.put("leaf/1", "x draining 2000")
-	f.drop("leaf/1")
+	f.remove("leaf/1")
 	f.put("leaf/1", "x ready 3000") // it leaves in order, and is back at once
 	is.Equal(ids(f.Current().Leaves["x"]), "1@3000")
-	f.drop("leaf/1")
+	f.remove("leaf/1")
 	is.Equal(ids(f.Current().Expired["x"]), "1@3000")
 }
 
 // Entries that another writer put in a leaf's place name no leaf, and one with a start far ahead doesn't keep the
 // leaf out for good.
-func TestForeignEntryInALeafsPlace(t *testing.T) {
+func TestForeignEntryUnderLeafKey(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/2", "x ready 1000")
@@ -188,7 +188,7 @@
 }
 
 // Whoever writes many bad entries fills neither the log nor the view.
-func TestLinesOfForeignEntriesAreBounded(t *testing.T) {
+func TestIgnoredEntryLogIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	core, logs := observer.New(zap.WarnLevel)
--- a/internal/directory/registration.go
+++ b/internal/directory/registration.go
@@ -17,8 +17,8 @@
 	leaf     catalog.Leaf
 	// usable is false where the entry names no leaf to use.
 	usable bool
-	// born is the latest start that any entry of the key told.
-	born int64
+	// latestStart is the latest start that any entry of the key told.
+	latestStart int64
 }
 
 // addTo shows the leaf as one that may take work.
@@ -30,9 +30,9 @@
 
 // Reasons why an entry is ignored though it decodes.
 var (
-	errOlderStart = eris.New("the leaf has started again since")
-	errNoStart    = eris.New("the entry doesn't tell the leaf's start")
-	errAhead      = eris.New("the leaf's start lies ahead")
+	errOlderStart    = eris.New("the leaf has started again since")
+	errNoStart       = eris.New("the entry doesn't tell the leaf's start")
+	errStartInFuture = eris.New("the leaf's start lies ahead")
 )
 
 // register takes a new entry of a key, err where it can't be decoded. A late entry of an earlier start doesn't
@@ -42,32 +42,32 @@
 	born := leaf.ID.Born
 	switch {
 	case err != nil:
-	case born > now.Add(bornAhead).UnixMilli():
-		err = errAhead
-	case born == 0 && known.born > 0:
+	case born > now.Add(maxStartAhead).UnixMilli():
+		err = errStartInFuture
+	case born == 0 && known.latestStart > 0:
 		err = errNoStart
-	case born < known.born && known.usable:
+	case born < known.latestStart && known.usable:
 		d.ignore(it, errOlderStart)
 		known.revision = it.Revision
 		return known
-	case born < known.born:
+	case born < known.latestStart:
 		err = errOlderStart
 	}
 	if err != nil {
 		d.ignore(it, err)
-		return registration{revision: it.Revision, born: known.born}
+		return registration{revision: it.Revision, latestStart: known.latestStart}
 	}
 	if known.usable && known.leaf.ID != leaf.ID {
-		d.log.Info("leaf started again", zap.Stringer("leaf", leaf.ID), zap.Int64("before", known.born),
+		d.log.Info("leaf started again", zap.Stringer("leaf", leaf.ID), zap.Int64("before", known.latestStart),
 			zap.String("service", leaf.Service), zap.Uint64("revision", it.Revision))
 	}
-	return registration{revision: it.Revision, leaf: leaf, usable: true, born: born}
+	return registration{revision: it.Revision, leaf: leaf, usable: true, latestStart: born}
 }
 
 // ignore counts an entry that changes nothing or names no leaf, and tells of it as far as lines are left.
-func (d *Directory) ignore(it mirror.ReceivedItem, why error) {
+func (d *Directory) ignore(it mirror.ReceivedItem, reason error) {
 	d.ignored.Inc()
-	if d.ignoredLines.Allow() {
-		d.log.Warn("entry of a leaf ignored", zap.String("key", it.Key), zap.Uint64("revision", it.Revision), zap.Int("bytes", len(it.Value)), zap.Error(why))
+	if d.ignoredLogLimiter.Allow() {
+		d.log.Warn("entry of a leaf ignored", zap.String("key", it.Key), zap.Uint64("revision", it.Revision), zap.Int("bytes", len(it.Value)), zap.Error(reason))
 	}
 }
