--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory turns the copied items of the platform's store into the configuration in force
-// and the leaves that may take work.
+// Package directory derives the configuration in force and the leaves that may take work from the mirrored items of
+// the platform's store.
 package directory
 
 import (
@@ -17,32 +17,32 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// ExpiryGracePeriod is how long a leaf whose entry was removed without a word may still be asked where its
-// group has no other. Entries lapse while the store is away, and are back about 2 s after its return;
-// a leaf that is really leaving gets no work later than the 3 s that the platform allows.
+// ExpiryGracePeriod is how long a leaf whose entry was removed without draining first may still be called if its
+// group has no other leaf. Entries expire while the store is unavailable and are back about 2 s after its return. A
+// leaf that is really leaving gets no work beyond the 3 s that the platform allows.
 const ExpiryGracePeriod = 2200 * time.Millisecond
 
-// Decoder knows the platform's format of items.
+// Decoder decodes items in the platform's format.
 type Decoder interface {
-	// Config decodes the configuration; ok is false where the key holds none.
+	// Config decodes the configuration; ok is false if the key holds none.
 	Config(key string, value []byte) (c *catalog.Config, ok bool, err error)
-	// Leaf decodes an entry of a leaf; ok is false where the key holds none.
+	// Leaf decodes the entry of a leaf; ok is false if the key holds none.
 	Leaf(key string, value []byte) (l catalog.Leaf, ok bool, err error)
 }
 
-// View is what is known at one moment. It is never changed once built.
+// View is the configuration and the leaves at one moment. It is immutable once built.
 type View struct {
-	// Config is nil until one was read.
+	// Config is nil until one has been read.
 	Config *catalog.Config
-	// Leaves of each service that may take work, in no order.
+	// Leaves that may take work, by service, in no particular order.
 	Leaves map[string][]catalog.Leaf
-	// Expired leaves of each service: their entry was removed less than ExpiryGracePeriod ago.
+	// Expired leaves by service: their entry was removed less than ExpiryGracePeriod ago.
 	Expired map[string][]catalog.Leaf
 	// Revision of the store up to which the view is complete.
 	Revision uint64
 }
 
-// Directory keeps the newest view. It is safe for concurrent use.
+// Directory holds the newest view. It is safe for concurrent use.
 type Directory struct {
 	mirror  *mirror.Mirror
 	changed *notify.Notifier
@@ -50,25 +50,28 @@
 	decoder Decoder
 	log     *zap.Logger
 	ignored prometheus.Counter
-	// ignoredLogLimiter bounds the lines of ignored entries.
+	// ignoredLogLimiter limits the rate of log lines about ignored entries.
 	ignoredLogLimiter *rate.Limiter
 	current           atomic.Pointer[View]
 
 	mu sync.Mutex
-	// decoded leaves and the configuration by the revision of their item; guarded by mu.
+	// leaves holds the registrations of leaves by key. config is the configuration in force, and configRevision the
+	// revision of the latest item that held one. All are guarded by mu.
 	leaves         map[string]registration
 	config         *catalog.Config
 	configRevision uint64
 }
 
-// maxIgnoredLogsPerSecond bounds the lines a second of entries that name no leaf: whoever writes them may do so often.
+// maxIgnoredLogsPerSecond limits the log lines about entries that name no leaf, since other writers may add them
+// often.
 const maxIgnoredLogsPerSecond = 2
 
-// maxStartAhead is how far ahead of this VM's time of day a leaf's start may lie. Clocks jump by seconds; a start
-// beyond would keep out every later one of that leaf.
+// maxStartAhead is how far a leaf's start time may be ahead of this VM's clock. Clocks jump by seconds. A start
+// time further ahead would keep out every later start of that leaf.
 const maxStartAhead = time.Hour
 
-// New returns a directory of the mirror, whose changes fire changed. It fires updated itself.
+// New returns a directory of the mirror. The mirror fires changed when an item changes; the directory fires updated
+// when it has a new view.
 func New(m *mirror.Mirror, changed, updated *notify.Notifier, d Decoder, log *zap.Logger, reg prometheus.Registerer) *Directory {
 	ignored := prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "burdock_leaf_entries_ignored_total", Help: "Entries of the store that look like a leaf's and name no leaf to use.",
@@ -84,7 +87,7 @@
 // Current returns the newest view.
 func (d *Directory) Current() *View { return d.current.Load() }
 
-// Await returns the newest view once it has a configuration, or after the time.
+// Await returns the newest view as soon as it has a configuration, or when the limit has passed or ctx has ended.
 func (d *Directory) Await(ctx context.Context, limit time.Duration) *View {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -101,7 +104,7 @@
 	}
 }
 
-// Run follows the mirror until ctx ends.
+// Run refreshes the view whenever the mirror changes, until ctx ends. It returns nil.
 func (d *Directory) Run(ctx context.Context) error {
 	for {
 		next := d.changed.Changed()
@@ -118,10 +121,10 @@
 	}
 }
 
-// maxRefreshInterval is how often the view is built anew without news; it only bounds the wait.
+// maxRefreshInterval is how often the view is rebuilt without a change. It only bounds the wait.
 const maxRefreshInterval = time.Minute
 
-// Refresh builds the view of what the mirror holds, and returns after which time it changes by itself.
+// Refresh builds a view of the mirror's items and returns how long it stays valid if the mirror does not change.
 func (d *Directory) Refresh(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,7 +150,8 @@
 	return next
 }
 
-// addExpired shows a removed leaf as lapsed for a while. Requires mu.
+// addExpired adds a removed leaf to the view as expired while its grace period lasts, and returns the time until
+// the view changes. The caller must hold mu.
 func (d *Directory) addExpired(v *View, it mirror.ReceivedItem, now time.Time) time.Duration {
 	l, ok := d.leaves[it.Key]
 	if !ok || !l.usable || l.leaf.Draining {
@@ -163,7 +167,7 @@
 	return remaining
 }
 
-// addItem adds an item to the view. Requires mu.
+// addItem adds an item to the view. The caller must hold mu.
 func (d *Directory) addItem(v *View, it mirror.ReceivedItem, now time.Time) {
 	if known, ok := d.leaves[it.Key]; ok && known.revision == it.Revision {
 		known.addTo(v)
@@ -181,8 +185,8 @@
 	}
 }
 
-// applyConfig puts a newer configuration in force; one that can't be decoded leaves the last in
-// force. Requires mu.
+// applyConfig puts a newer configuration in force. If it can't be decoded, the previous one stays in force. The
+// caller must hold mu.
 func (d *Directory) applyConfig(it mirror.ReceivedItem) {
 	c, ok, err := d.decoder.Config(it.Key, it.Value)
 	if !ok {
@@ -190,11 +194,11 @@
 	}
 	d.configRevision = it.Revision
 	if err != nil {
-		d.log.Error("configuration ignored", zap.Uint64("revision", it.Revision), zap.Error(err))
+		d.log.Error("configuration ignored: it can't be decoded", zap.Uint64("revision", it.Revision), zap.Error(err))
 		return
 	}
 	if d.config != nil && c.Version < d.config.Version {
-		d.log.Error("configuration of an older version ignored", zap.Uint64("version", c.Version), zap.Uint64("in_force", d.config.Version))
+		d.log.Error("configuration ignored: a newer version is in force", zap.Uint64("version", c.Version), zap.Uint64("in_force", d.config.Version))
 		return
 	}
 	d.config = c
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -18,7 +18,8 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// textDecoder takes "service state" or "service state start" for a leaf and a version's digit for a configuration.
+// textDecoder decodes "service state" or "service state start" as a leaf, and the digit of a version as a
+// configuration.
 type textDecoder struct{}
 
 func (textDecoder) Config(key string, value []byte) (*catalog.Config, bool, error) {
@@ -94,8 +95,8 @@
 	is.Equal(ids(f.Current().Expired["x"]), "")
 }
 
-// An entry may lapse while the store is away, so its leaf stays a last resort for a while, less than
-// the three seconds after which one that is gone may get nothing.
+// An entry may expire while the store is unavailable, so its leaf stays a last resort for a while. The time is
+// shorter than the three seconds after which a leaf that is gone must get no work.
 func TestExpiredEntry(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -107,7 +108,7 @@
 	is.Equal(ids(f.Current().Expired["x"]), "1")
 	f.advance(time.Millisecond)
 	is.Equal(ids(f.Current().Expired["x"]), "")
-	f.put("leaf/1", "x ready") // it is back
+	f.put("leaf/1", "x ready") // the entry is back
 	is.Equal(ids(f.Current().Leaves["x"]), "1")
 }
 
@@ -147,8 +148,8 @@
 	is.Equal(f.Current().Revision, f.revision)
 }
 
-// A leaf that starts again under its id is another leaf. A late entry of the earlier start doesn't take its place,
-// also not after one that no leaf wrote.
+// A leaf that restarts under its id is another leaf. A late entry of the earlier start does not displace it, also
+// not after an entry that no leaf wrote.
 func TestRestartedLeaf(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -165,14 +166,14 @@
 	is.Equal(ids(f.Current().Leaves["x"]), "1@2000")
 	f.put("leaf/1", "x draining 2000")
 	f.remove("leaf/1")
-	f.put("leaf/1", "x ready 3000") // it leaves in order, and is back at once
+	f.put("leaf/1", "x ready 3000") // it drains, ends and restarts at once
 	is.Equal(ids(f.Current().Leaves["x"]), "1@3000")
 	f.remove("leaf/1")
 	is.Equal(ids(f.Current().Expired["x"]), "1@3000")
 }
 
-// Entries that another writer put in a leaf's place name no leaf, and one with a start far ahead doesn't keep the
-// leaf out for good.
+// Entries that another writer put under a leaf's key name no leaf. One with a start time far ahead does not keep
+// the leaf out for good.
 func TestForeignEntryUnderLeafKey(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -187,7 +188,7 @@
 	is.Equal(testutil.ToFloat64(f.ignored), 3.0)
 }
 
-// Whoever writes many bad entries fills neither the log nor the view.
+// Many invalid entries flood neither the log nor the view.
 func TestIgnoredEntryLogIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
--- a/internal/directory/registration.go
+++ b/internal/directory/registration.go
@@ -10,33 +10,35 @@
 	"github.com/burdockplank/burdockplank/internal/mirror"
 )
 
-// registration is what is known of one key of a leaf, also beyond the removal of its entry.
+// registration is the state of one key of a leaf. It outlives the removal of the entry.
 type registration struct {
-	// revision of the entry that this was made from.
+	// revision of the entry that the registration was made from.
 	revision uint64
 	leaf     catalog.Leaf
-	// usable is false where the entry names no leaf to use.
+	// usable is false if the entry does not name a usable leaf.
 	usable bool
-	// latestStart is the latest start that any entry of the key told.
+	// latestStart is the latest start time of the leaf in any accepted entry of the key, in Unix milliseconds; 0 if
+	// none had one.
 	latestStart int64
 }
 
-// addTo shows the leaf as one that may take work.
+// addTo adds the leaf to the view if it may take work.
 func (r registration) addTo(v *View) {
 	if r.usable && !r.leaf.Draining {
 		v.Leaves[r.leaf.Service] = append(v.Leaves[r.leaf.Service], r.leaf)
 	}
 }
 
-// Reasons why an entry is ignored though it decodes.
+// Reasons to ignore an entry that can be decoded.
 var (
-	errOlderStart    = eris.New("the leaf has started again since")
-	errNoStart       = eris.New("the entry doesn't tell the leaf's start")
-	errStartInFuture = eris.New("the leaf's start lies ahead")
+	errOlderStart    = eris.New("the leaf has restarted since the entry was written")
+	errNoStart       = eris.New("the entry has no start time although an earlier one had")
+	errStartInFuture = eris.New("the leaf's start time is too far in the future")
 )
 
-// register takes a new entry of a key, err where it can't be decoded. A late entry of an earlier start doesn't
-// displace the newer leaf; one that no leaf wrote names no leaf until a good one is in its place. Requires mu.
+// register returns the registration for a new entry of a key; err is the error of decoding it. A late entry of an
+// earlier start does not displace the newer leaf. After an entry that was not written by a leaf, the key names no
+// leaf until it has a valid entry again. The caller must hold mu.
 func (d *Directory) register(it mirror.ReceivedItem, leaf catalog.Leaf, err error, now time.Time) registration {
 	known := d.leaves[it.Key]
 	born := leaf.ID.Born
@@ -64,7 +66,7 @@
 	return registration{revision: it.Revision, leaf: leaf, usable: true, latestStart: born}
 }
 
-// ignore counts an entry that changes nothing or names no leaf, and tells of it as far as lines are left.
+// ignore counts an entry that changes nothing or names no leaf, and logs it within the rate limit.
 func (d *Directory) ignore(it mirror.ReceivedItem, reason error) {
 	d.ignored.Inc()
 	if d.ignoredLogLimiter.Allow() {
