--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -10,9 +10,9 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// keepDeleted is how long a deletion is remembered, so that a peer that was away learns of it by the
+// tombstoneRetention is how long a deletion is remembered, so that a peer that was away learns of it by the
 // difference; one away for longer is sent the whole. Leaves churn by a few hundred an hour at most.
-const keepDeleted = 10 * time.Minute
+const tombstoneRetention = 10 * time.Minute
 
 // Item is an item of the store, or its deletion.
 type Item struct {
@@ -40,21 +40,21 @@
 
 	mu sync.Mutex
 	// What follows is guarded by mu.
-	items      map[string]held
+	items      map[string]stored
 	completeTo uint64
-	// forgotten is the revision up to which deletions may be unknown here.
-	forgotten uint64
+	// deletionsUnknownTo is the revision up to which deletions may be unknown here.
+	deletionsUnknownTo uint64
 }
 
-type held struct {
+type stored struct {
 	item Item
-	// since is when this copy learned of the item.
-	since time.Time
+	// receivedAt is when this copy learned of the item.
+	receivedAt time.Time
 }
 
 // New returns an empty copy that fires changed when an item changes.
 func New(changed *notify.Notifier) *Mirror {
-	return &Mirror{changed: changed, items: make(map[string]held)}
+	return &Mirror{changed: changed, items: make(map[string]stored)}
 }
 
 // CompleteTo returns the revision up to which every item is known; 0 where nothing was read yet.
@@ -76,7 +76,7 @@
 	defer m.mu.Unlock()
 	out := make([]ReceivedItem, 0, len(m.items))
 	for _, h := range m.items {
-		out = append(out, ReceivedItem{h.item, h.since})
+		out = append(out, ReceivedItem{h.item, h.receivedAt})
 	}
 	return out
 }
@@ -85,7 +85,7 @@
 func (m *Mirror) Since(revision uint64) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := Delta{CompleteFrom: revision, CompleteTo: m.completeTo, Full: revision < m.forgotten}
+	d := Delta{CompleteFrom: revision, CompleteTo: m.completeTo, Full: revision < m.deletionsUnknownTo}
 	if m.completeTo < revision {
 		d.Full = false
 	}
@@ -117,18 +117,18 @@
 		} else if !ok && it.Revision <= m.completeTo {
 			continue // it was deleted since, and the deletion is forgotten
 		}
-		m.items[it.Key] = held{it, now}
+		m.items[it.Key] = stored{it, now}
 		changed = true
 	}
 	if d.Full {
 		changed = m.deleteAbsent(d, now) || changed
 		// What was deleted before isn't known here, so a copy that is behind must be told all, too.
-		m.forgotten = max(m.forgotten, d.CompleteTo)
+		m.deletionsUnknownTo = max(m.deletionsUnknownTo, d.CompleteTo)
 	}
 	if d.Full || m.completeTo >= d.CompleteFrom {
 		m.completeTo = max(m.completeTo, d.CompleteTo)
 	}
-	m.forget(now)
+	m.pruneTombstones(now)
 	return changed
 }
 
@@ -143,18 +143,18 @@
 		if present[key] || h.item.Deleted || h.item.Revision > d.CompleteTo {
 			continue
 		}
-		m.items[key] = held{Item{Key: key, Revision: d.CompleteTo, Deleted: true}, now}
+		m.items[key] = stored{Item{Key: key, Revision: d.CompleteTo, Deleted: true}, now}
 		changed = true
 	}
 	return changed
 }
 
-// forget drops old deletions, but none beyond what the copy is complete to: only below that an unknown
+// pruneTombstones drops old deletions, but none beyond what the copy is complete to: only below that an unknown
 // item is known to be an old one. Requires mu.
-func (m *Mirror) forget(now time.Time) {
+func (m *Mirror) pruneTombstones(now time.Time) {
 	for key, h := range m.items {
-		if h.item.Deleted && h.item.Revision <= m.completeTo && now.Sub(h.since) > keepDeleted {
-			m.forgotten = max(m.forgotten, h.item.Revision)
+		if h.item.Deleted && h.item.Revision <= m.completeTo && now.Sub(h.receivedAt) > tombstoneRetention {
+			m.deletionsUnknownTo = max(m.deletionsUnknownTo, h.item.Revision)
 			delete(m.items, key)
 		}
 	}
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// shown returns the items as text, in order.
-func shown(m *Mirror) string {
+// itemsText returns the items as text, in order.
+func itemsText(m *Mirror) string {
 	var out []string
 	for _, h := range m.All() {
 		if !h.Deleted {
@@ -33,32 +33,32 @@
 	is.True(m.Merge(Delta{Items: []Item{{Key: "a", Revision: 5, Value: []byte("new")}}, CompleteTo: 5}, now))
 	is.True(!m.Merge(Delta{Items: []Item{{Key: "a", Revision: 3, Value: []byte("old")}}, CompleteTo: 3}, now))
 	is.True(!m.Merge(Delta{Items: []Item{{Key: "a", Revision: 4, Deleted: true}}, CompleteTo: 4}, now))
-	is.Equal(shown(m), "a@5=new")
+	is.Equal(itemsText(m), "a@5=new")
 	is.Equal(m.CompleteTo(), uint64(5))
 	is.Equal(n.Epoch(), uint64(1))
 }
 
-func TestFullDeltaDeletesWhatIsAbsent(t *testing.T) {
+func TestFullDeltaDeletesAbsentItems(t *testing.T) {
 	is := is.New(t)
 	m := New(notify.New())
 	now := time.Now()
 	m.Merge(Delta{Items: []Item{{Key: "a", Revision: 2}, {Key: "b", Revision: 3}, {Key: "c", Revision: 9}}, CompleteTo: 3}, now)
 	m.Merge(Delta{Items: []Item{{Key: "b", Revision: 3}}, CompleteTo: 6, Full: true}, now)
-	is.Equal(shown(m), "b@3= c@9=") // c is newer than the full one
+	is.Equal(itemsText(m), "b@3= c@9=") // c is newer than the full one
 	is.Equal(m.CompleteTo(), uint64(6))
 }
 
 // A difference from a revision that the copy has not reached leaves a gap, and must not make it
 // complete: what is in the gap would never be asked for.
-func TestDifferenceBeyondAGapDoesNotComplete(t *testing.T) {
+func TestDeltaBeyondGapDoesNotAdvanceCompleteTo(t *testing.T) {
 	is := is.New(t)
 	m := New(notify.New())
 	m.Merge(Delta{Items: []Item{{Key: "a", Revision: 9}}, CompleteFrom: 7, CompleteTo: 9}, time.Now())
-	is.Equal(shown(m), "a@9=")
+	is.Equal(itemsText(m), "a@9=")
 	is.Equal(m.CompleteTo(), uint64(0))
 }
 
-func TestForgottenDeletionMakesTheNextDifferenceFull(t *testing.T) {
+func TestPrunedTombstoneMakesNextDeltaFull(t *testing.T) {
 	is := is.New(t)
 	a, b := New(notify.New()), New(notify.New())
 	now := time.Now()
@@ -66,37 +66,37 @@
 	a.Merge(d, now)
 	b.Merge(d, now)
 	a.Merge(Delta{Items: []Item{{Key: "x", Revision: 4, Deleted: true}}, CompleteFrom: 3, CompleteTo: 4}, now)
-	later := now.Add(keepDeleted + time.Second)
+	later := now.Add(tombstoneRetention + time.Second)
 	a.Merge(Delta{CompleteFrom: 4, CompleteTo: 5}, later)
 	b.Merge(a.Since(b.CompleteTo()), later)
-	is.Equal(shown(b), "y@3=")
+	is.Equal(itemsText(b), "y@3=")
 	is.Equal(b.CompleteTo(), uint64(5))
 }
 
 // A copy that has forgotten a deletion is told the item by one that never learned of it. Found by
 // TestCopiesConverge.
-func TestStaleCopyDoesNotBringBackWhatWasDeleted(t *testing.T) {
+func TestStaleCopyDoesNotRestoreDeletedItem(t *testing.T) {
 	is := is.New(t)
 	m := New(notify.New())
 	now := time.Now()
 	m.Merge(Delta{Items: []Item{{Key: "b", Revision: 2, Deleted: true}}, CompleteTo: 2}, now)
-	later := now.Add(keepDeleted + time.Second)
+	later := now.Add(tombstoneRetention + time.Second)
 	m.Merge(Delta{CompleteFrom: 2, CompleteTo: 3}, later)
 	is.Equal(len(m.All()), 0)
 	m.Merge(Delta{Items: []Item{{Key: "b", Revision: 1}}, CompleteTo: 1}, later)
-	is.Equal(shown(m), "")
+	is.Equal(itemsText(m), "")
 }
 
 // A copy that began with a full delta knows of no deletion before it, so one that is behind is told all.
 // Found by TestCopiesConverge.
-func TestCopyThatBeganFullTellsAll(t *testing.T) {
+func TestCopyFromFullDeltaSendsFullDelta(t *testing.T) {
 	is := is.New(t)
-	began, behind := New(notify.New()), New(notify.New())
+	fromFull, behind := New(notify.New()), New(notify.New())
 	now := time.Now()
 	behind.Merge(Delta{Items: []Item{{Key: "a", Revision: 2}}, CompleteTo: 3}, now)
-	began.Merge(Delta{Items: []Item{{Key: "b", Revision: 6}}, CompleteTo: 6, Full: true}, now) // a was deleted at 4
-	behind.Merge(began.Since(behind.CompleteTo()), now)
-	is.Equal(shown(behind), "b@6=")
+	fromFull.Merge(Delta{Items: []Item{{Key: "b", Revision: 6}}, CompleteTo: 6, Full: true}, now) // a was deleted at 4
+	behind.Merge(fromFull.Since(behind.CompleteTo()), now)
+	is.Equal(itemsText(behind), "b@6=")
 	is.Equal(behind.CompleteTo(), uint64(6))
 }
 
@@ -142,8 +142,8 @@
 	}
 	for _, c := range copies {
 		c.Merge(store.Since(c.CompleteTo()), now)
-		if shown(c) != shown(store) {
-			t.Fatalf("copy %q, store %q", shown(c), shown(store))
+		if itemsText(c) != itemsText(store) {
+			t.Fatalf("copy %q, store %q", itemsText(c), itemsText(store))
 		}
 	}
 }
