--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,6 +1,7 @@
-// Package mirror keeps a copy of the items of the platform's store, each with the store's revision of
-// its last change. Copies of two VMs merge without a conflict: the higher revision of an item wins,
-// so a VM that the store refuses learns all from one that it serves, in any order, and never goes back.
+// Package mirror keeps a copy of the items of the platform's store, each with the store's revision of its last
+// change. Copies of two VMs merge without conflicts, in any order, because the higher revision of an item wins. So
+// a VM that the store refuses can learn everything from one that the store serves, and no item goes back to an
+// older revision.
 package mirror
 
 import (
@@ -10,8 +11,8 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// tombstoneRetention is how long a deletion is remembered, so that a peer that was away learns of it by the
-// difference; one away for longer is sent the whole. Leaves churn by a few hundred an hour at most.
+// tombstoneRetention is how long a deletion is remembered, so that a peer that was away gets it with the delta. A
+// peer that was away for longer gets a full delta. Leaves churn by a few hundred an hour at most.
 const tombstoneRetention = 10 * time.Minute
 
 // Item is an item of the store, or its deletion.
@@ -23,32 +24,33 @@
 	Deleted  bool
 }
 
-// Delta is what one copy tells another.
+// Delta is what one copy sends to another.
 type Delta struct {
-	// Items holds every change after CompleteFrom, up to CompleteTo.
+	// Items holds every change after CompleteFrom up to CompleteTo.
 	Items                    []Item
 	CompleteFrom, CompleteTo uint64
-	// Full is set where Items are all that exist: what is absent is deleted.
+	// Full is set if Items holds all existing items: any other item is deleted.
 	Full bool
-	// Skipped counts what was left out since it is no business of this system. It isn't told to others.
+	// Skipped counts the items that were left out because they don't belong to this system. It is not sent to other
+	// copies.
 	Skipped int
 }
 
-// Mirror is one copy. It is safe for concurrent use.
+// Mirror is one copy of the items. It is safe for concurrent use.
 type Mirror struct {
 	changed *notify.Notifier
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu.
 	items      map[string]stored
 	completeTo uint64
-	// deletionsUnknownTo is the revision up to which deletions may be unknown here.
+	// deletionsUnknownTo is the revision up to which this copy may lack deletions.
 	deletionsUnknownTo uint64
 }
 
 type stored struct {
 	item Item
-	// receivedAt is when this copy learned of the item.
+	// receivedAt is when this copy received the item.
 	receivedAt time.Time
 }
 
@@ -57,20 +59,20 @@
 	return &Mirror{changed: changed, items: make(map[string]stored)}
 }
 
-// CompleteTo returns the revision up to which every item is known; 0 where nothing was read yet.
+// CompleteTo returns the revision up to which this copy knows every item; 0 if nothing has been read yet.
 func (m *Mirror) CompleteTo() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.completeTo
 }
 
-// ReceivedItem is an item with the time since which this copy knows it.
+// ReceivedItem is an item with the time at which this copy received it.
 type ReceivedItem struct {
 	Item
 	ReceivedAt time.Time
 }
 
-// All returns every item, deletions included.
+// All returns all items, including deletions.
 func (m *Mirror) All() []ReceivedItem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,7 +83,7 @@
 	return out
 }
 
-// Since returns what a copy that is complete to the revision lacks.
+// Since returns what a copy lacks that is complete up to the revision.
 func (m *Mirror) Since(revision uint64) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,7 +99,7 @@
 	return d
 }
 
-// Merge takes what another copy, or the store, told. It returns whether an item changed.
+// Merge merges a delta from another copy or from the store. It reports whether an item changed.
 func (m *Mirror) Merge(d Delta, now time.Time) bool {
 	m.mu.Lock()
 	changed := m.merge(d, now)
@@ -108,21 +110,21 @@
 	return changed
 }
 
-// merge requires mu.
+// merge merges a delta without firing changed. The caller must hold mu.
 func (m *Mirror) merge(d Delta, now time.Time) bool {
 	changed := false
 	for _, it := range d.Items {
 		if h, ok := m.items[it.Key]; ok && h.item.Revision >= it.Revision {
 			continue
 		} else if !ok && it.Revision <= m.completeTo {
-			continue // it was deleted since, and the deletion is forgotten
+			continue // it has been deleted since, and the deletion is pruned
 		}
 		m.items[it.Key] = stored{it, now}
 		changed = true
 	}
 	if d.Full {
 		changed = m.deleteAbsent(d, now) || changed
-		// What was deleted before isn't known here, so a copy that is behind must be told all, too.
+		// This copy doesn't know of earlier deletions, so a copy that is behind must get a full delta as well.
 		m.deletionsUnknownTo = max(m.deletionsUnknownTo, d.CompleteTo)
 	}
 	if d.Full || m.completeTo >= d.CompleteFrom {
@@ -132,7 +134,7 @@
 	return changed
 }
 
-// deleteAbsent takes what a full delta lacks as deleted. Requires mu.
+// deleteAbsent marks the items as deleted that a full delta lacks. The caller must hold mu.
 func (m *Mirror) deleteAbsent(d Delta, now time.Time) bool {
 	present := make(map[string]bool, len(d.Items))
 	for _, it := range d.Items {
@@ -149,8 +151,8 @@
 	return changed
 }
 
-// pruneTombstones drops old deletions, but none beyond what the copy is complete to: only below that an unknown
-// item is known to be an old one. Requires mu.
+// pruneTombstones drops old deletions, but none above completeTo: only at or below it is an unknown item known to
+// be an old one. The caller must hold mu.
 func (m *Mirror) pruneTombstones(now time.Time) {
 	for key, h := range m.items {
 		if h.item.Deleted && h.item.Revision <= m.completeTo && now.Sub(h.receivedAt) > tombstoneRetention {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -13,7 +13,7 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// itemsText returns the items as text, in order.
+// itemsText returns the items as text, sorted.
 func itemsText(m *Mirror) string {
 	var out []string
 	for _, h := range m.All() {
@@ -44,12 +44,12 @@
 	now := time.Now()
 	m.Merge(Delta{Items: []Item{{Key: "a", Revision: 2}, {Key: "b", Revision: 3}, {Key: "c", Revision: 9}}, CompleteTo: 3}, now)
 	m.Merge(Delta{Items: []Item{{Key: "b", Revision: 3}}, CompleteTo: 6, Full: true}, now)
-	is.Equal(itemsText(m), "b@3= c@9=") // c is newer than the full one
+	is.Equal(itemsText(m), "b@3= c@9=") // c is newer than the full delta
 	is.Equal(m.CompleteTo(), uint64(6))
 }
 
-// A difference from a revision that the copy has not reached leaves a gap, and must not make it
-// complete: what is in the gap would never be asked for.
+// A delta from a revision that the copy has not reached leaves a gap and must not advance completeTo, because the
+// changes in the gap would never be requested.
 func TestDeltaBeyondGapDoesNotAdvanceCompleteTo(t *testing.T) {
 	is := is.New(t)
 	m := New(notify.New())
@@ -73,7 +73,7 @@
 	is.Equal(b.CompleteTo(), uint64(5))
 }
 
-// A copy that has forgotten a deletion is told the item by one that never learned of it. Found by
+// A copy that has pruned a deletion gets the item from a copy that never learned of it. Found by
 // TestCopiesConverge.
 func TestStaleCopyDoesNotRestoreDeletedItem(t *testing.T) {
 	is := is.New(t)
@@ -87,8 +87,8 @@
 	is.Equal(itemsText(m), "")
 }
 
-// A copy that began with a full delta knows of no deletion before it, so one that is behind is told all.
-// Found by TestCopiesConverge.
+// A copy that started from a full delta knows of no earlier deletion, so it sends a full delta to a copy that is
+// behind. Found by TestCopiesConverge.
 func TestCopyFromFullDeltaSendsFullDelta(t *testing.T) {
 	is := is.New(t)
 	fromFull, behind := New(notify.New()), New(notify.New())
@@ -100,7 +100,7 @@
 	is.Equal(behind.CompleteTo(), uint64(6))
 }
 
-// Copies that exchange differences in any order, with a store that goes on changing, never go back and
+// Copies that exchange deltas in any order while the store keeps changing never go back to an older revision, and
 // agree with the store in the end.
 func TestCopiesConverge(t *testing.T) { rapid.Check(t, copiesConverge) }
 
@@ -130,7 +130,7 @@
 		if i := rapid.IntRange(0, len(copies)).Draw(t, "from"); i < len(copies) {
 			from = copies[i]
 		}
-		// The sender may believe the receiver to be further than it is.
+		// The sender may overestimate the receiver's completeTo.
 		believed := copies[to].CompleteTo() + uint64(rapid.IntRange(0, 2).Draw(t, "wrong"))
 		copies[to].Merge(from.Since(believed), now)
 		for _, h := range copies[to].All() {
