--- a/internal/peers/choose.go
+++ b/internal/peers/choose.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// ownZone is the part of the rounds that stays in the own zone: bytes between zones are dear.
-	ownZone = 0.75
-	// smallFleet is the size up to which all VMs talk to those of other zones. In a larger one the envoys of
+	// ownZoneFraction is the part of the rounds that stays in the own zone: bytes between zones are dear.
+	ownZoneFraction = 0.75
+	// largeFleetSize is the size up to which all VMs talk to those of other zones. In a larger one the envoys of
 	// each zone do, and the others seldom: with all of them the exchanges and news of 64 VMs take as many bytes
 	// between zones as the calls to leaves do.
-	smallFleet = 20
-	// envoysPerZone is how many VMs of a zone talk to those of others; a second one stands in for the first.
-	envoysPerZone = 2
-	// envoysOwnZone and othersOwnZone are the parts of the rounds that stay in the own zone then. What the
+	largeFleetSize = 20
+	// gatewaysPerZone is how many VMs of a zone talk to those of others; a second one stands in for the first.
+	gatewaysPerZone = 2
+	// gatewayOwnZoneFraction and othersOwnZone are the parts of the rounds that stay in the own zone then. What the
 	// others still do brings word across where the envoys are lost.
-	envoysOwnZone, othersOwnZone = 0.5, 0.97
-	// farSilent is how many times as long a VM of another zone may show no sign of life then: word of it comes
+	gatewayOwnZoneFraction, nonGatewayOwnZoneFraction = 0.5, 0.97
+	// remoteSilenceFactor is how many times as long a VM of another zone may show no sign of life then: word of it comes
 	// by two envoys, which takes 3 s and at times more.
-	farSilent = 2
-	// silentPart is the part of the rounds that tries a peer without signs of life.
-	silentPart = 0.1
-	// pushAll is the size of a fleet up to which news goes to all at once; larger ones pass it on.
-	pushAll = 10
-	// pushNear is to how many peers of the own zone news goes in a larger fleet, each of which passes it on;
+	remoteSilenceFactor = 2
+	// silentRetryFraction is the part of the rounds that tries a peer without signs of life.
+	silentRetryFraction = 0.1
+	// relayedPushFleetSize is the size of a fleet up to which news goes to all at once; larger ones pass it on.
+	relayedPushFleetSize = 10
+	// ownZonePushFanout is to how many peers of the own zone news goes in a larger fleet, each of which passes it on;
 	// its envoys get it besides.
-	pushNear = 3
+	ownZonePushFanout = 3
 )
 
-// view is what the choice is made from.
-type view struct {
-	near, far []VM
-	silent    []string
+// fleetView is what the choice is made from.
+type fleetView struct {
+	local, remote []VM
+	silent        []string
 	// envoys of all zones, those of the own zone apart; self may be one of these.
-	nearEnvoys, farEnvoys []VM
-	// envoy is set where this VM is one.
-	envoy bool
+	localGateways, remoteGateways []VM
+	// isGateway is set where this VM is one.
+	isGateway bool
 }
 
-func (v *view) live() int { return len(v.near) + len(v.far) }
+func (v *fleetView) live() int { return len(v.local) + len(v.remote) }
 
-// look returns the members as they stand.
-func (m *Manager) look() *view {
+// currentView returns the members as they stand.
+func (m *Manager) currentView() *fleetView {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v := new(view)
+	v := new(fleetView)
 	zones := map[string][]VM{m.cfg.Zone: {vmOf(&m.self)}}
 	for address, e := range m.members {
 		if !e.live {
@@ -57,75 +57,75 @@
 		}
 		p := vmOf(e.record)
 		if p.Zone == m.cfg.Zone {
-			v.near = append(v.near, p)
+			v.local = append(v.local, p)
 		} else {
-			v.far = append(v.far, p)
+			v.remote = append(v.remote, p)
 		}
 		if !e.record.GetLeaving() {
 			zones[p.Zone] = append(zones[p.Zone], p)
 		}
 	}
 	for zone, peers := range zones {
-		chosen := envoys(peers)
+		gateways := gatewaysOf(peers)
 		if zone != m.cfg.Zone {
-			v.farEnvoys = append(v.farEnvoys, chosen...)
+			v.remoteGateways = append(v.remoteGateways, gateways...)
 			continue
 		}
-		v.envoy = slices.ContainsFunc(chosen, m.isSelf)
-		v.nearEnvoys = slices.DeleteFunc(chosen, m.isSelf)
+		v.isGateway = slices.ContainsFunc(gateways, m.isSelf)
+		v.localGateways = slices.DeleteFunc(gateways, m.isSelf)
 	}
 	return v
 }
 
 func (m *Manager) isSelf(p VM) bool { return p.Address == m.cfg.Self }
 
-// envoys returns the VMs of a zone that talk to those of others: the strongest, which also see most of the
+// gatewaysOf returns the VMs of a zone that talk to those of others: the strongest, which also see most of the
 // leaves, and among equals by a rank on which all agree.
-func envoys(zone []VM) []VM {
+func gatewaysOf(zone []VM) []VM {
 	slices.SortFunc(zone, func(a, b VM) int {
 		return cmp.Or(cmp.Compare(b.Millicores, a.Millicores), cmp.Compare(xxhash.Sum64String(a.Address), xxhash.Sum64String(b.Address)))
 	})
-	return zone[:min(envoysPerZone, len(zone))]
+	return zone[:min(gatewaysPerZone, len(zone))]
 }
 
-// pick returns a random peer for an exchange.
-func (m *Manager) pick() (string, bool) {
-	v := m.look()
-	if len(v.silent) > 0 && (v.live() == 0 || rand.Float64() < silentPart) {
+// pickPeer returns a random peer for an exchange.
+func (m *Manager) pickPeer() (string, bool) {
+	v := m.currentView()
+	if len(v.silent) > 0 && (v.live() == 0 || rand.Float64() < silentRetryFraction) {
 		return v.silent[rand.N(len(v.silent))], true
 	}
-	near, far := ownZone, v.far
+	ownFraction, candidates := ownZoneFraction, v.remote
 	switch {
-	case v.live() < smallFleet:
-	case v.envoy:
-		near, far = envoysOwnZone, v.farEnvoys
+	case v.live() < largeFleetSize:
+	case v.isGateway:
+		ownFraction, candidates = gatewayOwnZoneFraction, v.remoteGateways
 	default:
-		near = othersOwnZone
+		ownFraction = nonGatewayOwnZoneFraction
 	}
-	if len(far) == 0 || len(v.near) > 0 && rand.Float64() < near {
-		far = v.near
+	if len(candidates) == 0 || len(v.local) > 0 && rand.Float64() < ownFraction {
+		candidates = v.local
 	}
-	if len(far) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	return far[rand.N(len(far))].Address, true
+	return candidates[rand.N(len(candidates))].Address, true
 }
 
-// audience returns the peers that are told of news at once.
-func (m *Manager) audience() []string {
-	v := m.look()
-	if v.live() < pushAll {
-		return addresses(append(v.near, v.far...))
+// pushTargets returns the peers that are told of news at once.
+func (m *Manager) pushTargets() []string {
+	v := m.currentView()
+	if v.live() < relayedPushFleetSize {
+		return addresses(append(v.local, v.remote...))
 	}
-	rand.Shuffle(len(v.near), func(i, j int) { v.near[i], v.near[j] = v.near[j], v.near[i] })
-	told := append(v.near[:min(pushNear, len(v.near))], v.nearEnvoys...)
+	rand.Shuffle(len(v.local), func(i, j int) { v.local[i], v.local[j] = v.local[j], v.local[i] })
+	targets := append(v.local[:min(ownZonePushFanout, len(v.local))], v.localGateways...)
 	switch {
-	case v.envoy:
-		told = append(told, onePerZone(v.farEnvoys)...)
-	case v.live() < smallFleet && len(v.far) > 0:
-		told = append(told, v.far[rand.N(len(v.far))])
+	case v.isGateway:
+		targets = append(targets, onePerZone(v.remoteGateways)...)
+	case v.live() < largeFleetSize && len(v.remote) > 0:
+		targets = append(targets, v.remote[rand.N(len(v.remote))])
 	}
-	out := addresses(told)
+	out := addresses(targets)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
--- a/internal/peers/crashes.go
+++ b/internal/peers/crashes.go
@@ -21,16 +21,16 @@
 // ReportCrash tells the fleet of a crash that this VM saw.
 func (m *Manager) ReportCrash(c Crash) {
 	m.mu.Lock()
-	m.noteCrash(c)
+	m.recordCrash(c)
 	m.mu.Unlock()
-	m.crashed.Fire()
+	m.localEvents.Fire()
 }
 
-// noteCrash requires mu.
-func (m *Manager) noteCrash(c Crash) {
+// recordCrash requires mu.
+func (m *Manager) recordCrash(c Crash) {
 	k := crashKey{c.Digest, c.Leaf}
-	if _, ok := m.seenCrash[k]; !ok {
-		m.seenCrash[k] = c.At
+	if _, ok := m.crashTimes[k]; !ok {
+		m.crashTimes[k] = c.At
 	}
 }
 
@@ -39,7 +39,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
-	for k, at := range m.seenCrash {
+	for k, at := range m.crashTimes {
 		if k.digest == digest && at.After(since) {
 			n++
 		}
--- a/internal/peers/large_test.go
+++ b/internal/peers/large_test.go
@@ -15,9 +15,9 @@
 	"github.com/burdockplank/burdockplank/internal/mirror"
 )
 
-// zonesOfSixty runs five zones of 60 VMs, two strong ones in each, in virtual time, and calls look each 100 ms from
+// runFiveZones runs five zones of 60 VMs, two strong ones in each, in virtual time, and calls look each 100 ms from
 // the eighth second on.
-func zonesOfSixty(t *testing.T, look func(now time.Time, vms [][]*Manager)) {
+func runFiveZones(t *testing.T, observe func(now time.Time, vms [][]*Manager)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		const zones, perZone, settled, end = 5, 60, 8 * time.Second, 20 * time.Second
@@ -43,7 +43,7 @@
 		for time.Since(begun) < end {
 			time.Sleep(100 * time.Millisecond)
 			if time.Since(begun) > settled {
-				look(time.Now(), vms)
+				observe(time.Now(), vms)
 			}
 		}
 		cancel()
@@ -54,13 +54,13 @@
 // Word of a zone's contact with the store is as young at all of its VMs as the next reader by rank waits for, so
 // that no other one reads beside the first; and none takes a VM of its zone for gone. The first one reads each 3 s,
 // the next one would after 5.4 s.
-func TestLargeFleetHearsOfContacts(t *testing.T) {
+func TestLargeFleetLearnsOfStoreContacts(t *testing.T) {
 	const every, bound = 3 * time.Second, 5400 * time.Millisecond
 	late, unknown, looks := 0, 0, 0
 	var oldest time.Duration
 	var first time.Time
 	var contacts [5]time.Time
-	zonesOfSixty(t, func(now time.Time, vms [][]*Manager) {
+	runFiveZones(t, func(now time.Time, vms [][]*Manager) {
 		if first.IsZero() {
 			first = now
 		}
@@ -89,16 +89,16 @@
 	}
 }
 
-// start is a large fleet whose VMs start, and take the platform's whole state from each other, 200 KB that cost the
+// startingFleet is a large fleet whose VMs start, and take the platform's whole state from each other, 200 KB that cost the
 // giver a millisecond or more: five zones of 60 VMs, two strong ones in each, three seeds among those.
-type start struct {
+type startingFleet struct {
 	n      *network
 	vms    []*Manager
 	copies []*mirror.Mirror
 }
 
-func newStart() *start {
-	s := &start{n: newNetwork()}
+func newStartingFleet() *startingFleet {
+	s := &startingFleet{n: newNetwork()}
 	s.n.delay = time.Millisecond
 	for z := range 5 {
 		for i := range 60 {
@@ -113,8 +113,8 @@
 	return s
 }
 
-// complete returns how many of the VMs have the state up to the revision.
-func (s *start) complete(revision uint64) int {
+// countComplete returns how many of the VMs have the state up to the revision.
+func (s *startingFleet) countComplete(revision uint64) int {
 	n := 0
 	for _, c := range s.copies {
 		if c.CompleteTo() >= revision {
@@ -125,21 +125,21 @@
 }
 
 const (
-	// oneCopy is what giving the state of 700 leaves takes of a processor (BenchmarkWholeState).
-	oneCopy = 1300 * time.Microsecond
-	// givingMost is how long a VM may be busy with giving it: half of the time after which others that wait for a
+	// copyCPUTime is what giving the state of 700 leaves takes of a processor (BenchmarkWholeState).
+	copyCPUTime = 1300 * time.Microsecond
+	// maxSendTime is how long a VM may be busy with giving it: half of the time after which others that wait for a
 	// word take it for lost.
-	givingMost = 50 * time.Millisecond
-	// copiesMost is how many copies may cross zones, ten for each zone but the first.
-	copiesMost = 4 * 10
+	maxSendTime = 50 * time.Millisecond
+	// maxCopiesAcrossZones is how many copies may cross zones, ten for each zone but the first.
+	maxCopiesAcrossZones = 4 * 10
 )
 
 // check runs the VMs for three seconds. Those that lack the state must get it within the bound, with few copies across
 // zones, and no VM may be busy for long with giving it.
-func (s *start) check(t *testing.T, ctx context.Context, wg *sync.WaitGroup, from []*Manager, read func(), bound time.Duration) {
+func (s *startingFleet) check(t *testing.T, ctx context.Context, wg *sync.WaitGroup, from []*Manager, read func(), bound time.Duration) {
 	t.Helper()
 	s.n.mu.Lock()
-	s.n.copiesCrossed, s.n.near, s.n.far = 0, make(map[string]int), make(map[string]int)
+	s.n.itemsAcrossZones, s.n.sentWithinZone, s.n.sentAcrossZones = 0, make(map[string]int), make(map[string]int)
 	s.n.mu.Unlock()
 	for _, m := range from {
 		wg.Go(func() {
@@ -150,9 +150,9 @@
 	begun := time.Now()
 	time.Sleep(80 * time.Millisecond)
 	read()
-	for ; s.complete(1) < len(s.vms); time.Sleep(time.Millisecond) {
+	for ; s.countComplete(1) < len(s.vms); time.Sleep(time.Millisecond) {
 		if time.Since(begun) > bound {
-			t.Errorf("%d of %d VMs have the state after %v", s.complete(1), len(s.vms), bound)
+			t.Errorf("%d of %d VMs have the state after %v", s.countComplete(1), len(s.vms), bound)
 			break
 		}
 	}
@@ -163,24 +163,24 @@
 	busiest, longest := "", time.Duration(0)
 	for _, m := range s.vms {
 		a := m.cfg.Self
-		if took := time.Duration(s.n.near[a]+s.n.far[a]) * oneCopy; took > longest {
-			busiest, longest = a, took
+		if sendTime := time.Duration(s.n.sentWithinZone[a]+s.n.sentAcrossZones[a]) * copyCPUTime; sendTime > longest {
+			busiest, longest = a, sendTime
 		}
 	}
 	t.Logf("%d copies crossed zones; %s was busiest, %v with %d to its own and %d to other zones",
-		s.n.copiesCrossed, busiest, longest, s.n.near[busiest], s.n.far[busiest])
-	if s.n.copiesCrossed > copiesMost || longest > givingMost {
-		t.Errorf("more than %d copies, or %v of one VM", copiesMost, givingMost)
+		s.n.itemsAcrossZones, busiest, longest, s.n.sentWithinZone[busiest], s.n.sentAcrossZones[busiest])
+	if s.n.itemsAcrossZones > maxCopiesAcrossZones || longest > maxSendTime {
+		t.Errorf("more than %d copies, or %v of one VM", maxCopiesAcrossZones, maxSendTime)
 	}
 }
 
 // After a loss of power the first VM to read the store tells a few of each zone, and these the others of theirs:
 // no seed, on which searches wait as well, has to give the state to a third of the fleet.
-func TestStartAfterALossOfPower(t *testing.T) {
+func TestStartAfterPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		s := newStart()
+		s := newStartingFleet()
 		s.check(t, ctx, &wg, s.vms, func() { s.copies[0].Merge(large(5), time.Now()) }, 500*time.Millisecond)
 		cancel()
 		wg.Wait()
@@ -189,11 +189,11 @@
 }
 
 // Where a fleet doubles, the new VMs get the state from those of their own zone, and no VM has to give it to many.
-func TestFleetThatDoubles(t *testing.T) {
+func TestFleetDoubles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		s := newStart()
+		s := newStartingFleet()
 		var old, added []*Manager
 		for i, m := range s.vms {
 			if i%60 < 30 {
@@ -223,12 +223,12 @@
 
 // A zone that was cut off gets what has changed meanwhile once, and passes it on: a few copies cross zones, and none
 // goes to a VM that has it.
-func TestZoneThatComesBack(t *testing.T) {
+func TestReconnectedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		s := newStart()
+		s := newStartingFleet()
 		for i, m := range s.vms {
 			s.copies[i].Merge(large(5), time.Now())
 			wg.Go(func() { _ = m.Run(ctx) })
@@ -241,14 +241,14 @@
 		time.Sleep(6 * time.Second)
 		s.n.mu.Lock()
 		s.n.cutZone = ""
-		before, crossed := s.n.answered, s.n.copiesCrossed
+		before, crossed := s.n.itemsSent, s.n.itemsAcrossZones
 		s.n.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		is.Equal(s.complete(9), len(s.vms))
+		is.Equal(s.countComplete(9), len(s.vms))
 		s.n.mu.Lock()
-		t.Logf("%d copies, %d across zones", s.n.answered-before, s.n.copiesCrossed-crossed)
-		is.True(s.n.answered-before <= 2*60) // twice to each VM of the zone
-		is.True(s.n.copiesCrossed-crossed <= copiesMost)
+		t.Logf("%d copies, %d across zones", s.n.itemsSent-before, s.n.itemsAcrossZones-crossed)
+		is.True(s.n.itemsSent-before <= 2*60) // twice to each VM of the zone
+		is.True(s.n.itemsAcrossZones-crossed <= maxCopiesAcrossZones)
 		s.n.mu.Unlock()
 		cancel()
 		wg.Wait()
--- a/internal/peers/log_test.go
+++ b/internal/peers/log_test.go
@@ -15,7 +15,7 @@
 
 // Word of many VMs at once is one line, as is that many of them fell silent: 300 VMs that start together wrote 300
 // lines each within a second.
-func TestOneLineForManyPeers(t *testing.T) {
+func TestOneLogLineForManyPeers(t *testing.T) {
 	is := is.New(t)
 	core, lines := observer.New(zapcore.InfoLevel)
 	n := newNetwork()
@@ -26,17 +26,17 @@
 		msg.Members = append(msg.Members, &pb.FleetMember{Address: fmt.Sprintf("1-%d", i), Zone: "zone-1", Incarnation: 1, Heartbeat: 1})
 	}
 	now := time.Now()
-	m.take(msg, now)
-	m.take(msg, now) // no news
+	m.mergeMessage(msg, now)
+	m.mergeMessage(msg, now) // no news
 	found := lines.TakeAll()
 	is.Equal(len(found), 1)
 	is.Equal(found[0].Message, "peers live")
 	is.Equal(len(found[0].ContextMap()["peers"].([]any)), 81)
 	is.Equal(found[0].ContextMap()["told_by"], "0-1")
 
-	m.beat(now.Add(time.Second), 10*time.Second)
+	m.advanceHeartbeat(now.Add(time.Second), 10*time.Second)
 	is.Equal(lines.Len(), 0) // nothing changed
-	m.beat(now.Add(21*time.Second), 10*time.Second)
+	m.advanceHeartbeat(now.Add(21*time.Second), 10*time.Second)
 	gone := lines.TakeAll()
 	is.Equal(len(gone), 1)
 	is.Equal(gone[0].Message, "peers silent")
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -14,26 +14,26 @@
 // member is what is known of another VM.
 type member struct {
 	record *pb.FleetMember
-	// aliveAt is when its heartbeat was last seen to rise.
-	aliveAt time.Time
+	// heartbeatAt is when its heartbeat was last seen to rise.
+	heartbeatAt time.Time
 	// contactAt is when it last had an answer of the store, by this VM's clock; zero for never.
 	contactAt time.Time
-	// said is what it last said of itself in this incarnation.
-	said   word
-	client Client
-	live   bool
+	// progress is what it last said of itself in this incarnation.
+	progress progress
+	client   Client
+	live     bool
 }
 
-// round is the time between two exchanges that this VM begins.
-func (m *Manager) round() time.Duration {
-	if m.LiveCount() > smallFleet {
-		return longPeriod
+// roundInterval is the time between two exchanges that this VM begins.
+func (m *Manager) roundInterval() time.Duration {
+	if m.LiveCount() > largeFleetSize {
+		return largeFleetExchangeInterval
 	}
-	return period
+	return exchangeInterval
 }
 
-// beat raises the own heartbeat and lets time pass over the others.
-func (m *Manager) beat(now time.Time, silentAfter time.Duration) {
+// advanceHeartbeat raises the own heartbeat and lets time pass over the others.
+func (m *Manager) advanceHeartbeat(now time.Time, silentAfter time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Heartbeat++
@@ -41,18 +41,18 @@
 	var silent []string
 	for address, e := range m.members {
 		limit := silentAfter
-		if e.record.GetZone() != m.cfg.Zone && len(m.members) >= smallFleet {
-			limit *= farSilent
+		if e.record.GetZone() != m.cfg.Zone && len(m.members) >= largeFleetSize {
+			limit *= remoteSilenceFactor
 		}
 		// Only word of a VM, which merge takes, brings it back to life.
-		if e.live && now.Sub(e.aliveAt) >= limit {
+		if e.live && now.Sub(e.heartbeatAt) >= limit {
 			e.live = false
 			silent = append(silent, address)
 		}
 		if e.live {
 			live++
 		}
-		if now.Sub(e.aliveAt) > forgetAfter {
+		if now.Sub(e.heartbeatAt) > forgetAfter {
 			delete(m.members, address)
 		}
 	}
@@ -60,9 +60,9 @@
 		m.cfg.Log.Info("peers silent", zap.Strings("peers", silent), zap.Duration("silent_for", silentAfter), zap.Int("live", live))
 	}
 	m.metrics.live.Set(float64(live))
-	for k, at := range m.seenCrash {
-		if now.Sub(at) > crashKeep {
-			delete(m.seenCrash, k)
+	for k, at := range m.crashTimes {
+		if now.Sub(at) > crashRetention {
+			delete(m.crashTimes, k)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	m.self.Leaving = true
 	m.self.Heartbeat++ // so that the word counts as newer
 	m.mu.Unlock()
-	m.crashed.Fire()
+	m.localEvents.Fire()
 }
 
 // RecordStoreContact notes that the store has answered this VM.
@@ -145,24 +145,24 @@
 // Never is an age longer than any process runs.
 const Never = 1 << 62
 
-// behind tells whether the peer may lack something.
-func (m *Manager) behind(address string) bool {
+// needsPush tells whether the peer may lack something.
+func (m *Manager) needsPush(address string) bool {
 	to := m.cfg.Mirror.CompleteTo()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.members[address]
-	return e == nil || e.said.completeTo < to || len(m.seenCrash) > 0 || m.self.GetLeaving()
+	return e == nil || e.progress.completeTo < to || len(m.crashTimes) > 0 || m.self.GetLeaving()
 }
 
 // selfRecord requires mu.
 func (m *Manager) selfRecord(now time.Time) *pb.FleetMember {
 	return &pb.FleetMember{
 		Address: m.self.Address, Zone: m.self.Zone, Incarnation: m.self.Incarnation,
-		Heartbeat: m.self.Heartbeat, Leaving: m.self.Leaving, ContactAgeMs: age(m.contactAt, now), Millicores: m.self.Millicores,
+		Heartbeat: m.self.Heartbeat, Leaving: m.self.Leaving, ContactAgeMs: ageMillis(m.contactAt, now), Millicores: m.self.Millicores,
 	}
 }
 
-func age(at, now time.Time) int64 {
+func ageMillis(at, now time.Time) int64 {
 	if at.IsZero() {
 		return -1
 	}
@@ -179,40 +179,40 @@
 		}
 	}
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	if len(live) > sample {
-		preferred(live, zone)
-		live = live[:sample]
+	if len(live) > maxMembersPerExchange {
+		prioritizeZone(live, zone)
+		live = live[:maxMembersPerExchange]
 	}
 	out := make([]*pb.FleetMember, 0, len(live))
 	for _, e := range live {
 		r := e.record
 		out = append(out, &pb.FleetMember{
 			Address: r.GetAddress(), Zone: r.GetZone(), Incarnation: r.GetIncarnation(),
-			Heartbeat: r.GetHeartbeat(), Leaving: r.GetLeaving(), ContactAgeMs: age(e.contactAt, now), Millicores: r.GetMillicores(),
+			Heartbeat: r.GetHeartbeat(), Leaving: r.GetLeaving(), ContactAgeMs: ageMillis(e.contactAt, now), Millicores: r.GetMillicores(),
 		})
 	}
 	return out
 }
 
-// preferred moves to the front the member of the zone with the newest contact, whose word keeps others from
+// prioritizeZone moves to the front the member of the zone with the newest contact, whose word keeps others from
 // reading the store, and after it some of the zone.
-func preferred(live []*member, zone string) {
-	near := func(e *member) bool { return e.record.GetZone() == zone }
+func prioritizeZone(live []*member, zone string) {
+	inZone := func(e *member) bool { return e.record.GetZone() == zone }
 	var newest *member
 	for _, e := range live {
-		if near(e) && (newest == nil || e.contactAt.After(newest.contactAt)) {
+		if inZone(e) && (newest == nil || e.contactAt.After(newest.contactAt)) {
 			newest = e
 		}
 	}
 	rest := toFront(live, 1, func(e *member) bool { return e == newest })
-	toFront(rest, sampleNear, near)
+	toFront(rest, ownZoneMemberSlots, inZone)
 }
 
 // toFront moves up to most of the wanted members to the front and returns the others.
-func toFront(list []*member, most int, wanted func(e *member) bool) []*member {
+func toFront(list []*member, limit int, match func(e *member) bool) []*member {
 	n := 0
 	for i, e := range list {
-		if n < most && wanted(e) {
+		if n < limit && match(e) {
 			list[n], list[i] = list[i], list[n]
 			n++
 		}
@@ -220,9 +220,9 @@
 	return list[n:]
 }
 
-// merge takes a record of a member; the higher incarnation and heartbeat wins. It tells whether that brings a VM to
+// mergeRecord takes a record of a member; the higher incarnation and heartbeat wins. It tells whether that brings a VM to
 // life that was silent or not known. Requires mu.
-func (m *Manager) merge(r *pb.FleetMember, now time.Time) bool {
+func (m *Manager) mergeRecord(r *pb.FleetMember, now time.Time) bool {
 	if r.GetAddress() == "" || r.GetAddress() == m.cfg.Self {
 		return false
 	}
@@ -234,14 +234,14 @@
 		e = &member{}
 		m.members[r.GetAddress()] = e
 	} else if e.record.GetIncarnation() != r.GetIncarnation() {
-		e.said, e.contactAt = word{}, time.Time{}
+		e.progress, e.contactAt = progress{}, time.Time{}
 	}
-	back := !e.live
-	e.record, e.aliveAt, e.live = r, now, true
+	revived := !e.live
+	e.record, e.heartbeatAt, e.live = r, now, true
 	if r.GetContactAgeMs() >= 0 {
 		if at := now.Add(-time.Duration(r.GetContactAgeMs()) * time.Millisecond); at.After(e.contactAt) {
 			e.contactAt = at
 		}
 	}
-	return back
+	return revived
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -20,29 +20,29 @@
 )
 
 const (
-	// period is how often a random peer is asked, longPeriod in a fleet above smallFleet: an exchange
+	// exchangeInterval is how often a random peer is asked, longPeriod in a fleet above smallFleet: an exchange
 	// names all members, so that its bytes grow with the fleet.
-	period     = 250 * time.Millisecond
-	longPeriod = 500 * time.Millisecond
+	exchangeInterval           = 250 * time.Millisecond
+	largeFleetExchangeInterval = 500 * time.Millisecond
 	// exchangeTimeout bounds an exchange: a few round trips between zones, and a VM that stood still.
 	exchangeTimeout = 800 * time.Millisecond
-	// silentRounds is the age of the newest sign of life, in rounds, from which a peer counts as gone: a
+	// silenceRounds is the age of the newest sign of life, in rounds, from which a peer counts as gone: a
 	// heartbeat comes around a fleet of 60 in about 6 rounds.
-	silentRounds = 12
+	silenceRounds = 12
 	// forgetAfter is how long a silent peer is still tried.
 	forgetAfter = time.Minute
-	// sample bounds the members that an exchange names, some 45 bytes each. In a fleet above it those of the own zone
+	// maxMembersPerExchange bounds the members that an exchange names, some 45 bytes each. In a fleet above it those of the own zone
 	// have sampleNear places: by chance alone each is heard of so seldom among 300 VMs that one of them is taken for
 	// silent at any time. With more places the same happens to those of other zones.
-	sample     = 80
-	sampleNear = 28
-	// announceFrom is the size of news in bytes from which it is only announced: a peer that lacks it asks
+	maxMembersPerExchange = 80
+	ownZoneMemberSlots    = 28
+	// announceMinBytes is the size of news in bytes from which it is only announced: a peer that lacks it asks
 	// for it, so that a large configuration goes to each VM about once instead of three times.
-	announceFrom = 1 << 10
-	// pullsMost bounds the announcements that wait to be asked for.
-	pullsMost = 8
-	// crashKeep is how long a crash is told.
-	crashKeep = 2 * time.Minute
+	announceMinBytes = 1 << 10
+	// maxQueuedPulls bounds the announcements that wait to be asked for.
+	maxQueuedPulls = 8
+	// crashRetention is how long a crash is told.
+	crashRetention = 2 * time.Minute
 )
 
 // Dial returns the client of the peer at the address.
@@ -79,20 +79,20 @@
 
 // Manager owns membership and exchanges. It is safe for concurrent use.
 type Manager struct {
-	cfg     Config
-	metrics *metrics
-	crashed *notify.Notifier
+	cfg         Config
+	metrics     *metrics
+	localEvents *notify.Notifier
 	// pulls holds peers that have news.
 	pulls chan pull
 
 	mu sync.Mutex
 	// What follows is guarded by mu.
-	members   map[string]*member
-	self      pb.FleetMember
-	contactAt time.Time
-	seenCrash map[crashKey]time.Time
-	// toldAt is when a VM of the zone last got the whole state from this one.
-	toldAt map[string]time.Time
+	members    map[string]*member
+	self       pb.FleetMember
+	contactAt  time.Time
+	crashTimes map[crashKey]time.Time
+	// fullStateSentAt is when a VM of the zone last got the whole state from this one.
+	fullStateSentAt map[string]time.Time
 }
 
 type metrics struct {
@@ -110,10 +110,10 @@
 	}
 	cfg.Registry.MustRegister(m.exchanges, m.live)
 	return &Manager{
-		cfg: cfg, metrics: m, members: make(map[string]*member), crashed: notify.New(),
-		pulls:     make(chan pull, pullsMost),
-		self:      pb.FleetMember{Address: cfg.Self, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Millicores: uint32(max(cfg.Millicores, 0))},
-		seenCrash: make(map[crashKey]time.Time), toldAt: make(map[string]time.Time),
+		cfg: cfg, metrics: m, members: make(map[string]*member), localEvents: notify.New(),
+		pulls:      make(chan pull, maxQueuedPulls),
+		self:       pb.FleetMember{Address: cfg.Self, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Millicores: uint32(max(cfg.Millicores, 0))},
+		crashTimes: make(map[crashKey]time.Time), fullStateSentAt: make(map[string]time.Time),
 	}
 }
 
@@ -121,7 +121,7 @@
 func (m *Manager) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.runRounds(ctx) })
-	wg.Go(func() { m.runNews(ctx) })
+	wg.Go(func() { m.runPushes(ctx) })
 	wg.Go(func() { m.runSeeds(ctx) })
 	wg.Go(func() { m.runPulls(ctx) })
 	wg.Wait()
@@ -130,54 +130,54 @@
 
 func (m *Manager) runRounds(ctx context.Context) {
 	for {
-		round := m.round()
+		round := m.roundInterval()
 		if !wait.For(ctx, round-round/10+rand.N(round/5)) {
 			return
 		}
-		m.beat(time.Now(), silentRounds*round)
-		if p, ok := m.pick(); ok {
+		m.advanceHeartbeat(time.Now(), silenceRounds*round)
+		if p, ok := m.pickPeer(); ok {
 			go m.exchange(ctx, p, false)
 		}
 	}
 }
 
-// runNews tells others at once when the mirror changed or a crash was seen.
-func (m *Manager) runNews(ctx context.Context) {
+// runPushes tells others at once when the mirror changed or a crash was seen.
+func (m *Manager) runPushes(ctx context.Context) {
 	for {
-		changed, crashed := m.cfg.Changed.Changed(), m.crashed.Changed()
+		changed, localEvent := m.cfg.Changed.Changed(), m.localEvents.Changed()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-crashed:
+		case <-localEvent:
 		}
-		for _, p := range m.audience() {
-			if m.behind(p) {
+		for _, p := range m.pushTargets() {
+			if m.needsPush(p) {
 				go m.exchange(ctx, p, true)
 			}
 		}
-		if !wait.For(ctx, newsGap) {
+		if !wait.For(ctx, minPushInterval) {
 			return
 		}
 	}
 }
 
-// newsGap is the least time between two rounds of news, so that a series of changes travels together.
-const newsGap = 20 * time.Millisecond
+// minPushInterval is the least time between two rounds of news, so that a series of changes travels together.
+const minPushInterval = 20 * time.Millisecond
 
 // Dump shows the members.
 func (m *Manager) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	type shown struct {
+	type memberDump struct {
 		Zone       string `json:"zone"`
 		Live       bool   `json:"live"`
 		Leaving    bool   `json:"leaving"`
 		CompleteTo uint64 `json:"complete_to"`
 	}
-	out := make(map[string]shown, len(m.members))
+	out := make(map[string]memberDump, len(m.members))
 	for a, e := range m.members {
-		out[a] = shown{e.record.GetZone(), e.live, e.record.GetLeaving(), e.said.completeTo}
+		out[a] = memberDump{e.record.GetZone(), e.live, e.record.GetLeaving(), e.progress.completeTo}
 	}
 	return out
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -28,12 +28,12 @@
 	vms  map[string]*Manager
 	cut  map[string]bool
 	sent map[string]int
-	// answered counts the items in answers, and those sent in requests.
-	answered int
-	// crossed counts exchanges between zones, copiesCrossed the items that they carried.
-	crossed, copiesCrossed int
-	// near and far count the items that each VM sent to others of its zone, and of other zones.
-	near, far map[string]int
+	// itemsSent counts the items in answers, and those sent in requests.
+	itemsSent int
+	// exchangesAcrossZones counts exchanges between zones, copiesCrossed the items that they carried.
+	exchangesAcrossZones, itemsAcrossZones int
+	// sentWithinZone and far count the items that each VM sent to others of its zone, and of other zones.
+	sentWithinZone, sentAcrossZones map[string]int
 	// delay of each exchange.
 	delay time.Duration
 	// cutZone is cut off from the others; empty for none.
@@ -41,7 +41,7 @@
 }
 
 func newNetwork() *network {
-	return &network{vms: make(map[string]*Manager), cut: make(map[string]bool), sent: make(map[string]int), near: make(map[string]int), far: make(map[string]int)}
+	return &network{vms: make(map[string]*Manager), cut: make(map[string]bool), sent: make(map[string]int), sentWithinZone: make(map[string]int), sentAcrossZones: make(map[string]int)}
 }
 
 type link struct {
@@ -54,12 +54,12 @@
 	peer, cut := l.n.vms[l.to], l.n.cut[l.to] || l.n.cut[l.from]
 	l.n.sent[l.to] += len(req.GetItems())
 	far := peer != nil && peer.cfg.Zone != req.GetSender().GetZone()
-	gave := l.n.near
+	sentBy := l.n.sentWithinZone
 	if far {
-		gave = l.n.far
-		l.n.crossed++
+		sentBy = l.n.sentAcrossZones
+		l.n.exchangesAcrossZones++
 	}
-	gave[l.from] += len(req.GetItems())
+	sentBy[l.from] += len(req.GetItems())
 	delay := l.n.delay
 	cut = cut || far && (peer.cfg.Zone == l.n.cutZone || req.GetSender().GetZone() == l.n.cutZone)
 	l.n.mu.Unlock()
@@ -69,10 +69,10 @@
 	time.Sleep(delay)
 	got := peer.Answer(req)
 	l.n.mu.Lock()
-	l.n.answered += len(got.GetItems()) + len(req.GetItems())
-	gave[l.to] += len(got.GetItems())
+	l.n.itemsSent += len(got.GetItems()) + len(req.GetItems())
+	sentBy[l.to] += len(got.GetItems())
 	if far {
-		l.n.copiesCrossed += len(got.GetItems()) + len(req.GetItems())
+		l.n.itemsAcrossZones += len(got.GetItems()) + len(req.GetItems())
 	}
 	l.n.mu.Unlock()
 	return got, nil
@@ -109,8 +109,8 @@
 	}
 }
 
-// allKnowAll waits until each of the VMs knows all others.
-func allKnowAll(t *testing.T, d time.Duration, vms []*Manager) {
+// waitForFullMembership waits until each of the VMs knows all others.
+func waitForFullMembership(t *testing.T, d time.Duration, vms []*Manager) {
 	t.Helper()
 	within(t, d, "all know all", func() bool {
 		return !slices.ContainsFunc(vms, func(m *Manager) bool { return m.LiveCount() < len(vms)-1 })
@@ -126,7 +126,7 @@
 
 // A change that one VM read is known to all of a fleet in far less than the second that it may take,
 // though each knows only one seed at its start.
-func TestNewsReachesAll(t *testing.T) {
+func TestUpdatesReachAllVMs(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	n := newNetwork()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -140,7 +140,7 @@
 		vms, copies = append(vms, m), append(copies, mi)
 		wg.Go(func() { _ = m.Run(ctx) })
 	}
-	allKnowAll(t, 10*time.Second, vms)
+	waitForFullMembership(t, 10*time.Second, vms)
 	begun := time.Now()
 	copies[7].Merge(item(5), begun)
 	within(t, 2*time.Second, "all have the change", func() bool {
@@ -154,9 +154,9 @@
 	t.Logf("after %v", time.Since(begun))
 }
 
-// largeFleet runs 48 VMs in 4 zones, two of each of which are strong, until the test ends, and waits until all
+// runLargeFleet runs 48 VMs in 4 zones, two of each of which are strong, until the test ends, and waits until all
 // know all.
-func largeFleet(t *testing.T, n *network) (vms []*Manager, copies []*mirror.Mirror) {
+func runLargeFleet(t *testing.T, n *network) (vms []*Manager, copies []*mirror.Mirror) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -173,7 +173,7 @@
 	for _, m := range vms {
 		wg.Go(func() { _ = m.Run(ctx) })
 	}
-	allKnowAll(t, 15*time.Second, vms)
+	waitForFullMembership(t, 15*time.Second, vms)
 	return vms, copies
 }
 
@@ -181,11 +181,11 @@
 func TestFewExchangesCrossZones(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	vms, copies := largeFleet(t, n)
+	vms, copies := runLargeFleet(t, n)
 	crossed := func() int {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.crossed
+		return n.exchangesAcrossZones
 	}
 	before := crossed()
 	const span = 4
@@ -211,11 +211,11 @@
 }
 
 // Where the strong VMs of a zone are lost, the others bring its news to the fleet.
-func TestNewsWithoutEnvoys(t *testing.T) {
+func TestUpdatesReachAllWithoutGateways(t *testing.T) {
 	n := newNetwork()
-	_, copies := largeFleet(t, n)
-	for _, envoy := range []string{"vm1", "vm5"} { // of z1
-		n.setCut(envoy, true)
+	_, copies := runLargeFleet(t, n)
+	for _, gateway := range []string{"vm1", "vm5"} { // of z1
+		n.setCut(gateway, true)
 	}
 	copies[17].Merge(item(5), time.Now())
 	within(t, 5*time.Second, "all but those cut off have the change", func() bool {
@@ -241,7 +241,7 @@
 	wg.Go(func() { _ = b.Run(ctx) })
 	within(t, time.Second, "they know each other", func() bool { return a.LiveCount() == 1 && b.LiveCount() == 1 })
 	n.setCut("b", true)
-	within(t, 2*silentRounds*period, "a takes b for gone", func() bool { return a.LiveCount() == 0 })
+	within(t, 2*silenceRounds*exchangeInterval, "a takes b for gone", func() bool { return a.LiveCount() == 0 })
 	copyA.Merge(item(9), time.Now())
 	is.Equal(copyB.CompleteTo(), uint64(0))
 	n.setCut("b", false)
@@ -249,7 +249,7 @@
 }
 
 // A VM that starts anew at the address of one that knew much must not pass for complete.
-func TestNewIncarnationIsToldAll(t *testing.T) {
+func TestNewIncarnationGetsFullState(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, copyA := n.vm("a", "z", 1)
@@ -268,7 +268,7 @@
 }
 
 // What a peer has is not sent to it, also at the first exchange.
-func TestOnlyDifferencesTravel(t *testing.T) {
+func TestOnlyDifferencesAreSent(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, copyA := n.vm("a", "z", 1)
@@ -283,7 +283,7 @@
 
 // What a peer said of itself a while ago, as before a cut or in a fleet in which two VMs seldom meet, is no reason to
 // send it all that changed since: it may have that from others.
-func TestOldWordOfAPeerIsAskedAnew(t *testing.T) {
+func TestStaleProgressIsRefreshed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork()
@@ -292,17 +292,17 @@
 		copyA.Merge(large(5), time.Now())
 		a.exchange(t.Context(), "b", false)
 		is.Equal(copyB.CompleteTo(), uint64(5))
-		before := n.answered
-		time.Sleep(wordKeep)
+		before := n.itemsSent
+		time.Sleep(progressMaxAge)
 		copyA.Merge(large(9), time.Now())
 		copyB.Merge(large(9), time.Now()) // from another VM
 		a.exchange(t.Context(), "b", false)
-		is.Equal(n.answered, before)
+		is.Equal(n.itemsSent, before)
 		copyA.Merge(large(12), time.Now())
 		a.exchange(t.Context(), "b", false) // the word is fresh now
 		is.Equal(copyB.CompleteTo(), uint64(12))
 		is.Equal(n.sent["b"], 2)
-		time.Sleep(wordKeep)
+		time.Sleep(progressMaxAge)
 		copyA.Merge(large(15), time.Now())
 		a.exchange(t.Context(), "b", false) // it is asked, and then told
 		is.Equal(copyB.CompleteTo(), uint64(15))
@@ -310,7 +310,7 @@
 }
 
 // A large change is announced, and each VM asks one peer for it: it travels to each about once.
-func TestLargeNewsTravelsOnce(t *testing.T) {
+func TestLargeUpdateIsSentOnce(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -325,8 +325,8 @@
 		copies, all = append(copies, mi), append(all, m)
 		wg.Go(func() { _ = m.Run(ctx) })
 	}
-	allKnowAll(t, 10*time.Second, all)
-	time.Sleep(2 * period) // each has said to others what it has
+	waitForFullMembership(t, 10*time.Second, all)
+	time.Sleep(2 * exchangeInterval) // each has said to others what it has
 	d := item(5)
 	d.Items[0].Value = make([]byte, 50<<10)
 	copies[3].Merge(d, time.Now())
@@ -340,11 +340,11 @@
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	t.Logf("%d copies moved", n.answered)
-	is.True(n.answered < 3*vms/2) // 37 where all is sent at once
+	t.Logf("%d copies moved", n.itemsSent)
+	is.True(n.itemsSent < 3*vms/2) // 37 where all is sent at once
 }
 
-func TestContactOfTheZone(t *testing.T) {
+func TestZoneStoreContact(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, _ := n.vm("a", "z", 1)
@@ -369,7 +369,7 @@
 	is.Equal(members, []string{"a"})
 }
 
-func TestCrashesAreTold(t *testing.T) {
+func TestCrashesAreReported(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, _ := n.vm("a", "z", 1)
@@ -386,7 +386,7 @@
 }
 
 // Crashes and troubles are of one start of a leaf: one that starts again under its id is another leaf.
-func TestStartsOfALeafAreToldApart(t *testing.T) {
+func TestRestartedLeafIsDistinct(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, _ := n.vm("a", "z", 1)
@@ -405,8 +405,8 @@
 	_, call := a.cfg.Evidence.(*replica.Table).Choose(now, "r", time.Millisecond, []replica.Candidate{{ID: first, Slots: 1}})
 	call.End(replica.Failed, now)
 	a.exchange(t.Context(), "b", false)
-	told := b.cfg.Evidence.(*replica.Table)
+	table := b.cfg.Evidence.(*replica.Table)
 	from := []replica.Candidate{{ID: first, Slots: 1}, {ID: second, Slots: 1}}
-	i, _ := told.Choose(now, "r", time.Millisecond, from)
+	i, _ := table.Choose(now, "r", time.Millisecond, from)
 	is.Equal(from[i].ID, second)
 }
--- a/internal/peers/start.go
+++ b/internal/peers/start.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// seedPeriod is how often a seed is asked while few peers are known, or beside them in case the
+	// seedInterval is how often a seed is asked while few peers are known, or beside them in case the
 	// fleet was cut in two; seedSeldom in a large fleet, where silent peers are tried often enough.
-	seedPeriod = 2 * time.Second
-	seedSeldom = 20 * time.Second
-	// seedStart is how often the seeds are asked by a process that has no word at all, one of them where any VM
+	seedInterval           = 2 * time.Second
+	largeFleetSeedInterval = 20 * time.Second
+	// startupSeedInterval is how often the seeds are asked by a process that has no word at all, one of them where any VM
 	// answers, during the first startSpan, after which it has read the store itself: VMs that lost power together
 	// start within some tenths of a second. Asked for longer, a large change reaches many VMs twice.
-	seedStart = 50 * time.Millisecond
-	startSpan = 300 * time.Millisecond
-	// passOn is how long a VM of another zone that got the whole state has to pass some of it on, or to say that it
+	startupSeedInterval = 50 * time.Millisecond
+	startupSeedPeriod   = 300 * time.Millisecond
+	// otherZoneStateInterval is how long a VM of another zone that got the whole state has to pass some of it on, or to say that it
 	// has it, before a second one of that zone is told: five exchanges within the zone.
-	passOn = 25 * time.Millisecond
-	// ownPassOn is the same in the own zone: a copy takes a strong VM more than a millisecond, and who is put off
+	otherZoneStateInterval = 25 * time.Millisecond
+	// ownZoneStateInterval is the same in the own zone: a copy takes a strong VM more than a millisecond, and who is put off
 	// asks anew 50 ms later.
-	ownPassOn = 3 * time.Millisecond
+	ownZoneStateInterval = 3 * time.Millisecond
 )
 
 // runSeeds asks the seeds at the start, and later one at a time.
 func (m *Manager) runSeeds(ctx context.Context) {
 	begun := time.Now()
-	var asked time.Time
+	var lastContact time.Time
 	for first := true; ; first = false {
-		starting := m.cfg.Mirror.CompleteTo() == 0 && time.Since(begun) < startSpan
+		starting := m.cfg.Mirror.CompleteTo() == 0 && time.Since(begun) < startupSeedPeriod
 		// A large fleet may have shown itself during the pause.
-		if first || starting || m.LiveCount() < smallFleet || time.Since(asked) >= seedSeldom {
-			asked = time.Now()
-			for _, a := range m.toAsk(first, starting) {
-				go m.ask(ctx, a)
+		if first || starting || m.LiveCount() < largeFleetSize || time.Since(lastContact) >= largeFleetSeedInterval {
+			lastContact = time.Now()
+			for _, a := range m.seedTargets(first, starting) {
+				go m.contactSeed(ctx, a)
 			}
 		}
-		pause := seedPeriod
+		pause := seedInterval
 		switch live := m.LiveCount(); {
 		case starting:
-			pause = seedStart
+			pause = startupSeedInterval
 		case live == 0:
-			pause = period
-		case live >= smallFleet:
-			pause = seedSeldom
+			pause = exchangeInterval
+		case live >= largeFleetSize:
+			pause = largeFleetSeedInterval
 		}
 		if !wait.For(ctx, pause) {
 			return
@@ -56,15 +56,15 @@
 	}
 }
 
-// toAsk returns all seeds as long as no VM is known, then one of them, or while this VM starts one that is likely to
+// seedTargets returns all seeds as long as no VM is known, then one of them, or while this VM starts one that is likely to
 // have the platform's state and not too busy to tell.
-func (m *Manager) toAsk(first, starting bool) []string {
+func (m *Manager) seedTargets(first, starting bool) []string {
 	seeds := slices.DeleteFunc(slices.Clone(m.cfg.Seeds()), func(a string) bool { return a == m.cfg.Self })
 	if first || m.LiveCount() == 0 {
 		return seeds
 	}
-	if near, ok := m.nearby(); starting && ok {
-		return []string{near}
+	if gateway, ok := m.localGateway(); starting && ok {
+		return []string{gateway}
 	}
 	if len(seeds) == 0 {
 		return nil
@@ -72,52 +72,52 @@
 	return []string{seeds[rand.N(len(seeds))]}
 }
 
-// nearby returns the VM that tells this one the platform's state in a large fleet: an envoy of the own zone, which is
+// localGateway returns the VM that tells this one the platform's state in a large fleet: an envoy of the own zone, which is
 // among the first of it to know. The envoys themselves, and the VMs of a small fleet, ask the seeds.
-func (m *Manager) nearby() (string, bool) {
-	v := m.look()
-	if v.live() < smallFleet || v.envoy || len(v.nearEnvoys) == 0 {
+func (m *Manager) localGateway() (string, bool) {
+	v := m.currentView()
+	if v.live() < largeFleetSize || v.isGateway || len(v.localGateways) == 0 {
 		return "", false
 	}
-	return v.nearEnvoys[rand.N(len(v.nearEnvoys))].Address, true
+	return v.localGateways[rand.N(len(v.localGateways))].Address, true
 }
 
-// ask exchanges with a VM, and where that leaves the platform's state to VMs of the own zone, with one of these.
-func (m *Manager) ask(ctx context.Context, address string) {
+// contactSeed exchanges with a VM, and where that leaves the platform's state to VMs of the own zone, with one of these.
+func (m *Manager) contactSeed(ctx context.Context, address string) {
 	m.exchange(ctx, address, false)
-	if m.cfg.Mirror.CompleteTo() > 0 || !m.ahead(address) {
+	if m.cfg.Mirror.CompleteTo() > 0 || !m.isAhead(address) {
 		return
 	}
-	if near, ok := m.nearby(); ok && near != address {
-		m.exchange(ctx, near, false)
+	if gateway, ok := m.localGateway(); ok && gateway != address {
+		m.exchange(ctx, gateway, false)
 	}
 }
 
-// leftToOthers tells whether the whole state is to be told by others. A VM of another zone in which somebody has it gets
+// deferFullState tells whether the whole state is to be told by others. A VM of another zone in which somebody has it gets
 // it there, for between zones its bytes are dear; and who asks right after another of its zone gets it from that one, or
 // here a little later, for a seed that tells a third of a fleet that starts stands still for as long as callers wait.
-func (m *Manager) leftToOthers(to *pb.FleetMember, now time.Time) bool {
+func (m *Manager) deferFullState(to *pb.FleetMember, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.members) < smallFleet {
+	if len(m.members) < largeFleetSize {
 		return false
 	}
-	gap, own := passOn, to.GetZone() == m.cfg.Zone
-	if own {
-		gap = ownPassOn
+	minInterval, ownZone := otherZoneStateInterval, to.GetZone() == m.cfg.Zone
+	if ownZone {
+		minInterval = ownZoneStateInterval
 	}
-	if now.Sub(m.toldAt[to.GetZone()]) < gap || !own && m.zoneHas(to) {
+	if now.Sub(m.fullStateSentAt[to.GetZone()]) < minInterval || !ownZone && m.zoneHasState(to) {
 		return true
 	}
-	m.toldAt[to.GetZone()] = now
+	m.fullStateSentAt[to.GetZone()] = now
 	return false
 }
 
-// zoneHas tells whether another VM of the member's zone is known to have the state. Requires mu.
-func (m *Manager) zoneHas(to *pb.FleetMember) bool {
+// zoneHasState tells whether another VM of the member's zone is known to have the state. Requires mu.
+func (m *Manager) zoneHasState(to *pb.FleetMember) bool {
 	for address, e := range m.members {
 		r := e.record
-		if address != to.GetAddress() && r.GetZone() == to.GetZone() && e.live && !r.GetLeaving() && e.said.completeTo > 0 {
+		if address != to.GetAddress() && r.GetZone() == to.GetZone() && e.live && !r.GetLeaving() && e.progress.completeTo > 0 {
 			return true
 		}
 	}
