--- a/internal/peers/choose.go
+++ b/internal/peers/choose.go
@@ -9,42 +9,45 @@
 )
 
 const (
-	// ownZoneFraction is the part of the rounds that stays in the own zone: bytes between zones are dear.
+	// ownZoneFraction is the fraction of rounds that stay in the own zone, because traffic between zones is
+	// expensive.
 	ownZoneFraction = 0.75
-	// largeFleetSize is the size up to which all VMs talk to those of other zones. In a larger one the envoys of
-	// each zone do, and the others seldom: with all of them the exchanges and news of 64 VMs take as many bytes
-	// between zones as the calls to leaves do.
+	// largeFleetSize is the number of VMs from which a fleet counts as large. In a smaller one all VMs exchange
+	// with VMs of other zones. In a large one the gateways of each zone do, and the others seldom: if all did, the
+	// exchanges and updates of 64 VMs would take as many bytes between zones as the calls to leaves.
 	largeFleetSize = 20
-	// gatewaysPerZone is how many VMs of a zone talk to those of others; a second one stands in for the first.
+	// gatewaysPerZone is how many VMs of a zone exchange with other zones. The second one is a standby for the
+	// first.
 	gatewaysPerZone = 2
-	// gatewayOwnZoneFraction and othersOwnZone are the parts of the rounds that stay in the own zone then. What the
-	// others still do brings word across where the envoys are lost.
+	// gatewayOwnZoneFraction and nonGatewayOwnZoneFraction are the fractions of rounds that stay in the own zone in
+	// a large fleet. The remaining rounds of the other VMs carry updates across zones if the gateways are lost.
 	gatewayOwnZoneFraction, nonGatewayOwnZoneFraction = 0.5, 0.97
-	// remoteSilenceFactor is how many times as long a VM of another zone may show no sign of life then: word of it comes
-	// by two envoys, which takes 3 s and at times more.
+	// remoteSilenceFactor multiplies the time after which a VM of another zone counts as silent in a large fleet:
+	// its heartbeat comes by way of two gateways, which takes 3 s and at times more.
 	remoteSilenceFactor = 2
-	// silentRetryFraction is the part of the rounds that tries a peer without signs of life.
+	// silentRetryFraction is the fraction of rounds that try a silent peer.
 	silentRetryFraction = 0.1
-	// relayedPushFleetSize is the size of a fleet up to which news goes to all at once; larger ones pass it on.
+	// relayedPushFleetSize is the number of live peers from which peers relay updates. In a smaller fleet an update
+	// goes to all peers at once.
 	relayedPushFleetSize = 10
-	// ownZonePushFanout is to how many peers of the own zone news goes in a larger fleet, each of which passes it on;
-	// its envoys get it besides.
+	// ownZonePushFanout is the number of peers of the own zone to which an update goes in a larger fleet. Each of
+	// them relays it. The gateways of the zone get it in addition.
 	ownZonePushFanout = 3
 )
 
-// fleetView is what the choice is made from.
+// fleetView is the membership from which peers are chosen.
 type fleetView struct {
 	local, remote []VM
 	silent        []string
-	// envoys of all zones, those of the own zone apart; self may be one of these.
+	// Gateways of the own zone and of all other zones, without this VM.
 	localGateways, remoteGateways []VM
-	// isGateway is set where this VM is one.
+	// isGateway is set if this VM is a gateway.
 	isGateway bool
 }
 
 func (v *fleetView) live() int { return len(v.local) + len(v.remote) }
 
-// currentView returns the members as they stand.
+// currentView returns the view of the current members.
 func (m *Manager) currentView() *fleetView {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,8 +82,8 @@
 
 func (m *Manager) isSelf(p VM) bool { return p.Address == m.cfg.Self }
 
-// gatewaysOf returns the VMs of a zone that talk to those of others: the strongest, which also see most of the
-// leaves, and among equals by a rank on which all agree.
+// gatewaysOf returns the gateways of a zone: the largest VMs, which also call most of the leaves. VMs of equal size
+// are ordered by a hash of the address, so that all VMs agree.
 func gatewaysOf(zone []VM) []VM {
 	slices.SortFunc(zone, func(a, b VM) int {
 		return cmp.Or(cmp.Compare(b.Millicores, a.Millicores), cmp.Compare(xxhash.Sum64String(a.Address), xxhash.Sum64String(b.Address)))
@@ -111,7 +114,7 @@
 	return candidates[rand.N(len(candidates))].Address, true
 }
 
-// pushTargets returns the peers that are told of news at once.
+// pushTargets returns the peers that get an update at once.
 func (m *Manager) pushTargets() []string {
 	v := m.currentView()
 	if v.live() < relayedPushFleetSize {
@@ -130,7 +133,7 @@
 	return slices.Compact(out)
 }
 
-// onePerZone returns one peer of each zone by chance.
+// onePerZone returns a random peer of each zone.
 func onePerZone(peers []VM) []VM {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	var out []VM
--- a/internal/peers/crashes.go
+++ b/internal/peers/crashes.go
@@ -6,7 +6,7 @@
 	"github.com/burdockplank/burdockplank/internal/catalog"
 )
 
-// Crash says that a leaf ended while it ran a request.
+// Crash records that a leaf ended while it ran a request.
 type Crash struct {
 	Digest uint64
 	Leaf   catalog.LeafID
@@ -18,7 +18,7 @@
 	leaf   catalog.LeafID
 }
 
-// ReportCrash tells the fleet of a crash that this VM saw.
+// ReportCrash reports to the fleet a crash that this VM saw.
 func (m *Manager) ReportCrash(c Crash) {
 	m.mu.Lock()
 	m.recordCrash(c)
@@ -26,7 +26,7 @@
 	m.localEvents.Fire()
 }
 
-// recordCrash requires mu.
+// recordCrash records a crash unless it is already known. The caller must hold mu.
 func (m *Manager) recordCrash(c Crash) {
 	k := crashKey{c.Digest, c.Leaf}
 	if _, ok := m.crashTimes[k]; !ok {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Crashes returns at how many leaves the request was in flight when they ended, since the given time.
+// Crashes returns the number of leaves that have ended since the given time while the request was in flight there.
 func (m *Manager) Crashes(digest uint64, since time.Time) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -12,13 +12,14 @@
 	"github.com/burdockplank/burdockplank/internal/replica"
 )
 
-// progressMaxAge is how long a peer's word of what it has counts for a large exchange: news gets around a fleet in a second,
-// so that what it lacked before it likely has by then. In a fleet of 300 two VMs meet every few minutes.
+// progressMaxAge is how long a peer's reported progress is relied on for a large exchange. Updates reach the whole
+// fleet within a second, so a peer likely has by then what it lacked before. In a fleet of 300 two VMs exchange
+// only every few minutes.
 const progressMaxAge = 2 * time.Second
 
-// exchange tells the peer what it lacks and takes what it tells. A peer that has said nothing of itself, or nothing
-// lately where much is to be told, is asked first, so that nothing goes to one that has it. A brief exchange
-// carries news only.
+// exchange sends the peer what it lacks and merges its answer. It first asks for the peer's progress without
+// sending items if the progress is unknown, or if the update is large and the progress is old, so that a peer gets
+// no items that it has. A brief exchange carries only updates.
 func (m *Manager) exchange(ctx context.Context, address string, brief bool) {
 	for range 2 {
 		client, known := m.clientOf(address)
@@ -29,14 +30,16 @@
 	}
 }
 
-// progress is what a peer said of itself.
+// progress is what a peer has reported about itself.
 type progress struct {
-	// completeTo is the revision up to which it knew every item, at when it said so, zero for never.
+	// completeTo is the revision up to which the peer knew every item. reportedAt is when it said so; zero for
+	// never.
 	completeTo uint64
 	reportedAt time.Time
 }
 
-// exchangeOnce tells whether the peer answered, and whether it was asked first, before it is told.
+// exchangeOnce makes one exchange. ok reports whether the peer answered. probed reports whether the request only
+// asked for the peer's progress, so that items may still have to be sent.
 func (m *Manager) exchangeOnce(ctx context.Context, client Client, known progress, brief bool) (probed, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -57,12 +60,12 @@
 	return probed, true
 }
 
-// stripItems lets the message say how much its sender knows, but not what.
+// stripItems removes the items from the message. It still states how much its sender knows.
 func stripItems(msg *pb.FleetExchange) {
 	msg.Items, msg.Full, msg.CompleteFrom = nil, false, msg.GetCompleteTo()
 }
 
-// itemBytes is about what the items of the message take.
+// itemBytes returns the approximate size of the message's items in bytes.
 func itemBytes(msg *pb.FleetExchange) int {
 	n := 0
 	for _, it := range msg.GetItems() {
@@ -71,24 +74,25 @@
 	return n
 }
 
-// pull is a peer to ask for news.
+// pull is a request to get updates from a peer.
 type pull struct {
 	address string
-	// unconditional is set where it is known to have some; otherwise it is asked if it said that it has more.
+	// unconditional is set if the peer is known to have updates. Otherwise it is asked only if it has reported more
+	// progress than this VM.
 	unconditional bool
 }
 
-// Fetch asks the peer for what it has and this VM lacks, without waiting for it.
+// Fetch requests what the peer has and this VM lacks, without waiting for the answer.
 func (m *Manager) Fetch(address string) { m.enqueuePull(pull{address, true}) }
 
 func (m *Manager) enqueuePull(p pull) {
 	select {
 	case m.pulls <- p:
-	default: // the next round asks
+	default: // the queue is full; a later round gets the updates
 	}
 }
 
-// runPulls asks peers for the news that they announced, one after the other.
+// runPulls gets announced updates from the peers, one peer after the other, until ctx ends.
 func (m *Manager) runPulls(ctx context.Context) {
 	for {
 		select {
@@ -102,7 +106,7 @@
 	}
 }
 
-// isAhead tells whether the peer said that it has more than this VM.
+// isAhead reports whether the peer has reported more progress than this VM has.
 func (m *Manager) isAhead(address string) bool {
 	to := m.cfg.Mirror.CompleteTo()
 	m.mu.Lock()
@@ -111,7 +115,7 @@
 	return e != nil && e.progress.completeTo > to
 }
 
-// clientOf returns the client of the address, and what the peer there last said of itself.
+// clientOf returns the client for the address and the last progress that the peer there reported.
 func (m *Manager) clientOf(address string) (Client, progress) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,7 +128,7 @@
 	return m.cfg.Dial(address), progress{}
 }
 
-// Answer takes an exchange that a peer began, and returns this VM's part.
+// Answer handles an exchange that a peer began and returns this VM's part.
 func (m *Manager) Answer(req *pb.FleetExchange) *pb.FleetExchange {
 	now := time.Now()
 	m.mergeMessage(req, now)
@@ -141,7 +145,8 @@
 	return m.buildMessage(to, now, req.GetBrief(), zone)
 }
 
-// buildMessage is what a peer that is complete to the revision is told. Members of the zone are named first.
+// buildMessage returns the message for a peer that is complete up to the revision. Members of the zone take
+// precedence.
 func (m *Manager) buildMessage(to uint64, now time.Time, brief bool, zone string) *pb.FleetExchange {
 	d := m.cfg.Mirror.Since(to)
 	var troubles []replica.Trouble
@@ -166,7 +171,7 @@
 	return msg
 }
 
-// mergeMessage merges what a peer told.
+// mergeMessage merges a message of a peer.
 func (m *Manager) mergeMessage(msg *pb.FleetExchange, now time.Time) {
 	m.mu.Lock()
 	m.mergeRecords(msg, now)
@@ -188,7 +193,7 @@
 	m.cfg.Mirror.Merge(d, now)
 }
 
-// mergeRecords takes the sender's record and those that it names. Requires mu.
+// mergeRecords merges the records of the sender and of the members in its message. The caller must hold mu.
 func (m *Manager) mergeRecords(msg *pb.FleetExchange, now time.Time) {
 	var revived []string
 	for _, r := range append([]*pb.FleetMember{msg.GetSender()}, msg.GetMembers()...) {
@@ -201,7 +206,7 @@
 	}
 }
 
-// forwardTroubles passes on what the peer saw of leaves.
+// forwardTroubles passes on to the evidence what the peer observed of leaves in trouble.
 func (m *Manager) forwardTroubles(msg *pb.FleetExchange, now time.Time) {
 	var list []replica.Trouble
 	for _, t := range msg.GetTroubles() {
--- a/internal/peers/large_test.go
+++ b/internal/peers/large_test.go
@@ -15,8 +15,8 @@
 	"github.com/burdockplank/burdockplank/internal/mirror"
 )
 
-// runFiveZones runs five zones of 60 VMs, two strong ones in each, in virtual time, and calls look each 100 ms from
-// the eighth second on.
+// runFiveZones runs five zones of 60 VMs, two larger ones in each, in virtual time. It calls observe every 100 ms
+// from the eighth second on.
 func runFiveZones(t *testing.T, observe func(now time.Time, vms [][]*Manager)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -51,9 +51,9 @@
 	})
 }
 
-// Word of a zone's contact with the store is as young at all of its VMs as the next reader by rank waits for, so
-// that no other one reads beside the first; and none takes a VM of its zone for gone. The first one reads each 3 s,
-// the next one would after 5.4 s.
+// A zone's contact with the store is known to all of its VMs before the next reader by rank would take over, so
+// that no VM reads beside the first, and no VM counts one of its zone as silent. The first VM reads every 3 s; the
+// next one would read after 5.4 s.
 func TestLargeFleetLearnsOfStoreContacts(t *testing.T) {
 	const every, bound = 3 * time.Second, 5400 * time.Millisecond
 	late, unknown, looks := 0, 0, 0
@@ -71,7 +71,7 @@
 			}
 			for _, m := range zone {
 				if now.Sub(first) < every {
-					continue // nobody can know of a second contact yet
+					continue // no second contact can be known yet
 				}
 				members, age := m.ZoneStatus(now)
 				looks++
@@ -83,14 +83,15 @@
 			}
 		}
 	})
-	t.Logf("%d looks: %d found the contact older than %v, the oldest %v; %d members taken for gone", looks, late, bound, oldest, unknown)
+	t.Logf("%d checks: %d found the contact older than %v, the oldest %v; %d members counted as silent", looks, late, bound, oldest, unknown)
 	if late > looks/100 || unknown > looks/100 {
 		t.Fail()
 	}
 }
 
-// startingFleet is a large fleet whose VMs start, and take the platform's whole state from each other, 200 KB that cost the
-// giver a millisecond or more: five zones of 60 VMs, two strong ones in each, three seeds among those.
+// startingFleet is a large fleet whose VMs start and get the platform's full state from each other: 200 KB, which
+// cost the sender a millisecond or more. It has five zones of 60 VMs, two larger ones in each. Three of these are
+// seeds.
 type startingFleet struct {
 	n      *network
 	vms    []*Manager
@@ -113,7 +114,7 @@
 	return s
 }
 
-// countComplete returns how many of the VMs have the state up to the revision.
+// countComplete returns the number of VMs that have the state up to the revision.
 func (s *startingFleet) countComplete(revision uint64) int {
 	n := 0
 	for _, c := range s.copies {
@@ -125,17 +126,17 @@
 }
 
 const (
-	// copyCPUTime is what giving the state of 700 leaves takes of a processor (BenchmarkWholeState).
+	// copyCPUTime is the CPU time that sending the state of 700 leaves takes (BenchmarkWholeState).
 	copyCPUTime = 1300 * time.Microsecond
-	// maxSendTime is how long a VM may be busy with giving it: half of the time after which others that wait for a
-	// word take it for lost.
+	// maxSendTime is how long a VM may be busy sending the state: half of the time after which others that wait for
+	// an answer count it as lost.
 	maxSendTime = 50 * time.Millisecond
-	// maxCopiesAcrossZones is how many copies may cross zones, ten for each zone but the first.
+	// maxCopiesAcrossZones bounds the copies that cross zones: ten for each zone but the first.
 	maxCopiesAcrossZones = 4 * 10
 )
 
-// check runs the VMs for three seconds. Those that lack the state must get it within the bound, with few copies across
-// zones, and no VM may be busy for long with giving it.
+// check runs the VMs for three seconds. Those that lack the state must get it within the bound, with few copies
+// across zones, and no VM may be busy sending it for long.
 func (s *startingFleet) check(t *testing.T, ctx context.Context, wg *sync.WaitGroup, from []*Manager, read func(), bound time.Duration) {
 	t.Helper()
 	s.n.mu.Lock()
@@ -170,12 +171,12 @@
 	t.Logf("%d copies crossed zones; %s was busiest, %v with %d to its own and %d to other zones",
 		s.n.itemsAcrossZones, busiest, longest, s.n.sentWithinZone[busiest], s.n.sentAcrossZones[busiest])
 	if s.n.itemsAcrossZones > maxCopiesAcrossZones || longest > maxSendTime {
-		t.Errorf("more than %d copies, or %v of one VM", maxCopiesAcrossZones, maxSendTime)
+		t.Errorf("more than %d copies across zones, or more than %v of sending by one VM", maxCopiesAcrossZones, maxSendTime)
 	}
 }
 
-// After a loss of power the first VM to read the store tells a few of each zone, and these the others of theirs:
-// no seed, on which searches wait as well, has to give the state to a third of the fleet.
+// After a power loss the first VM that reads the store sends the state to a few VMs of each zone, and these to the
+// others of their zone. No seed, on which searches wait as well, has to send the state to a third of the fleet.
 func TestStartAfterPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -188,7 +189,7 @@
 	})
 }
 
-// Where a fleet doubles, the new VMs get the state from those of their own zone, and no VM has to give it to many.
+// When a fleet doubles, the new VMs get the state from VMs of their own zone, and no VM has to send it to many.
 func TestFleetDoubles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -214,15 +215,15 @@
 	})
 }
 
-// large is an item that is announced first.
+// large returns a delta with an item that is large enough to be announced first.
 func large(revision uint64) mirror.Delta {
 	d := item(revision)
 	d.Items[0].Value = make([]byte, 50<<10)
 	return d
 }
 
-// A zone that was cut off gets what has changed meanwhile once, and passes it on: a few copies cross zones, and none
-// goes to a VM that has it.
+// A zone that was cut off gets the missed changes once and relays them: only a few copies cross zones, and no copy
+// goes to a VM that has the changes.
 func TestReconnectedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -247,7 +248,7 @@
 		is.Equal(s.countComplete(9), len(s.vms))
 		s.n.mu.Lock()
 		t.Logf("%d copies, %d across zones", s.n.itemsSent-before, s.n.itemsAcrossZones-crossed)
-		is.True(s.n.itemsSent-before <= 2*60) // twice to each VM of the zone
+		is.True(s.n.itemsSent-before <= 2*60) // two to each VM of the zone
 		is.True(s.n.itemsAcrossZones-crossed <= maxCopiesAcrossZones)
 		s.n.mu.Unlock()
 		cancel()
--- a/internal/peers/log_test.go
+++ b/internal/peers/log_test.go
@@ -13,8 +13,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// Word of many VMs at once is one line, as is that many of them fell silent: 300 VMs that start together wrote 300
-// lines each within a second.
+// Log lines about peers that become live or silent at the same time are combined into one: 300 VMs that start
+// together wrote 300 lines each within a second.
 func TestOneLogLineForManyPeers(t *testing.T) {
 	is := is.New(t)
 	core, lines := observer.New(zapcore.InfoLevel)
@@ -27,7 +27,7 @@
 	}
 	now := time.Now()
 	m.mergeMessage(msg, now)
-	m.mergeMessage(msg, now) // no news
+	m.mergeMessage(msg, now) // nothing new
 	found := lines.TakeAll()
 	is.Equal(len(found), 1)
 	is.Equal(found[0].Message, "peers live")
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -11,20 +11,20 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// member is what is known of another VM.
+// member is the state of another VM.
 type member struct {
 	record *pb.FleetMember
-	// heartbeatAt is when its heartbeat was last seen to rise.
+	// heartbeatAt is when its heartbeat last rose.
 	heartbeatAt time.Time
-	// contactAt is when it last had an answer of the store, by this VM's clock; zero for never.
+	// contactAt is when the store last answered it, by this VM's clock; zero for never.
 	contactAt time.Time
-	// progress is what it last said of itself in this incarnation.
+	// progress is what the peer last reported about itself in this incarnation.
 	progress progress
 	client   Client
 	live     bool
 }
 
-// roundInterval is the time between two exchanges that this VM begins.
+// roundInterval returns the time between two exchanges that this VM begins.
 func (m *Manager) roundInterval() time.Duration {
 	if m.LiveCount() > largeFleetSize {
 		return largeFleetExchangeInterval
@@ -32,7 +32,8 @@
 	return exchangeInterval
 }
 
-// advanceHeartbeat raises the own heartbeat and lets time pass over the others.
+// advanceHeartbeat raises this VM's heartbeat, marks members as silent whose heartbeat has not risen for
+// silentAfter, and drops expired members and crashes.
 func (m *Manager) advanceHeartbeat(now time.Time, silentAfter time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -44,7 +45,7 @@
 		if e.record.GetZone() != m.cfg.Zone && len(m.members) >= largeFleetSize {
 			limit *= remoteSilenceFactor
 		}
-		// Only word of a VM, which merge takes, brings it back to life.
+		// Only a newer record, merged by mergeRecord, makes a silent VM live again.
 		if e.live && now.Sub(e.heartbeatAt) >= limit {
 			e.live = false
 			silent = append(silent, address)
@@ -67,36 +68,36 @@
 	}
 }
 
-// Leave tells the peers, with what is sent from now on, that this VM is about to end.
+// Leave announces to the peers, in all messages from now on, that this VM is about to end.
 func (m *Manager) Leave() {
 	m.mu.Lock()
 	m.self.Leaving = true
-	m.self.Heartbeat++ // so that the word counts as newer
+	m.self.Heartbeat++ // so that the record counts as newer
 	m.mu.Unlock()
 	m.localEvents.Fire()
 }
 
-// RecordStoreContact notes that the store has answered this VM.
+// RecordStoreContact records that the store has answered this VM.
 func (m *Manager) RecordStoreContact(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.contactAt = now
-	m.self.Heartbeat++ // so that the word counts as newer
+	m.self.Heartbeat++ // so that the record counts as newer
 }
 
-// LiveCount returns how many other VMs show signs of life.
+// LiveCount returns the number of other VMs that are live and not about to end.
 func (m *Manager) LiveCount() int { return len(m.VMs()) }
 
-// VM is a VM of the fleet as the others know it.
+// VM describes a VM of the fleet as the others know it.
 type VM struct {
 	Address, Zone string
-	// Millicores of its processor; 0 where not known.
+	// Millicores of its CPU; 0 if unknown.
 	Millicores int
 }
 
 func vmOf(r *pb.FleetMember) VM { return VM{r.GetAddress(), r.GetZone(), int(r.GetMillicores())} }
 
-// VMs returns the other VMs that show signs of life and aren't about to end.
+// VMs returns the other VMs that are live and not about to end.
 func (m *Manager) VMs() []VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,8 +110,8 @@
 	return out
 }
 
-// ZoneStatus returns the live members of the own zone, this VM included, and the age of the newest contact of
-// any of them with the store; Never where there was none.
+// ZoneStatus returns the live members of the own zone, including this VM, and the age of their newest contact with
+// the store. The age is Never if there was none.
 func (m *Manager) ZoneStatus(now time.Time) (members []string, contact time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,7 +132,7 @@
 	return members, now.Sub(newest)
 }
 
-// Zones returns the availability zones that have a live VM, the own one included.
+// Zones returns the availability zones that have a live VM, including the own one.
 func (m *Manager) Zones() []string {
 	zones := []string{m.cfg.Zone}
 	for _, vm := range m.VMs() {
@@ -145,7 +146,7 @@
 // Never is an age longer than any process runs.
 const Never = 1 << 62
 
-// needsPush tells whether the peer may lack something.
+// needsPush reports whether the peer may lack something that this VM has.
 func (m *Manager) needsPush(address string) bool {
 	to := m.cfg.Mirror.CompleteTo()
 	m.mu.Lock()
@@ -154,7 +155,7 @@
 	return e == nil || e.progress.completeTo < to || len(m.crashTimes) > 0 || m.self.GetLeaving()
 }
 
-// selfRecord requires mu.
+// selfRecord returns this VM's own record. The caller must hold mu.
 func (m *Manager) selfRecord(now time.Time) *pb.FleetMember {
 	return &pb.FleetMember{
 		Address: m.self.Address, Zone: m.self.Zone, Incarnation: m.self.Incarnation,
@@ -169,8 +170,8 @@
 	return now.Sub(at).Milliseconds()
 }
 
-// sampleMembers returns the members that an exchange names: all in a small fleet, else those of whom word matters
-// most, in the zone, and a random choice of the others. Requires mu.
+// sampleMembers returns the members for an exchange: all in a small fleet, otherwise those of the zone that matter
+// most and a random choice of the others. The caller must hold mu.
 func (m *Manager) sampleMembers(now time.Time, zone string) []*pb.FleetMember {
 	live := make([]*member, 0, len(m.members))
 	for _, e := range m.members {
@@ -194,8 +195,8 @@
 	return out
 }
 
-// prioritizeZone moves to the front the member of the zone with the newest contact, whose word keeps others from
-// reading the store, and after it some of the zone.
+// prioritizeZone moves to the front the member of the zone with the newest contact, since its record keeps others
+// from reading the store, and then some other members of the zone.
 func prioritizeZone(live []*member, zone string) {
 	inZone := func(e *member) bool { return e.record.GetZone() == zone }
 	var newest *member
@@ -208,7 +209,7 @@
 	toFront(rest, ownZoneMemberSlots, inZone)
 }
 
-// toFront moves up to most of the wanted members to the front and returns the others.
+// toFront moves up to limit matching members to the front and returns the others.
 func toFront(list []*member, limit int, match func(e *member) bool) []*member {
 	n := 0
 	for i, e := range list {
@@ -220,8 +221,8 @@
 	return list[n:]
 }
 
-// mergeRecord takes a record of a member; the higher incarnation and heartbeat wins. It tells whether that brings a VM to
-// life that was silent or not known. Requires mu.
+// mergeRecord merges a record of a member. The higher incarnation wins, then the higher heartbeat. It reports
+// whether the VM was silent or unknown and is live now. The caller must hold mu.
 func (m *Manager) mergeRecord(r *pb.FleetMember, now time.Time) bool {
 	if r.GetAddress() == "" || r.GetAddress() == m.cfg.Self {
 		return false
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers lets the VMs of the system find each other and share what any of them has read from
-// the platform's store, so that a VM that the store refuses learns from those that it serves. Each VM
-// exchanges with random others several times a second, and at once with many where it has news.
+// Package peers lets the VMs of the system find each other and share, by gossip, what any of them has read from the
+// platform's store. So a VM that the store refuses learns from those that the store serves. Each VM exchanges with
+// random others several times a second, and with many at once when it has updates.
 package peers
 
 import (
@@ -20,54 +20,55 @@
 )
 
 const (
-	// exchangeInterval is how often a random peer is asked, longPeriod in a fleet above smallFleet: an exchange
-	// names all members, so that its bytes grow with the fleet.
+	// exchangeInterval is the interval of exchanges with a random peer, largeFleetExchangeInterval that in a fleet
+	// above largeFleetSize: an exchange names all members, so that its size grows with the fleet.
 	exchangeInterval           = 250 * time.Millisecond
 	largeFleetExchangeInterval = 500 * time.Millisecond
-	// exchangeTimeout bounds an exchange: a few round trips between zones, and a VM that stood still.
+	// exchangeTimeout bounds an exchange. It allows for a few round trips between zones and a VM that paused.
 	exchangeTimeout = 800 * time.Millisecond
-	// silenceRounds is the age of the newest sign of life, in rounds, from which a peer counts as gone: a
-	// heartbeat comes around a fleet of 60 in about 6 rounds.
+	// silenceRounds is the age of the last heartbeat, in rounds, from which a peer counts as silent. A heartbeat
+	// reaches a whole fleet of 60 in about 6 rounds.
 	silenceRounds = 12
-	// forgetAfter is how long a silent peer is still tried.
+	// forgetAfter is how long after its last heartbeat a silent peer is still tried.
 	forgetAfter = time.Minute
-	// maxMembersPerExchange bounds the members that an exchange names, some 45 bytes each. In a fleet above it those of the own zone
-	// have sampleNear places: by chance alone each is heard of so seldom among 300 VMs that one of them is taken for
-	// silent at any time. With more places the same happens to those of other zones.
+	// maxMembersPerExchange bounds the members that an exchange names, some 45 bytes each. In a larger fleet
+	// ownZoneMemberSlots of them are for the own zone. With a purely random choice each of them is named so seldom
+	// among 300 VMs that at any time one of them is taken for silent. With more slots the same happens to members
+	// of other zones.
 	maxMembersPerExchange = 80
 	ownZoneMemberSlots    = 28
-	// announceMinBytes is the size of news in bytes from which it is only announced: a peer that lacks it asks
-	// for it, so that a large configuration goes to each VM about once instead of three times.
+	// announceMinBytes is the size of an update from which it is only announced. A peer that lacks it requests it,
+	// so that a large configuration goes to each VM about once instead of three times.
 	announceMinBytes = 1 << 10
-	// maxQueuedPulls bounds the announcements that wait to be asked for.
+	// maxQueuedPulls bounds the announced updates that wait to be requested.
 	maxQueuedPulls = 8
-	// crashRetention is how long a crash is told.
+	// crashRetention is how long a crash is reported.
 	crashRetention = 2 * time.Minute
 )
 
 // Dial returns the client of the peer at the address.
 type Dial func(address string) Client
 
-// Client is what peers need of another VM.
+// Client makes calls to another VM.
 type Client interface {
 	Exchange(ctx context.Context, req *pb.FleetExchange) (*pb.FleetExchange, error)
 }
 
-// Evidence is what VMs tell each other of leaves in trouble.
+// Evidence holds what VMs report to each other about leaves in trouble.
 type Evidence interface {
 	Troubles(now time.Time) []replica.Trouble
 	Told(vm string, list []replica.Trouble, now time.Time)
 }
 
-// Config is what the duty works on.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
 	// Self is the address (HOST:PORT) of this VM, Zone its availability zone.
 	Self, Zone string
-	// Millicores of this VM's processor; 0 where not known.
+	// Millicores of this VM's CPU; 0 if unknown.
 	Millicores int
-	// Incarnation of this process, rising with each start.
+	// Incarnation of this process. It rises with each start.
 	Incarnation uint64
-	// Seeds returns addresses of VMs to ask first; they may be stale.
+	// Seeds returns the addresses of the VMs to contact first. They may be out of date.
 	Seeds    func() []string
 	Mirror   *mirror.Mirror
 	Evidence Evidence
@@ -77,21 +78,21 @@
 	Registry prometheus.Registerer
 }
 
-// Manager owns membership and exchanges. It is safe for concurrent use.
+// Manager maintains the membership and runs the exchanges. It is safe for concurrent use.
 type Manager struct {
 	cfg         Config
 	metrics     *metrics
 	localEvents *notify.Notifier
-	// pulls holds peers that have news.
+	// pulls queues requests for updates that peers have announced.
 	pulls chan pull
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu.
 	members    map[string]*member
 	self       pb.FleetMember
 	contactAt  time.Time
 	crashTimes map[crashKey]time.Time
-	// fullStateSentAt is when a VM of the zone last got the whole state from this one.
+	// fullStateSentAt is when a VM of the zone last got the full state from this one.
 	fullStateSentAt map[string]time.Time
 }
 
@@ -117,7 +118,7 @@
 	}
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges with peers until ctx ends. It returns nil.
 func (m *Manager) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.runRounds(ctx) })
@@ -141,7 +142,7 @@
 	}
 }
 
-// runPushes tells others at once when the mirror changed or a crash was seen.
+// runPushes sends updates to peers at once when the mirror changes, a crash is reported or this VM is about to end.
 func (m *Manager) runPushes(ctx context.Context) {
 	for {
 		changed, localEvent := m.cfg.Changed.Changed(), m.localEvents.Changed()
@@ -162,10 +163,10 @@
 	}
 }
 
-// minPushInterval is the least time between two rounds of news, so that a series of changes travels together.
+// minPushInterval is the minimum time between two pushes, so that a series of changes is sent together.
 const minPushInterval = 20 * time.Millisecond
 
-// Dump shows the members.
+// Dump returns the known members.
 func (m *Manager) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -22,17 +22,18 @@
 	"github.com/burdockplank/burdockplank/internal/replica"
 )
 
-// network connects managers in memory; cut addresses don't answer.
+// network connects managers in memory. Addresses that are cut don't answer.
 type network struct {
 	mu   sync.Mutex
 	vms  map[string]*Manager
 	cut  map[string]bool
 	sent map[string]int
-	// itemsSent counts the items in answers, and those sent in requests.
+	// itemsSent counts the items in requests and answers.
 	itemsSent int
-	// exchangesAcrossZones counts exchanges between zones, copiesCrossed the items that they carried.
+	// exchangesAcrossZones counts the exchanges between zones, itemsAcrossZones the items in them.
 	exchangesAcrossZones, itemsAcrossZones int
-	// sentWithinZone and far count the items that each VM sent to others of its zone, and of other zones.
+	// sentWithinZone and sentAcrossZones count the items that each VM sent to VMs of its own zone and of other
+	// zones.
 	sentWithinZone, sentAcrossZones map[string]int
 	// delay of each exchange.
 	delay time.Duration
@@ -99,7 +100,7 @@
 	return m, mi
 }
 
-// within waits until ok holds.
+// within waits until ok holds, and fails the test if that takes longer than d.
 func within(t *testing.T, d time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(d); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -112,7 +113,7 @@
 // waitForFullMembership waits until each of the VMs knows all others.
 func waitForFullMembership(t *testing.T, d time.Duration, vms []*Manager) {
 	t.Helper()
-	within(t, d, "all know all", func() bool {
+	within(t, d, "each VM knows all others", func() bool {
 		return !slices.ContainsFunc(vms, func(m *Manager) bool { return m.LiveCount() < len(vms)-1 })
 	})
 }
@@ -124,8 +125,8 @@
 	}
 }
 
-// A change that one VM read is known to all of a fleet in far less than the second that it may take,
-// though each knows only one seed at its start.
+// A change that one VM reads reaches the whole fleet in far less than the second that it may take, though each VM
+// knows only one seed at its start.
 func TestUpdatesReachAllVMs(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	n := newNetwork()
@@ -154,8 +155,8 @@
 	t.Logf("after %v", time.Since(begun))
 }
 
-// runLargeFleet runs 48 VMs in 4 zones, two of each of which are strong, until the test ends, and waits until all
-// know all.
+// runLargeFleet runs 48 VMs in 4 zones, two larger ones in each, until the test ends. It returns once each VM knows
+// all others.
 func runLargeFleet(t *testing.T, n *network) (vms []*Manager, copies []*mirror.Mirror) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -177,7 +178,7 @@
 	return vms, copies
 }
 
-// In a large fleet few exchanges cross zones, where bytes are dear, and news reaches all nevertheless.
+// In a large fleet few exchanges cross zones, where traffic is expensive, and updates still reach all VMs.
 func TestFewExchangesCrossZones(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
@@ -204,13 +205,13 @@
 	}
 	rate := float64(crossed()-before) / span
 	t.Logf("%.1f exchanges a second cross zones", rate)
-	is.True(rate < 45) // 102 where all VMs talk to those of other zones, most with lists of all members
+	is.True(rate < 45) // 102 if all VMs exchange with other zones, most with lists of all members
 	for _, m := range vms {
-		is.Equal(m.LiveCount(), len(vms)-1) // nobody was taken for gone
+		is.Equal(m.LiveCount(), len(vms)-1) // no VM was counted as silent
 	}
 }
 
-// Where the strong VMs of a zone are lost, the others bring its news to the fleet.
+// If the larger VMs of a zone are lost, the others bring its updates to the fleet.
 func TestUpdatesReachAllWithoutGateways(t *testing.T) {
 	n := newNetwork()
 	_, copies := runLargeFleet(t, n)
@@ -239,16 +240,16 @@
 	b, copyB := n.vm("b", "z", 1, "a", "b")
 	wg.Go(func() { _ = a.Run(ctx) })
 	wg.Go(func() { _ = b.Run(ctx) })
-	within(t, time.Second, "they know each other", func() bool { return a.LiveCount() == 1 && b.LiveCount() == 1 })
+	within(t, time.Second, "a and b know each other", func() bool { return a.LiveCount() == 1 && b.LiveCount() == 1 })
 	n.setCut("b", true)
-	within(t, 2*silenceRounds*exchangeInterval, "a takes b for gone", func() bool { return a.LiveCount() == 0 })
+	within(t, 2*silenceRounds*exchangeInterval, "a counts b as silent", func() bool { return a.LiveCount() == 0 })
 	copyA.Merge(item(9), time.Now())
 	is.Equal(copyB.CompleteTo(), uint64(0))
 	n.setCut("b", false)
 	within(t, 3*time.Second, "b catches up", func() bool { return copyB.CompleteTo() == 9 })
 }
 
-// A VM that starts anew at the address of one that knew much must not pass for complete.
+// A VM that starts at the address of one that had the state must not count as complete.
 func TestNewIncarnationGetsFullState(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
@@ -267,7 +268,7 @@
 	is.Equal(len(copyNew.All()), 2)
 }
 
-// What a peer has is not sent to it, also at the first exchange.
+// A peer gets nothing that it already has, even in the first exchange.
 func TestOnlyDifferencesAreSent(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
@@ -281,8 +282,8 @@
 	is.Equal(n.sent["b"], 0)
 }
 
-// What a peer said of itself a while ago, as before a cut or in a fleet in which two VMs seldom meet, is no reason to
-// send it all that changed since: it may have that from others.
+// Old progress of a peer, as after a partition or in a fleet in which two VMs seldom exchange, is no reason to send
+// it everything that has changed since: it may have that from others.
 func TestStaleProgressIsRefreshed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -299,17 +300,17 @@
 		a.exchange(t.Context(), "b", false)
 		is.Equal(n.itemsSent, before)
 		copyA.Merge(large(12), time.Now())
-		a.exchange(t.Context(), "b", false) // the word is fresh now
+		a.exchange(t.Context(), "b", false) // the progress is recent now
 		is.Equal(copyB.CompleteTo(), uint64(12))
 		is.Equal(n.sent["b"], 2)
 		time.Sleep(progressMaxAge)
 		copyA.Merge(large(15), time.Now())
-		a.exchange(t.Context(), "b", false) // it is asked, and then told
+		a.exchange(t.Context(), "b", false) // it is asked first and then gets the items
 		is.Equal(copyB.CompleteTo(), uint64(15))
 	})
 }
 
-// A large change is announced, and each VM asks one peer for it: it travels to each about once.
+// A large change is announced, and each VM requests it from one peer, so that about one copy goes to each VM.
 func TestLargeUpdateIsSentOnce(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
@@ -326,7 +327,7 @@
 		wg.Go(func() { _ = m.Run(ctx) })
 	}
 	waitForFullMembership(t, 10*time.Second, all)
-	time.Sleep(2 * exchangeInterval) // each has said to others what it has
+	time.Sleep(2 * exchangeInterval) // each has reported its progress to others
 	d := item(5)
 	d.Items[0].Value = make([]byte, 50<<10)
 	copies[3].Merge(d, time.Now())
@@ -340,8 +341,8 @@
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	t.Logf("%d copies moved", n.itemsSent)
-	is.True(n.itemsSent < 3*vms/2) // 37 where all is sent at once
+	t.Logf("%d copies sent", n.itemsSent)
+	is.True(n.itemsSent < 3*vms/2) // 37 if all is sent at once
 }
 
 func TestZoneStoreContact(t *testing.T) {
@@ -357,7 +358,7 @@
 	c.exchange(t.Context(), "a", false)
 	members, contact := a.ZoneStatus(now)
 	is.Equal(members, []string{"a"})
-	is.True(contact > time.Hour) // another zone's contact is of no use when the zones are cut apart
+	is.True(contact > time.Hour) // another zone's contact is of no use when the zones are partitioned
 	b.RecordStoreContact(now.Add(-time.Second))
 	b.exchange(t.Context(), "a", false)
 	members, contact = a.ZoneStatus(now)
@@ -385,7 +386,7 @@
 	is.Equal(b.Crashes(8, now.Add(-time.Minute)), 0)
 }
 
-// Crashes and troubles are of one start of a leaf: one that starts again under its id is another leaf.
+// Crashes and troubles belong to one start of a leaf: one that restarts under its id is another leaf.
 func TestRestartedLeafIsDistinct(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
