--- a/internal/storeread/storeread_test.go
+++ b/internal/storeread/storeread_test.go
@@ -44,14 +44,14 @@
 }
 
 type fakeFleet struct {
-	members []string
-	contact time.Duration
-	noted   int
-	zones   []string
+	members          []string
+	contact          time.Duration
+	contactsRecorded int
+	zones            []string
 }
 
 func (f *fakeFleet) ZoneStatus(time.Time) ([]string, time.Duration) { return f.members, f.contact }
-func (f *fakeFleet) RecordStoreContact(time.Time)                   { f.noted++; f.contact = 0 }
+func (f *fakeFleet) RecordStoreContact(time.Time)                   { f.contactsRecorded++; f.contact = 0 }
 func (f *fakeFleet) LiveCount() int                                 { return len(f.members) - 1 }
 func (f *fakeFleet) Zones() []string                                { return f.zones }
 
@@ -62,7 +62,7 @@
 	return New(s, m, f, self, "z", false, bound, zap.NewNop(), prometheus.NewRegistry()), m
 }
 
-func TestReadsStaleFirstThenWatches(t *testing.T) {
+func TestStaleSnapshotThenWatch(t *testing.T) {
 	is := is.New(t)
 	store := &fakeStore{next: func(call string, after uint64) (mirror.Delta, error) {
 		if call == "watch" {
@@ -76,7 +76,7 @@
 	is.Equal(r.readOnce(t.Context()), bound/12)
 	is.Equal(store.calls, []string{"stale", "watch"})
 	is.Equal(m.CompleteTo(), uint64(6))
-	is.Equal(fleet.noted, 2)
+	is.Equal(fleet.contactsRecorded, 2)
 }
 
 // Somebody else's items change often, too: they cost no more calls than changes that matter.
@@ -94,9 +94,9 @@
 
 // In a series of changes one zone reads them soon, and the others now and then: they hear of them from it.
 // However they read, the time between two answers leaves the zone's contact young enough that nobody takes over.
-func TestOneZoneReadsAllChanges(t *testing.T) {
+func TestOneZoneReadsChangesWithShortPause(t *testing.T) {
 	is := is.New(t)
-	soon := 0
+	shortPauses := 0
 	zones := []string{"a", "b", "c", "d"}
 	for _, zone := range zones {
 		store := &fakeStore{next: func(_ string, after uint64) (mirror.Delta, error) {
@@ -109,24 +109,24 @@
 			pause = r.readOnce(t.Context())
 		}
 		if pause == bound/12 {
-			soon++
+			shortPauses++
 		} else {
 			is.Equal(pause, 3*bound/10)
 		}
-		is.True(pause+store.waits[len(store.waits)-1] < r.takeover-bound/7)
+		is.True(pause+store.waits[len(store.waits)-1] < r.takeoverAge-bound/7)
 	}
-	is.Equal(soon, 1)
+	is.Equal(shortPauses, 1)
 }
 
 // A zone that hears of no other one reads all changes soon.
-func TestLoneZoneReadsAllChanges(t *testing.T) {
+func TestSingleZoneReadsChangesWithShortPause(t *testing.T) {
 	is := is.New(t)
 	r, _ := newReader(&fakeStore{}, &fakeFleet{members: []string{"one"}, zones: []string{"z"}}, "one")
-	is.Equal(r.afterChange(), bound/12)
+	is.Equal(r.pauseAfterChange(), bound/12)
 }
 
 // A reader that finds the history gone reads all anew, and not from an answer that may be as old.
-func TestForgottenHistory(t *testing.T) {
+func TestHistoryGone(t *testing.T) {
 	is := is.New(t)
 	store := &fakeStore{next: func(call string, _ uint64) (mirror.Delta, error) {
 		switch call {
@@ -152,7 +152,7 @@
 	for range 10 {
 		pause := r.readOnce(t.Context())
 		is.True(pause > 0)
-		is.True(pause <= retryMost)
+		is.True(pause <= maxRetryDelay)
 	}
 	is.True(!r.reachable)
 }
@@ -175,40 +175,40 @@
 	fail = false
 	r.readOnce(t.Context())
 	r.readOnce(t.Context())
-	is.Equal(store.waits, []time.Duration{r.wait, r.wait, firstWait, r.wait})
+	is.Equal(store.waits, []time.Duration{r.pollWait, r.pollWait, firstPollWait, r.pollWait})
 }
 
 // After a loss of all VMs nobody has word: the seeds read first, then those that nobody answers; whoever has word
 // leaves the store alone until the fleet is known.
 func TestPatienceAfterTheStart(t *testing.T) {
 	for name, tt := range map[string]struct {
-		word, seed bool
-		live       int
-		want       time.Duration
-		spread     time.Duration
+		hasState, seed bool
+		live           int
+		want           time.Duration
+		spread         time.Duration
 	}{
-		"a seed":               {seed: true, live: 5, want: settleSeed},
-		"a seed with word":     {seed: true, word: true, live: 5, want: settle},
-		"alone":                {want: settleAlone, spread: aloneSpread},
-		"others without word":  {live: 5, want: settleTold, spread: toldSpread},
-		"others with word":     {live: 5, word: true, want: settle},
-		"a lone one with word": {word: true, want: settle},
+		"a seed":               {seed: true, live: 5, want: seedStartupDelay},
+		"a seed with word":     {seed: true, hasState: true, live: 5, want: withStateStartupDelay},
+		"alone":                {want: aloneStartupDelay, spread: aloneStartupJitter},
+		"others without word":  {live: 5, want: withoutStateStartupDelay, spread: withoutStateStartupJitter},
+		"others with word":     {live: 5, hasState: true, want: withStateStartupDelay},
+		"a lone one with word": {hasState: true, want: withStateStartupDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r, m := newReader(&fakeStore{}, &fakeFleet{members: make([]string, tt.live+1)}, "one")
 			r.seed = tt.seed
-			if tt.word {
+			if tt.hasState {
 				m.Merge(mirror.Delta{CompleteTo: 7, Full: true}, time.Now())
 			}
-			is.Equal(r.patience(0), tt.want)
-			is.Equal(r.patience(1), tt.want+tt.spread)
+			is.Equal(r.startupDelay(0), tt.want)
+			is.Equal(r.startupDelay(1), tt.want+tt.spread)
 		})
 	}
 }
 
 // One VM of a zone reads; the next one does so only while nobody of the zone has an answer.
-func TestWhoReads(t *testing.T) {
+func TestReaderSelection(t *testing.T) {
 	now := time.Now()
 	for name, tt := range map[string]struct {
 		rank     int
@@ -229,16 +229,16 @@
 			is := is.New(t)
 			r, _ := newReader(&fakeStore{}, &fakeFleet{}, "one")
 			if tt.tookOver > 0 {
-				r.tookOver = now.Add(-tt.tookOver)
+				r.takeoverAt = now.Add(-tt.tookOver)
 			}
-			is.Equal(r.isActive(tt.rank, tt.contact, r.takeover, now), tt.want)
+			is.Equal(r.shouldRead(tt.rank, tt.contact, r.takeoverAge, now), tt.want)
 		})
 	}
 }
 
 // After a loss of power a zone may get all that the store holds from others, before anybody of it has read. Its first by
 // rank reads then, and says so soon; the others wait for that as for any other contact, in place of all at once.
-func TestZoneThatHasItsStateFromOthers(t *testing.T) {
+func TestZoneWithStateFromOtherZones(t *testing.T) {
 	is := is.New(t)
 	members := []string{"one", "two", "three", "four", "five"}
 	now := time.Now()
@@ -246,25 +246,25 @@
 		store := &fakeStore{next: func(string, uint64) (mirror.Delta, error) { return mirror.Delta{CompleteFrom: 7, CompleteTo: 7}, nil }}
 		r, m := newReader(store, &fakeFleet{members: members, contact: 1 << 62, zones: []string{"z"}}, self)
 		m.Merge(mirror.Delta{CompleteTo: 7, Full: true}, now)
-		r.settled = now
+		r.startupEnd = now
 		first := readers.Rank("z", members, self) == 0
 		is.Equal(r.active(now), first)
-		is.Equal(r.active(now.Add(r.takeover)), first)
-		is.True(r.active(now.Add(r.takeover + 4*turn))) // the first one can't read
+		is.Equal(r.active(now.Add(r.takeoverAge)), first)
+		is.True(r.active(now.Add(r.takeoverAge + 4*takeoverStagger))) // the first one can't read
 		r.readOnce(t.Context())
 		r.readOnce(t.Context())
-		is.Equal(store.waits, []time.Duration{firstWait, r.wait})
+		is.Equal(store.waits, []time.Duration{firstPollWait, r.pollWait})
 	}
 }
 
 // The whole of a poll on a silent connection, word of it to the zone, and the next one's first answer
 // have to fit into the bound.
-func TestTakeoverFitsTheBound(t *testing.T) {
+func TestTakeoverFitsConfigBound(t *testing.T) {
 	is := is.New(t)
 	r, _ := newReader(&fakeStore{}, &fakeFleet{}, "one")
-	is.True(r.wait < r.takeover)
-	is.True(r.takeover+turn < bound)
-	is.True(r.largeTakeover < bound)
-	is.Equal(r.takeoverOf(make([]string, largeZone-1)), r.takeover)
-	is.Equal(r.takeoverOf(make([]string, largeZone)), r.largeTakeover)
+	is.True(r.pollWait < r.takeoverAge)
+	is.True(r.takeoverAge+takeoverStagger < bound)
+	is.True(r.largeZoneTakeoverAge < bound)
+	is.Equal(r.takeoverAgeFor(make([]string, largeZoneSize-1)), r.takeoverAge)
+	is.Equal(r.takeoverAgeFor(make([]string, largeZoneSize)), r.largeZoneTakeoverAge)
 }
