--- a/internal/storeread/storeread.go
+++ b/internal/storeread/storeread.go
@@ -1,6 +1,6 @@
-// Package storeread reads the platform's store into the mirror. Few VMs read at a time: the first of
-// each availability zone by rank, by long polls; the others learn from them, and take over by rank
-// where no VM of their zone has had an answer for a while.
+// Package storeread reads the platform's store into the mirror. Few VMs read at a time: the first of each
+// availability zone by rank reads by long polls, and the others learn from it. They take over, by rank, if no VM of
+// their zone has had an answer from the store for a while.
 package storeread
 
 import (
@@ -19,81 +19,82 @@
 )
 
 const (
-	// pollWaitFraction is how long a poll waits for a change, as a part of the time in which a change must be in
-	// force everywhere: a connection that went silent is noticed only after it.
+	// pollWaitFraction is how long a poll waits for a change, as a fraction of the bound within which a change must
+	// be in force everywhere. A connection that has gone silent is noticed only after this wait.
 	pollWaitFraction = 0.5
-	// answerTimeout bounds an answer beyond the wait of a poll; the store answers in 4 ms.
+	// answerTimeout bounds an answer beyond the wait of a poll. The store answers in 4 ms.
 	answerTimeout = 700 * time.Millisecond
-	// takeoverFraction is the age of the zone's newest contact, as a part of that time, from which the VM
-	// second in rank reads; the next ones follow turn by turn. It is above the wait and the time that
-	// word of a contact takes.
+	// takeoverFraction is the age of the zone's newest contact, as a fraction of the bound, from which the VM
+	// second by rank reads. Each further VM follows takeoverStagger later. The age is above the wait of a poll plus
+	// the time in which a contact becomes known.
 	takeoverFraction = 0.75
 	takeoverStagger  = 300 * time.Millisecond
-	// largeZoneSize is the number of VMs of a zone from which word of a contact takes more than a second to reach all of
-	// them, largeTakeoverPart the part of the bound in place of takeoverPart then: of 60 VMs that look ten times a
-	// second one always has word that is somewhat older, and would read beside the first.
+	// largeZoneSize is the number of VMs of a zone from which a contact takes more than a second to become known to
+	// all of them. largeZoneTakeoverFraction then replaces takeoverFraction: of 60 VMs that check ten times a
+	// second there is always one that knows only of a somewhat older contact, and would read beside the first.
 	largeZoneSize             = 20
 	largeZoneTakeoverFraction = 0.9
-	// firstPollWait is how long the first poll waits after the start or a failure: the others of the zone wait for word
-	// of a contact, and take over one after the other without it.
+	// firstPollWait is the wait of the first poll after the start or a failure. It is short because the others of
+	// the zone wait to learn of a contact, and take over one after the other without one.
 	firstPollWait = 100 * time.Millisecond
-	// takeoverDuration is how long a VM that took over goes on reading.
+	// takeoverDuration is how long a VM that took over continues to read.
 	takeoverDuration = 10 * time.Second
-	// batchPauseFraction is the pause after a change, as a part of the bound, so that a series of changes costs few
-	// calls: leaves that start one after the other, as in a roll, change the store ten times a second.
+	// batchPauseFraction is the pause after a change, as a fraction of the bound, so that a series of changes takes
+	// few calls. Leaves that start one after the other, as in a rolling restart, change the store ten times a
+	// second.
 	batchPauseFraction = 1. / 12
-	// secondaryPauseFraction is the pause after a change in the zones other than the first by rank, as a part of the bound.
-	// The first one's reader tells them of nearly every change; their own readers are there for the time in which
-	// it is lost or cut off from them.
+	// secondaryPauseFraction is the pause after a change in all zones but the first by rank, as a fraction of the
+	// bound. These zones get nearly every change from the first zone's reader. Their own readers are there in case
+	// that reader is lost or cut off.
 	secondaryPauseFraction = 0.3
-	// contactIntervalFraction bounds the time between two answers of a reader, as a part of the bound, so that the zone's
-	// contact stays younger than takeoverPart with the time that word of it takes.
+	// contactIntervalFraction bounds the time between two answers to a reader, as a fraction of the bound, so that
+	// the zone's contact stays younger than takeoverFraction, including the time in which it becomes known.
 	contactIntervalFraction = 7. / 12
-	// standbyInterval is how often a VM that doesn't read looks whether it should.
+	// standbyInterval is how often a VM that doesn't read checks whether it should.
 	standbyInterval = 100 * time.Millisecond
-	// maxRetryDelay is the longest wait after failures: once the store is back, a change is due in 3 s.
+	// maxRetryDelay is the longest delay after failures. Once the store is back, a change is due within 3 s.
 	maxRetryDelay = time.Second
-	// withStateStartupDelay is how long a new process that has word of the fleet doesn't read: who is first by rank shows only
-	// once most of a zone is known.
+	// withStateStartupDelay is how long a new process that has state from the fleet doesn't read: the first by rank
+	// is certain only once most of a zone is known.
 	withStateStartupDelay = 1500 * time.Millisecond
-	// Without any word it reads after one of these times, for callers get nothing until somebody has read. A
-	// seed, which the others ask, reads first; an exchange takes 3 ms. One that other VMs answer without word
-	// leaves it to the seeds; one that nobody answers is alone, or the first to start. After a loss of power callers
-	// are refused for as long.
+	// Without state from the fleet it reads after one of the following delays, because callers get nothing until
+	// some VM has read. A seed, which the others ask, reads first; an exchange takes 3 ms. A process that other VMs
+	// answer without state leaves reading to the seeds. One that no VM answers is alone, or the first to start.
+	// After a power loss callers are refused for as long.
 	seedStartupDelay         = 20 * time.Millisecond
 	aloneStartupDelay        = 40 * time.Millisecond
 	withoutStateStartupDelay = 200 * time.Millisecond
-	// aloneStartupJitter and toldSpread are the spans over which the VMs' turns to read lie: the first one's word reaches
-	// the others in a few ms. VMs of a fleet start within half a second of each other, some of them before any seed:
-	// over a shorter span nearly all of them read by themselves.
+	// aloneStartupJitter and withoutStateStartupJitter are the spans over which the delays of the VMs are spread.
+	// What the first one reads reaches the others in a few ms. VMs of a fleet start within half a second of each
+	// other, some of them before any seed: over a shorter span nearly all of them would read the store themselves.
 	aloneStartupJitter        = 360 * time.Millisecond
 	withoutStateStartupJitter = 800 * time.Millisecond
-	// startupCheckInterval is how often it looks for word.
+	// startupCheckInterval is how often a new process checks for state from the fleet.
 	startupCheckInterval = 5 * time.Millisecond
 )
 
-// ErrHistoryGone says that the store no longer holds the history from the revision on.
+// ErrHistoryGone means that the store no longer holds the history from the revision on.
 var ErrHistoryGone = errors.New("history is gone")
 
 // Store is the platform's store.
 type Store interface {
-	// Snapshot reads everything; where stale is set the answer may be seconds old and costs less.
+	// Snapshot reads everything. If stale is set, the answer may be seconds old and costs less.
 	Snapshot(ctx context.Context, stale bool) (mirror.Delta, error)
-	// Watch returns what changed after the revision, as soon as something did or the wait is over. An
-	// error wraps ErrHistoryGone where the history no longer reaches back so far.
+	// Watch returns what changed after the revision, as soon as something has changed or the wait is over. An error
+	// wraps ErrHistoryGone if the history no longer goes back to the revision.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (mirror.Delta, error)
 }
 
-// Fleet tells of the other VMs.
+// Fleet provides what is known of the other VMs.
 type Fleet interface {
 	ZoneStatus(now time.Time) (members []string, contact time.Duration)
-	// Zones returns the availability zones that have a live VM, the own one included.
+	// Zones returns the availability zones that have a live VM, including the own one.
 	Zones() []string
 	RecordStoreContact(now time.Time)
 	LiveCount() int
 }
 
-// Reader is the duty.
+// Reader decides whether this VM reads the store, and reads it.
 type Reader struct {
 	store  Store
 	mirror *mirror.Mirror
@@ -101,26 +102,26 @@
 	self   string
 	zone   string
 	seed   bool
-	// The times by the bound of this deployment.
+	// Durations derived from the bound of this deployment.
 	pollWait, takeoverAge, largeZoneTakeoverAge, batchPause, secondaryPause, contactInterval time.Duration
 	log                                                                                      *zap.Logger
 	reads                                                                                    *prometheus.CounterVec
 
-	// The rest belongs to the goroutine of Run.
+	// The fields below are used only by the goroutine of Run.
 	backoff    platform.Backoff
 	takeoverAt time.Time
 	reachable  bool
-	// startupEnd is when the wait for word at the start was over; answered is set once the store has answered since
-	// the start or its latest failure.
+	// startupEnd is when the initial delay was over. answered is set once the store has answered since the start or
+	// its latest failure.
 	startupEnd time.Time
 	answered   bool
-	// snapshotRead is set once a snapshot was read, fresh where the next one may not be stale.
+	// snapshotRead is set once a snapshot has been read, needFresh if the next one must not be stale.
 	snapshotRead, needFresh bool
-	// lastPause is how long it was waited before the call that is due.
+	// lastPause is the pause before the next call.
 	lastPause time.Duration
 }
 
-// New returns a reader for the VM self; seed tells whether the others ask it first.
+// New returns a reader for the VM self. seed is set if the other VMs ask this one first.
 func New(s Store, m *mirror.Mirror, f Fleet, self, zone string, seed bool, bound time.Duration, log *zap.Logger, reg prometheus.Registerer) *Reader {
 	reads := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "burdock_store_reads_total", Help: "Reads of the platform's store by kind and end.",
@@ -133,7 +134,7 @@
 
 func fraction(p float64, of time.Duration) time.Duration { return time.Duration(p * float64(of)) }
 
-// Run reads until ctx ends.
+// Run reads until ctx ends. It returns nil.
 func (r *Reader) Run(ctx context.Context) error {
 	r.awaitStartup(ctx)
 	r.startupEnd = time.Now()
@@ -148,7 +149,7 @@
 	}
 }
 
-// awaitStartup waits until there is reason to read: no word has come for long enough, or the fleet is known.
+// awaitStartup waits until startupDelay has passed: no state has come for long enough, or the fleet is known.
 func (r *Reader) awaitStartup(ctx context.Context) {
 	begun, jitter := time.Now(), rand.Float64()
 	for wait.For(ctx, startupCheckInterval) {
@@ -158,7 +159,8 @@
 	}
 }
 
-// startupDelay is how long after its start this process doesn't read, by what it knows by now and its turn, from 0 to 1.
+// startupDelay returns how long after its start this process doesn't read, by what it knows now and its jitter from
+// 0 to 1.
 func (r *Reader) startupDelay(jitter float64) time.Duration {
 	switch {
 	case r.mirror.CompleteTo() > 0:
@@ -171,15 +173,15 @@
 	return withoutStateStartupDelay + fraction(jitter, withoutStateStartupJitter)
 }
 
-// active tells whether this VM reads now.
+// active reports whether this VM reads now.
 func (r *Reader) active(now time.Time) bool {
 	members, contact := r.contactAge(now)
 	rank := readers.Rank(r.zone, members, r.self)
 	return r.shouldRead(rank, contact, r.takeoverAgeFor(members), now)
 }
 
-// contactAge returns the members of the zone and the age of its newest contact. Where the state came from other
-// zones it counts from the start at most, when the first by rank begins to read.
+// contactAge returns the members of the zone and the age of its newest contact. If the state came from other zones,
+// the age counts from the end of the startup delay at most, when the first by rank begins to read.
 func (r *Reader) contactAge(now time.Time) (members []string, age time.Duration) {
 	members, age = r.fleet.ZoneStatus(now)
 	if r.mirror.CompleteTo() > 0 {
@@ -203,7 +205,7 @@
 	return contact > takeover+time.Duration(rank-1)*takeoverStagger
 }
 
-// readOnce makes one call, or a snapshot's, and returns how long to wait before the next.
+// readOnce makes one call, or reads one snapshot, and returns the pause before the next call.
 func (r *Reader) readOnce(ctx context.Context) time.Duration {
 	pause := r.readAndMerge(ctx)
 	r.lastPause = pause
@@ -215,7 +217,7 @@
 	now := time.Now()
 	if errors.Is(err, ErrHistoryGone) {
 		r.reads.WithLabelValues(kind, "history_gone").Inc()
-		r.log.Warn("store's history is gone, reading all", zap.Uint64("complete_to", r.mirror.CompleteTo()))
+		r.log.Warn("store's history is gone; reading a snapshot", zap.Uint64("complete_to", r.mirror.CompleteTo()))
 		r.snapshotRead, r.needFresh = false, true
 		return 0
 	}
@@ -233,7 +235,7 @@
 	return 0
 }
 
-// pauseAfterChange is the pause after a change.
+// pauseAfterChange returns the pause after a change.
 func (r *Reader) pauseAfterChange() time.Duration {
 	if readers.Rank(zoneRankKey, r.fleet.Zones(), r.zone) == 0 {
 		return r.batchPause
@@ -241,11 +243,11 @@
 	return r.secondaryPause
 }
 
-// zoneRankKey is what the zones are ranked for.
+// zoneRankKey is the key by which the zones are ranked.
 const zoneRankKey = "store"
 
-// callStore makes the call that is due. A VM that knows all up to some revision from its peers goes on from
-// there by the difference.
+// callStore makes the next call. A VM that got the state up to some revision from its peers continues from there
+// with a delta.
 func (r *Reader) callStore(ctx context.Context) (string, mirror.Delta, error) {
 	after := r.mirror.CompleteTo()
 	if after == 0 || r.needFresh && !r.snapshotRead {
--- a/internal/storeread/storeread_test.go
+++ b/internal/storeread/storeread_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockplank/burdockplank/internal/readers"
 )
 
-// fakeStore answers from a queue; without one, watches end without a change.
+// fakeStore answers with what next returns, and records the calls.
 type fakeStore struct {
 	mu    sync.Mutex
 	calls []string
@@ -72,14 +72,14 @@
 	}}
 	fleet := &fakeFleet{members: []string{"one"}, contact: time.Hour, zones: []string{"z"}}
 	r, m := newReader(store, fleet, "one")
-	is.Equal(r.readOnce(t.Context()), bound/12) // a series of changes costs few calls
+	is.Equal(r.readOnce(t.Context()), bound/12) // a series of changes takes few calls
 	is.Equal(r.readOnce(t.Context()), bound/12)
 	is.Equal(store.calls, []string{"stale", "watch"})
 	is.Equal(m.CompleteTo(), uint64(6))
 	is.Equal(fleet.contactsRecorded, 2)
 }
 
-// Somebody else's items change often, too: they cost no more calls than changes that matter.
+// Items of other systems change often, too. They cost no more calls than changes that matter.
 func TestForeignChangesCostFewCalls(t *testing.T) {
 	is := is.New(t)
 	store := &fakeStore{next: func(_ string, after uint64) (mirror.Delta, error) {
@@ -92,8 +92,9 @@
 	is.Equal(len(m.All()), 0)
 }
 
-// In a series of changes one zone reads them soon, and the others now and then: they hear of them from it.
-// However they read, the time between two answers leaves the zone's contact young enough that nobody takes over.
+// In a series of changes the first zone by rank reads them with little delay, and the others less often: they learn
+// of them from it. In all zones the time between two answers keeps the zone's contact young enough that no VM takes
+// over.
 func TestOneZoneReadsChangesWithShortPause(t *testing.T) {
 	is := is.New(t)
 	shortPauses := 0
@@ -118,14 +119,14 @@
 	is.Equal(shortPauses, 1)
 }
 
-// A zone that hears of no other one reads all changes soon.
+// A zone that knows of no other one reads all changes with little delay.
 func TestSingleZoneReadsChangesWithShortPause(t *testing.T) {
 	is := is.New(t)
 	r, _ := newReader(&fakeStore{}, &fakeFleet{members: []string{"one"}, zones: []string{"z"}}, "one")
 	is.Equal(r.pauseAfterChange(), bound/12)
 }
 
-// A reader that finds the history gone reads all anew, and not from an answer that may be as old.
+// A reader that finds the history gone reads a snapshot, and not a stale one, which may be as old.
 func TestHistoryGone(t *testing.T) {
 	is := is.New(t)
 	store := &fakeStore{next: func(call string, _ uint64) (mirror.Delta, error) {
@@ -157,7 +158,7 @@
 	is.True(!r.reachable)
 }
 
-// Once the store is back the first poll tells so at once, before the next ones of the zone take over.
+// Once the store is back the first poll returns soon, before the next VMs of the zone take over.
 func TestFirstPollAfterAFailureIsShort(t *testing.T) {
 	is := is.New(t)
 	fail := false
@@ -168,7 +169,7 @@
 		return mirror.Delta{CompleteFrom: after, CompleteTo: max(after, 1), Full: after == 0}, nil
 	}}
 	r, _ := newReader(store, &fakeFleet{members: []string{"one"}, zones: []string{"z"}}, "one")
-	r.readOnce(t.Context()) // all of it
+	r.readOnce(t.Context()) // a snapshot
 	r.readOnce(t.Context())
 	fail = true
 	r.readOnce(t.Context())
@@ -178,8 +179,8 @@
 	is.Equal(store.waits, []time.Duration{r.pollWait, r.pollWait, firstPollWait, r.pollWait})
 }
 
-// After a loss of all VMs nobody has word: the seeds read first, then those that nobody answers; whoever has word
-// leaves the store alone until the fleet is known.
+// After a loss of all VMs none has any state. The seeds read first, then the VMs that no other VM answers. A VM
+// with state doesn't read until the fleet is known.
 func TestPatienceAfterTheStart(t *testing.T) {
 	for name, tt := range map[string]struct {
 		hasState, seed bool
@@ -187,12 +188,12 @@
 		want           time.Duration
 		spread         time.Duration
 	}{
-		"a seed":               {seed: true, live: 5, want: seedStartupDelay},
-		"a seed with word":     {seed: true, hasState: true, live: 5, want: withStateStartupDelay},
+		"seed":                 {seed: true, live: 5, want: seedStartupDelay},
+		"seed with state":      {seed: true, hasState: true, live: 5, want: withStateStartupDelay},
 		"alone":                {want: aloneStartupDelay, spread: aloneStartupJitter},
-		"others without word":  {live: 5, want: withoutStateStartupDelay, spread: withoutStateStartupJitter},
-		"others with word":     {live: 5, hasState: true, want: withStateStartupDelay},
-		"a lone one with word": {hasState: true, want: withStateStartupDelay},
+		"others without state": {live: 5, want: withoutStateStartupDelay, spread: withoutStateStartupJitter},
+		"others with state":    {live: 5, hasState: true, want: withStateStartupDelay},
+		"alone with state":     {hasState: true, want: withStateStartupDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -207,7 +208,7 @@
 	}
 }
 
-// One VM of a zone reads; the next one does so only while nobody of the zone has an answer.
+// One VM of a zone reads. The next one reads only while no VM of the zone has an answer.
 func TestReaderSelection(t *testing.T) {
 	now := time.Now()
 	for name, tt := range map[string]struct {
@@ -216,14 +217,14 @@
 		tookOver time.Duration // ago; 0 for never
 		want     bool
 	}{
-		"first by rank":                {rank: 0, want: true},
-		"second, contact is fresh":     {rank: 1, contact: time.Second},
-		"second, contact is old":       {rank: 1, contact: 2300 * time.Millisecond, want: true},
-		"third waits its turn":         {rank: 2, contact: 2300 * time.Millisecond},
-		"third, nobody took over":      {rank: 2, contact: 2600 * time.Millisecond, want: true},
-		"took over a while ago":        {rank: 2, contact: time.Second, tookOver: 5 * time.Second, want: true},
-		"gives the reading back later": {rank: 2, contact: time.Second, tookOver: 11 * time.Second},
-		"nobody has ever had one":      {rank: 9, contact: time.Hour, want: true},
+		"first by rank":            {rank: 0, want: true},
+		"second, contact is fresh": {rank: 1, contact: time.Second},
+		"second, contact is old":   {rank: 1, contact: 2300 * time.Millisecond, want: true},
+		"third waits its turn":     {rank: 2, contact: 2300 * time.Millisecond},
+		"third, no VM took over":   {rank: 2, contact: 2600 * time.Millisecond, want: true},
+		"took over a while ago":    {rank: 2, contact: time.Second, tookOver: 5 * time.Second, want: true},
+		"stops reading later":      {rank: 2, contact: time.Second, tookOver: 11 * time.Second},
+		"no contact ever":          {rank: 9, contact: time.Hour, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -236,8 +237,9 @@
 	}
 }
 
-// After a loss of power a zone may get all that the store holds from others, before anybody of it has read. Its first by
-// rank reads then, and says so soon; the others wait for that as for any other contact, in place of all at once.
+// After a power loss a zone may get the whole state from other zones before any of its VMs has read. Its first by
+// rank then reads and reports it soon. The others wait for that as for any other contact, instead of all reading at
+// once.
 func TestZoneWithStateFromOtherZones(t *testing.T) {
 	is := is.New(t)
 	members := []string{"one", "two", "three", "four", "five"}
@@ -250,15 +252,15 @@
 		first := readers.Rank("z", members, self) == 0
 		is.Equal(r.active(now), first)
 		is.Equal(r.active(now.Add(r.takeoverAge)), first)
-		is.True(r.active(now.Add(r.takeoverAge + 4*takeoverStagger))) // the first one can't read
+		is.True(r.active(now.Add(r.takeoverAge + 4*takeoverStagger))) // the first by rank can't read
 		r.readOnce(t.Context())
 		r.readOnce(t.Context())
 		is.Equal(store.waits, []time.Duration{firstPollWait, r.pollWait})
 	}
 }
 
-// The whole of a poll on a silent connection, word of it to the zone, and the next one's first answer
-// have to fit into the bound.
+// A whole poll on a silent connection, the time in which a contact becomes known to the zone, and the first answer
+// to the next reader must fit into the bound together.
 func TestTakeoverFitsConfigBound(t *testing.T) {
 	is := is.New(t)
 	r, _ := newReader(&fakeStore{}, &fakeFleet{}, "one")
