--- a/internal/readers/readers_test.go
+++ b/internal/readers/readers_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-func TestReadersStayConstantAsTheZoneGrows(t *testing.T) {
+func TestReaderCountIsIndependentOfZoneSize(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 8, 132} {
 		is := is.New(t)
 		is.Equal(len(active(vms(n), 0)), min(n, PerZone))
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestEachVMGetsItsTurn(t *testing.T) {
+func TestEachVMGetsATurn(t *testing.T) {
 	is := is.New(t)
 	members := vms(9)
 	seen := make(map[string]bool)
@@ -51,7 +51,7 @@
 	is.Equal(len(seen), len(members))
 }
 
-func TestTakeoverIsHeldForAWhile(t *testing.T) {
+func TestTakeoverLastsItsDuration(t *testing.T) {
 	is := is.New(t)
 	s := State{Rank: 5, Members: 8, ContactAge: time.Second, SinceTakeover: TakeoverDuration - 1}
 	is.True(Active(s))
@@ -68,8 +68,8 @@
 			is.Equal(Rank("az-1", members, vm), i)
 		}
 		lost := rapid.SampledFrom(members).Draw(rt, "lost")
-		left := slices.DeleteFunc(slices.Clone(members), func(vm string) bool { return vm == lost })
-		after := ByRank("az-1", left)
+		remaining := slices.DeleteFunc(slices.Clone(members), func(vm string) bool { return vm == lost })
+		after := ByRank("az-1", remaining)
 		is.Equal(after, slices.DeleteFunc(before, func(vm string) bool { return vm == lost }))
 	})
 }
