--- a/internal/readers/readers.go
+++ b/internal/readers/readers.go
@@ -1,6 +1,5 @@
-// Package readers decides which VMs of an availability zone read the platform, so that the reads
-// stay constant per zone as the fleet grows. It is pure: all VMs with one view decide alike, and
-// without a message.
+// Package readers decides which VMs of an availability zone read the platform, so that the number of reads per zone
+// stays constant as the fleet grows. It is pure: all VMs with the same view decide alike, without a message.
 package readers
 
 import (
@@ -14,17 +13,17 @@
 const (
 	// PerZone is how many VMs of a zone read at any time.
 	PerZone = 2
-	// TakeoverAfter is the age of the newest platform contact, of any VM, from which others take
-	// over. It is above the wait of a long poll.
+	// TakeoverAfter is the age of the newest platform contact, of any VM, from which others take over. It is above
+	// the wait of a long poll.
 	TakeoverAfter = 8 * time.Second
-	// TurnDuration is how long each group of PerZone VMs tries before the next one does.
+	// TurnDuration is how long each group of PerZone VMs tries before the next group does.
 	TurnDuration = 2 * time.Second
-	// TakeoverDuration is how long a VM that took over and reached the platform goes on reading.
+	// TakeoverDuration is how long a VM that took over and reached the platform continues to read.
 	TakeoverDuration = time.Minute
 )
 
-// Rank returns the VM's place among those of its zone by rendezvous hashing, 0 first. A VM that
-// joins or leaves moves nobody past another. self counts as a member if it is left out.
+// Rank returns the VM's place among those of its zone by rendezvous hashing, starting with 0. A VM that joins or
+// leaves does not change the order of the others. self counts as a member if it is missing from vms.
 func Rank(zone string, vms []string, self string) int {
 	rank := 0
 	own := weight(zone, self)
@@ -37,7 +36,7 @@
 	return rank
 }
 
-// ByRank returns the VMs by rank.
+// ByRank returns the VMs sorted by rank.
 func ByRank(zone string, vms []string) []string {
 	out := slices.Clone(vms)
 	slices.SortFunc(out, func(a, b string) int {
@@ -48,21 +47,21 @@
 
 func weight(zone, vm string) uint64 { return xxhash.Sum64String(zone + "\x00" + vm) }
 
-// State is what decides whether a VM reads.
+// State is the input that decides whether a VM reads.
 type State struct {
-	// Rank of the VM among the Members of its zone that can read, from 0.
+	// Rank of the VM, from 0, among the Members of its zone that can read.
 	Rank, Members int
-	// ContactAge is the age of the newest platform contact that was heard of.
+	// ContactAge is the age of the newest known platform contact.
 	ContactAge time.Duration
-	// Jitter of this VM, from 0 up to and without 1.
+	// Jitter of this VM, from 0 up to but not including 1.
 	Jitter float64
-	// SinceTakeover is how long ago this VM took over and reached the platform; negative for never.
+	// SinceTakeover is the time since this VM took over and reached the platform; negative if it never did.
 	SinceTakeover time.Duration
 }
 
-// Active tells whether the VM reads now. The first by rank always do. Where no contact is fresh the
-// others take turns, PerZone at a time, so that a platform that is down meets no more than twice
-// the usual readers, and each VM of a zone tries in the end.
+// Active reports whether the VM reads now. The first PerZone VMs by rank always do. If no contact is recent, the
+// others take turns, PerZone at a time, so that a platform that is down gets requests from at most twice the
+// normal number of readers, and each VM of a zone eventually tries.
 func Active(s State) bool {
 	if s.Rank < PerZone {
 		return true
--- a/internal/readers/readers_test.go
+++ b/internal/readers/readers_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-// active returns who of a zone reads, all with one view.
+// active returns the VMs of a zone that read, given that all have the same view.
 func active(members []string, age time.Duration) (out []string) {
 	for _, vm := range members {
 		s := State{Rank: Rank("az-1", members, vm), Members: len(members), ContactAge: age, SinceTakeover: -1}
@@ -34,7 +34,7 @@
 		is.Equal(len(active(vms(n), 0)), min(n, PerZone))
 		is.Equal(len(active(vms(n), TakeoverAfter-1)), min(n, PerZone))
 		for age := TakeoverAfter; age < TakeoverAfter+70*TurnDuration; age += TurnDuration {
-			is.True(len(active(vms(n), age)) <= 2*PerZone) // also while the platform is down
+			is.True(len(active(vms(n), age)) <= 2*PerZone) // even while the platform is down
 		}
 	}
 }
