--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -85,6 +85,7 @@
 // Fetch requests what the peer has and this VM lacks, without waiting for the answer.
 func (m *Manager) Fetch(address string) { m.enqueuePull(pull{address, true}) }
 
+// enqueuePull queues the pull. It drops it if the queue is full.
 func (m *Manager) enqueuePull(p pull) {
 	select {
 	case m.pulls <- p:
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -163,6 +163,7 @@
 	}
 }
 
+// ageMillis returns the age in milliseconds, or -1 if at is zero.
 func ageMillis(at, now time.Time) int64 {
 	if at.IsZero() {
 		return -1
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -56,7 +56,9 @@
 
 // Evidence holds what VMs report to each other about leaves in trouble.
 type Evidence interface {
+	// Troubles returns what this VM observed of leaves in trouble.
 	Troubles(now time.Time) []replica.Trouble
+	// Told records what the VM at the address vm reported, in place of what it reported before.
 	Told(vm string, list []replica.Trouble, now time.Time)
 }
 
@@ -72,6 +74,7 @@
 	Seeds    func() []string
 	Mirror   *mirror.Mirror
 	Evidence Evidence
+	// Changed fires when an item of Mirror changes.
 	Changed  *notify.Notifier
 	Dial     Dial
 	Log      *zap.Logger
@@ -80,8 +83,9 @@
 
 // Manager maintains the membership and runs the exchanges. It is safe for concurrent use.
 type Manager struct {
-	cfg         Config
-	metrics     *metrics
+	cfg     Config
+	metrics *metrics
+	// localEvents fires when this VM reports a crash or is about to end.
 	localEvents *notify.Notifier
 	// pulls queues requests for updates that peers have announced.
 	pulls chan pull
@@ -129,6 +133,7 @@
 	return nil
 }
 
+// runRounds begins an exchange with a random peer in each round, until ctx ends.
 func (m *Manager) runRounds(ctx context.Context) {
 	for {
 		round := m.roundInterval()
--- a/internal/storeread/storeread.go
+++ b/internal/storeread/storeread.go
@@ -87,10 +87,14 @@
 
 // Fleet provides what is known of the other VMs.
 type Fleet interface {
+	// ZoneStatus returns the live members of the own zone, including this VM, and the age of their newest contact
+	// with the store.
 	ZoneStatus(now time.Time) (members []string, contact time.Duration)
 	// Zones returns the availability zones that have a live VM, including the own one.
 	Zones() []string
+	// RecordStoreContact records that the store has answered this VM.
 	RecordStoreContact(now time.Time)
+	// LiveCount returns the number of other VMs that are live.
 	LiveCount() int
 }
 
@@ -198,6 +202,8 @@
 	return r.takeoverAge
 }
 
+// shouldRead reports whether a VM of the rank reads, given the age of its zone's newest contact and the age from
+// which the second by rank takes over.
 func (r *Reader) shouldRead(rank int, contact, takeover time.Duration, now time.Time) bool {
 	if rank == 0 || !r.takeoverAt.IsZero() && now.Sub(r.takeoverAt) < takeoverDuration {
 		return true
@@ -212,6 +218,8 @@
 	return pause
 }
 
+// readAndMerge makes the next call, merges its result into the mirror and returns the pause before the call after
+// it.
 func (r *Reader) readAndMerge(ctx context.Context) time.Duration {
 	kind, d, err := r.callStore(ctx)
 	now := time.Now()
@@ -269,6 +277,7 @@
 	return "watch", d, err
 }
 
+// noteFailure records that the store did not answer.
 func (r *Reader) noteFailure(err error) {
 	if r.reachable {
 		r.log.Warn("store lost", zap.Error(err))
@@ -276,6 +285,7 @@
 	r.reachable, r.answered = false, false
 }
 
+// noteAnswer records that the store answered, and a takeover if the zone's contact was too old.
 func (r *Reader) noteAnswer(now time.Time) {
 	if !r.reachable {
 		r.log.Info("store regained", zap.Uint64("complete_to", r.mirror.CompleteTo()))
