--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -18,7 +18,8 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// textDecoder takes "service state" or "service state start" for a leaf and a version's digit for a configuration.
+// textDecoder decodes "service state" or "service state start" as a leaf, and the digit of a version as a
+// configuration.
 type textDecoder struct{}
 
 func (textDecoder) Config(key string, value []byte) (*catalog.Config, bool, error) {
@@ -64,13 +65,13 @@
 	f.Refresh(f.now)
 }
 
-func (f *fixture) drop(key string) time.Duration {
+func (f *fixture) remove(key string) time.Duration {
 	f.revision++
 	f.m.Merge(mirror.Delta{Items: []mirror.Item{{Key: key, Revision: f.revision, Deleted: true}}, CompleteFrom: f.revision - 1, CompleteTo: f.revision}, f.now)
 	return f.Refresh(f.now)
 }
 
-func (f *fixture) pass(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.Refresh(f.now)
 }
@@ -83,35 +84,35 @@
 	return strings.Join(out, " ")
 }
 
-func TestDrainingLeafGetsNothingMore(t *testing.T) {
+func TestDrainingLeafGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "x ready")
 	is.Equal(ids(f.Current().Leaves["x"]), "1")
 	f.put("leaf/1", "x draining")
 	is.Equal(ids(f.Current().Leaves["x"]), "")
-	f.drop("leaf/1")
-	is.Equal(ids(f.Current().Lapsed["x"]), "")
+	f.remove("leaf/1")
+	is.Equal(ids(f.Current().Expired["x"]), "")
 }
 
-// An entry may lapse while the store is away, so its leaf stays a last resort for a while, less than
-// the three seconds after which one that is gone may get nothing.
-func TestLapsedEntry(t *testing.T) {
+// An entry may expire while the store is unavailable, so its leaf stays a last resort for a while. The time is
+// shorter than the three seconds after which a leaf that is gone must get no work.
+func TestExpiredEntry(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "x ready")
-	is.Equal(f.drop("leaf/1"), LapseHold)
+	is.Equal(f.remove("leaf/1"), ExpiryGracePeriod)
 	is.Equal(ids(f.Current().Leaves["x"]), "")
-	is.Equal(ids(f.Current().Lapsed["x"]), "1")
-	f.pass(LapseHold - time.Millisecond)
-	is.Equal(ids(f.Current().Lapsed["x"]), "1")
-	f.pass(time.Millisecond)
-	is.Equal(ids(f.Current().Lapsed["x"]), "")
-	f.put("leaf/1", "x ready") // it is back
+	is.Equal(ids(f.Current().Expired["x"]), "1")
+	f.advance(ExpiryGracePeriod - time.Millisecond)
+	is.Equal(ids(f.Current().Expired["x"]), "1")
+	f.advance(time.Millisecond)
+	is.Equal(ids(f.Current().Expired["x"]), "")
+	f.put("leaf/1", "x ready") // the entry is back
 	is.Equal(ids(f.Current().Leaves["x"]), "1")
 }
 
-func TestConfigNeverGoesBack(t *testing.T) {
+func TestConfigVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	is.True(f.Current().Config == nil)
@@ -122,11 +123,11 @@
 	is.Equal(f.Current().Config.Version, uint64(3))
 	f.put("config", "5")
 	is.Equal(f.Current().Config.Version, uint64(5))
-	f.drop("config")
+	f.remove("config")
 	is.Equal(f.Current().Config.Version, uint64(5))
 }
 
-func TestAwaitReturnsWithTheConfiguration(t *testing.T) {
+func TestAwaitReturnsOnceConfigured(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	is.True(f.Await(t.Context(), time.Millisecond).Config == nil)
@@ -135,21 +136,21 @@
 	is.Equal(f.Await(t.Context(), 10*time.Second).Config.Version, uint64(3))
 }
 
-func TestBadEntryIsIgnored(t *testing.T) {
+func TestInvalidEntryIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "nothing")
 	f.put("leaf/2", "x ready")
 	f.put("other", "key")
 	is.Equal(len(f.Current().Leaves), 1)
-	f.drop("leaf/1")
-	is.Equal(len(f.Current().Lapsed), 0)
+	f.remove("leaf/1")
+	is.Equal(len(f.Current().Expired), 0)
 	is.Equal(f.Current().Revision, f.revision)
 }
 
-// A leaf that starts again under its id is another leaf. A late entry of the earlier start doesn't take its place,
-// also not after one that no leaf wrote.
-func TestLeafStartsAgain(t *testing.T) {
+// A leaf that restarts under its id is another leaf. A late entry of the earlier start does not displace it, also
+// not after an entry that no leaf wrote.
+func TestRestartedLeaf(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/1", "x ready 1000")
@@ -164,16 +165,16 @@
 	f.put("leaf/1", "x ready 2000")
 	is.Equal(ids(f.Current().Leaves["x"]), "1@2000")
 	f.put("leaf/1", "x draining 2000")
-	f.drop("leaf/1")
-	f.put("leaf/1", "x ready 3000") // it leaves in order, and is back at once
+	f.remove("leaf/1")
+	f.put("leaf/1", "x ready 3000") // it drains, ends and restarts at once
 	is.Equal(ids(f.Current().Leaves["x"]), "1@3000")
-	f.drop("leaf/1")
-	is.Equal(ids(f.Current().Lapsed["x"]), "1@3000")
+	f.remove("leaf/1")
+	is.Equal(ids(f.Current().Expired["x"]), "1@3000")
 }
 
-// Entries that another writer put in a leaf's place name no leaf, and one with a start far ahead doesn't keep the
-// leaf out for good.
-func TestForeignEntryInALeafsPlace(t *testing.T) {
+// Entries that another writer put under a leaf's key name no leaf. One with a start time far ahead does not keep
+// the leaf out for good.
+func TestForeignEntryUnderLeafKey(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.put("leaf/2", "x ready 1000")
@@ -187,8 +188,8 @@
 	is.Equal(testutil.ToFloat64(f.ignored), 3.0)
 }
 
-// Whoever writes many bad entries fills neither the log nor the view.
-func TestLinesOfForeignEntriesAreBounded(t *testing.T) {
+// Many invalid entries flood neither the log nor the view.
+func TestIgnoredEntryLogIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	core, logs := observer.New(zap.WarnLevel)
--- a/internal/dispatch/hopeless.go
+++ b/internal/dispatch/hopeless.go
@@ -16,7 +16,7 @@
 	withoutLeaf, unresponsive, longest := 0, 0, time.Duration(0)
 	for i := range r.groups {
 		s := r.groups[i].service
-		ready, expired := r.view.Leaves[s], r.view.Lapsed[s]
+		ready, expired := r.view.Leaves[s], r.view.Expired[s]
 		if len(ready)+len(expired) == 0 {
 			withoutLeaf++
 			continue
@@ -51,7 +51,7 @@
 	shortfall := r.needed - r.answeredGroups
 	for i := range r.groups {
 		g := &r.groups[i]
-		if g.part == nil && !g.failed && r.unresponsiveFor(now, r.view.Leaves[g.service], r.view.Lapsed[g.service]) == 0 {
+		if g.part == nil && !g.failed && r.unresponsiveFor(now, r.view.Leaves[g.service], r.view.Expired[g.service]) == 0 {
 			shortfall--
 		}
 	}
--- a/internal/leafpool/ahead.go
+++ b/internal/leafpool/ahead.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// retryDial is how long after a failed opening ahead the next one is tried.
-	retryDial = time.Second
-	// openPeriod is how often connections are opened ahead, and idle ones looked at.
-	openPeriod = 250 * time.Millisecond
-	// roomy is the number of connections that a VM may have to a leaf from which they are opened ahead to
-	// all leaves, and kept. Below it the fleet would fill the leaves' limits, and after a loss of power
-	// the dead connections of all VMs would keep the new ones out: then only leaves of the own zone are
-	// connected to ahead, and others as long as they are in use.
-	roomy = 2
-	// farIdle is how long an idle connection is kept that isn't opened ahead.
-	farIdle = 2 * time.Second
-	// openAtOnce bounds the connections that are opened ahead at the same time.
-	openAtOnce = 8
+	// preopenRetryDelay is the delay after a failed attempt to open a connection in advance, before the next
+	// attempt.
+	preopenRetryDelay = time.Second
+	// preopenInterval is how often connections are opened in advance and idle ones are checked.
+	preopenInterval = 250 * time.Millisecond
+	// preopenAllMinConns is the quota of connections per leaf from which a VM opens connections in advance to all
+	// leaves, and keeps them. If VMs with a smaller quota did so, the fleet would fill the leaves' limits, and after
+	// a power loss the dead connections of all VMs would keep the new ones out. They open connections in advance
+	// only to the leaves of their own zone, and keep others only while they are in use.
+	preopenAllMinConns = 2
+	// onDemandIdleTimeout is how long an idle connection is kept that is not opened in advance.
+	onDemandIdleTimeout = 2 * time.Second
+	// maxConcurrentPreopens bounds the connections that are being opened in advance at the same time.
+	maxConcurrentPreopens = 8
 )
 
-// Run opens a connection ahead to each leaf that needs one, and closes idle ones, until ctx ends.
+// Run opens connections in advance to the leaves that need one, and closes idle ones that are not kept, until ctx
+// ends. It returns nil.
 func (p *Pool) Run(ctx context.Context) error {
-	t := time.NewTicker(openPeriod)
+	t := time.NewTicker(preopenInterval)
 	defer t.Stop()
-	slots := make(chan struct{}, openAtOnce)
+	slots := make(chan struct{}, maxConcurrentPreopens)
 	for {
-		p.closeAll(p.unused(time.Now()))
-		for _, e := range p.bare(time.Now()) {
+		p.closeAll(p.removeUnneeded(time.Now()))
+		for _, e := range p.reserveUnconnected(time.Now()) {
 			select {
 			case slots <- struct{}{}:
 			case <-ctx.Done():
@@ -39,7 +41,7 @@
 			go func() {
 				defer func() { <-slots }()
 				if c, err := p.dial(ctx, e); err == nil {
-					p.give(e, c, true, false)
+					p.release(e, c, true, false)
 				}
 			}()
 		}
@@ -51,14 +53,15 @@
 	}
 }
 
-// ahead tells whether a connection to the leaf is opened before it is needed, and kept. Requires mu.
-func (p *Pool) ahead(l catalog.Leaf) bool {
+// keepsOpen reports whether a connection to the leaf is opened before it is needed, and kept. The caller must hold
+// mu.
+func (p *Pool) keepsOpen(l catalog.Leaf) bool {
 	share := p.share(l.Service)
-	return !share.Rare && !share.Unsettled && (l.Zone == p.zone || p.most(l) >= roomy)
+	return !share.OnDemand && !share.FleetUnknown && (l.Zone == p.zone || p.maxConns(l) >= preopenAllMinConns)
 }
 
-// unused takes out the idle connections that have ended, and those that aren't kept.
-func (p *Pool) unused(now time.Time) []idleConn {
+// removeUnneeded removes and returns the idle connections that have ended and those that are not kept.
+func (p *Pool) removeUnneeded(now time.Time) []idleConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []idleConn
@@ -66,12 +69,12 @@
 		kept := e.idle[:0]
 		for _, c := range e.idle {
 			alive := c.Alive()
-			if alive && (p.ahead(e.leaf) || now.Sub(c.since) < farIdle) {
+			if alive && (p.keepsOpen(e.leaf) || now.Sub(c.since) < onDemandIdleTimeout) {
 				kept = append(kept, c)
 				continue
 			}
 			if !alive && !c.used {
-				p.endedUnused(e, now.Sub(c.since), now)
+				p.noteEndedUnused(e, now.Sub(c.since), now)
 			}
 			out = append(out, c)
 			e.open--
@@ -81,25 +84,27 @@
 	return out
 }
 
-// endedUnused notes that a connection ended that had been opened ahead and never used: soon after it was opened, as
-// a leaf at its limit ends it, or after the time that leaves keep idle ones. Each of 300 VMs that sees ten requests in
-// two minutes for as many leaves would open them all anew every ten seconds. Before its first call a VM can't know
-// which ones it needs. Requires mu.
-func (p *Pool) endedUnused(e *peer, age time.Duration, now time.Time) {
-	if age < refusedFor+openPeriod {
+// noteEndedUnused records that a connection that was opened in advance ended without having carried a call. If it
+// ended soon after it was opened, the leaf is at its limit. Otherwise the leaf closed it after its idle timeout,
+// and once this VM has made calls the connection is not opened in advance again before the next call to the leaf:
+// each of 300 VMs that sees ten requests in two minutes for as many leaves would otherwise reopen all of them every
+// ten seconds. Before its first call a VM can't know which connections it needs. The caller must hold mu.
+func (p *Pool) noteEndedUnused(e *leafConns, age time.Duration, now time.Time) {
+	if age < resetBackoff+preopenInterval {
 		e.failedAt = now
 		return
 	}
-	e.idled = p.called
+	e.endedUnused = p.anyCall
 }
 
-// bare returns leaves without a connection, each counted as having one from now on.
-func (p *Pool) bare(now time.Time) []*peer {
+// reserveUnconnected returns the leaves that need a connection opened in advance, and counts a connection to each
+// of them as open.
+func (p *Pool) reserveUnconnected(now time.Time) []*leafConns {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []*peer
+	var out []*leafConns
 	for _, e := range p.leaves {
-		if e.open == 0 && !e.gone && !e.idled && p.ahead(e.leaf) && now.Sub(e.failedAt) >= retryDial && now.Sub(e.refusedAt) >= retryDial {
+		if e.open == 0 && !e.gone && !e.endedUnused && p.keepsOpen(e.leaf) && now.Sub(e.failedAt) >= preopenRetryDelay && now.Sub(e.resetAt) >= preopenRetryDelay {
 			e.open++
 			out = append(out, e)
 		}
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -34,9 +34,9 @@
 // lead to it.
 func (s shares) connectionShare(service string) leafpool.Share {
 	if s.singleServices[service] && !s.shardServices[service] {
-		return leafpool.Share{VMs: s.vmCount, Unsettled: s.unsettled}
+		return leafpool.Share{VMs: s.vmCount, FleetUnknown: s.unsettled}
 	}
-	return leafpool.Share{VMs: s.plan.GathererCount, Rare: len(s.plan.ZoneGatherers) > 0, Unsettled: s.unsettled}
+	return leafpool.Share{VMs: s.plan.GathererCount, OnDemand: len(s.plan.ZoneGatherers) > 0, FleetUnknown: s.unsettled}
 }
 
 const (
@@ -83,7 +83,7 @@
 // their connections are open when one does.
 func callableLeaves(v *directory.View) []catalog.Leaf {
 	var out []catalog.Leaf
-	for _, lists := range []map[string][]catalog.Leaf{v.Leaves, v.Lapsed} {
+	for _, lists := range []map[string][]catalog.Leaf{v.Leaves, v.Expired} {
 		for _, list := range lists {
 			out = append(out, list...)
 		}
--- a/internal/node/shares_test.go
+++ b/internal/node/shares_test.go
@@ -35,6 +35,6 @@
 	is.Equal(s.connectionShare("s1"), leafpool.Share{VMs: 15})
 	is.Equal(s.connectionShare("x"), leafpool.Share{VMs: 295})
 	s.plan = delegate.Plan{ZoneGatherers: []string{"strong"}, GathererCount: 15, DelegatorCount: 280}
-	is.Equal(s.connectionShare("s0"), leafpool.Share{VMs: 15, Rare: true})
+	is.Equal(s.connectionShare("s0"), leafpool.Share{VMs: 15, OnDemand: true})
 	is.Equal(s.connectionShare("x"), leafpool.Share{VMs: 295})
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -52,7 +52,7 @@
 	gauge(m.configVersion, version)
 	gauge(m.storeRevision, float64(view.Revision))
 	age := -1.0
-	if _, sinceContact := m.d.peers.Zone(time.Now()); sinceContact < peers.Never {
+	if _, sinceContact := m.d.peers.ZoneStatus(time.Now()); sinceContact < peers.Never {
 		age = sinceContact.Seconds()
 	}
 	gauge(m.storeContactAge, age)
--- a/internal/peers/choose.go
+++ b/internal/peers/choose.go
@@ -9,46 +9,49 @@
 )
 
 const (
-	// ownZone is the part of the rounds that stays in the own zone: bytes between zones are dear.
-	ownZone = 0.75
-	// smallFleet is the size up to which all VMs talk to those of other zones. In a larger one the envoys of
-	// each zone do, and the others seldom: with all of them the exchanges and news of 64 VMs take as many bytes
-	// between zones as the calls to leaves do.
-	smallFleet = 20
-	// envoysPerZone is how many VMs of a zone talk to those of others; a second one stands in for the first.
-	envoysPerZone = 2
-	// envoysOwnZone and othersOwnZone are the parts of the rounds that stay in the own zone then. What the
-	// others still do brings word across where the envoys are lost.
-	envoysOwnZone, othersOwnZone = 0.5, 0.97
-	// farSilent is how many times as long a VM of another zone may show no sign of life then: word of it comes
-	// by two envoys, which takes 3 s and at times more.
-	farSilent = 2
-	// silentPart is the part of the rounds that tries a peer without signs of life.
-	silentPart = 0.1
-	// pushAll is the size of a fleet up to which news goes to all at once; larger ones pass it on.
-	pushAll = 10
-	// pushNear is to how many peers of the own zone news goes in a larger fleet, each of which passes it on;
-	// its envoys get it besides.
-	pushNear = 3
+	// ownZoneFraction is the fraction of rounds that stay in the own zone, because traffic between zones is
+	// expensive.
+	ownZoneFraction = 0.75
+	// largeFleetSize is the number of VMs from which a fleet counts as large. In a smaller one all VMs exchange
+	// with VMs of other zones. In a large one the gateways of each zone do, and the others seldom: if all did, the
+	// exchanges and updates of 64 VMs would take as many bytes between zones as the calls to leaves.
+	largeFleetSize = 20
+	// gatewaysPerZone is how many VMs of a zone exchange with other zones. The second one is a standby for the
+	// first.
+	gatewaysPerZone = 2
+	// gatewayOwnZoneFraction and nonGatewayOwnZoneFraction are the fractions of rounds that stay in the own zone in
+	// a large fleet. The remaining rounds of the other VMs carry updates across zones if the gateways are lost.
+	gatewayOwnZoneFraction, nonGatewayOwnZoneFraction = 0.5, 0.97
+	// remoteSilenceFactor multiplies the time after which a VM of another zone counts as silent in a large fleet:
+	// its heartbeat comes by way of two gateways, which takes 3 s and at times more.
+	remoteSilenceFactor = 2
+	// silentRetryFraction is the fraction of rounds that try a silent peer.
+	silentRetryFraction = 0.1
+	// relayedPushFleetSize is the number of live peers from which peers relay updates. In a smaller fleet an update
+	// goes to all peers at once.
+	relayedPushFleetSize = 10
+	// ownZonePushFanout is the number of peers of the own zone to which an update goes in a larger fleet. Each of
+	// them relays it. The gateways of the zone get it in addition.
+	ownZonePushFanout = 3
 )
 
-// view is what the choice is made from.
-type view struct {
-	near, far []VM
-	silent    []string
-	// envoys of all zones, those of the own zone apart; self may be one of these.
-	nearEnvoys, farEnvoys []VM
-	// envoy is set where this VM is one.
-	envoy bool
+// fleetView is the membership from which peers are chosen.
+type fleetView struct {
+	local, remote []VM
+	silent        []string
+	// Gateways of the own zone and of all other zones, without this VM.
+	localGateways, remoteGateways []VM
+	// isGateway is set if this VM is a gateway.
+	isGateway bool
 }
 
-func (v *view) live() int { return len(v.near) + len(v.far) }
+func (v *fleetView) live() int { return len(v.local) + len(v.remote) }
 
-// look returns the members as they stand.
-func (m *Manager) look() *view {
+// currentView returns the view of the current members.
+func (m *Manager) currentView() *fleetView {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v := new(view)
+	v := new(fleetView)
 	zones := map[string][]VM{m.cfg.Zone: {vmOf(&m.self)}}
 	for address, e := range m.members {
 		if !e.live {
@@ -57,80 +60,80 @@
 		}
 		p := vmOf(e.record)
 		if p.Zone == m.cfg.Zone {
-			v.near = append(v.near, p)
+			v.local = append(v.local, p)
 		} else {
-			v.far = append(v.far, p)
+			v.remote = append(v.remote, p)
 		}
 		if !e.record.GetLeaving() {
 			zones[p.Zone] = append(zones[p.Zone], p)
 		}
 	}
 	for zone, peers := range zones {
-		chosen := envoys(peers)
+		gateways := gatewaysOf(peers)
 		if zone != m.cfg.Zone {
-			v.farEnvoys = append(v.farEnvoys, chosen...)
+			v.remoteGateways = append(v.remoteGateways, gateways...)
 			continue
 		}
-		v.envoy = slices.ContainsFunc(chosen, m.isSelf)
-		v.nearEnvoys = slices.DeleteFunc(chosen, m.isSelf)
+		v.isGateway = slices.ContainsFunc(gateways, m.isSelf)
+		v.localGateways = slices.DeleteFunc(gateways, m.isSelf)
 	}
 	return v
 }
 
 func (m *Manager) isSelf(p VM) bool { return p.Address == m.cfg.Self }
 
-// envoys returns the VMs of a zone that talk to those of others: the strongest, which also see most of the
-// leaves, and among equals by a rank on which all agree.
-func envoys(zone []VM) []VM {
+// gatewaysOf returns the gateways of a zone: the largest VMs, which also call most of the leaves. VMs of equal size
+// are ordered by a hash of the address, so that all VMs agree.
+func gatewaysOf(zone []VM) []VM {
 	slices.SortFunc(zone, func(a, b VM) int {
 		return cmp.Or(cmp.Compare(b.Millicores, a.Millicores), cmp.Compare(xxhash.Sum64String(a.Address), xxhash.Sum64String(b.Address)))
 	})
-	return zone[:min(envoysPerZone, len(zone))]
+	return zone[:min(gatewaysPerZone, len(zone))]
 }
 
-// pick returns a random peer for an exchange.
-func (m *Manager) pick() (string, bool) {
-	v := m.look()
-	if len(v.silent) > 0 && (v.live() == 0 || rand.Float64() < silentPart) {
+// pickPeer returns a random peer for an exchange.
+func (m *Manager) pickPeer() (string, bool) {
+	v := m.currentView()
+	if len(v.silent) > 0 && (v.live() == 0 || rand.Float64() < silentRetryFraction) {
 		return v.silent[rand.N(len(v.silent))], true
 	}
-	near, far := ownZone, v.far
+	ownFraction, candidates := ownZoneFraction, v.remote
 	switch {
-	case v.live() < smallFleet:
-	case v.envoy:
-		near, far = envoysOwnZone, v.farEnvoys
+	case v.live() < largeFleetSize:
+	case v.isGateway:
+		ownFraction, candidates = gatewayOwnZoneFraction, v.remoteGateways
 	default:
-		near = othersOwnZone
+		ownFraction = nonGatewayOwnZoneFraction
 	}
-	if len(far) == 0 || len(v.near) > 0 && rand.Float64() < near {
-		far = v.near
+	if len(candidates) == 0 || len(v.local) > 0 && rand.Float64() < ownFraction {
+		candidates = v.local
 	}
-	if len(far) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	return far[rand.N(len(far))].Address, true
+	return candidates[rand.N(len(candidates))].Address, true
 }
 
-// audience returns the peers that are told of news at once.
-func (m *Manager) audience() []string {
-	v := m.look()
-	if v.live() < pushAll {
-		return addresses(append(v.near, v.far...))
+// pushTargets returns the peers that get an update at once.
+func (m *Manager) pushTargets() []string {
+	v := m.currentView()
+	if v.live() < relayedPushFleetSize {
+		return addresses(append(v.local, v.remote...))
 	}
-	rand.Shuffle(len(v.near), func(i, j int) { v.near[i], v.near[j] = v.near[j], v.near[i] })
-	told := append(v.near[:min(pushNear, len(v.near))], v.nearEnvoys...)
+	rand.Shuffle(len(v.local), func(i, j int) { v.local[i], v.local[j] = v.local[j], v.local[i] })
+	targets := append(v.local[:min(ownZonePushFanout, len(v.local))], v.localGateways...)
 	switch {
-	case v.envoy:
-		told = append(told, onePerZone(v.farEnvoys)...)
-	case v.live() < smallFleet && len(v.far) > 0:
-		told = append(told, v.far[rand.N(len(v.far))])
+	case v.isGateway:
+		targets = append(targets, onePerZone(v.remoteGateways)...)
+	case v.live() < largeFleetSize && len(v.remote) > 0:
+		targets = append(targets, v.remote[rand.N(len(v.remote))])
 	}
-	out := addresses(told)
+	out := addresses(targets)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// onePerZone returns one peer of each zone by chance.
+// onePerZone returns a random peer of each zone.
 func onePerZone(peers []VM) []VM {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	var out []VM
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -11,29 +11,30 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// member is what is known of another VM.
+// member is the state of another VM.
 type member struct {
 	record *pb.FleetMember
-	// aliveAt is when its heartbeat was last seen to rise.
-	aliveAt time.Time
-	// contactAt is when it last had an answer of the store, by this VM's clock; zero for never.
+	// heartbeatAt is when its heartbeat last rose.
+	heartbeatAt time.Time
+	// contactAt is when the store last answered it, by this VM's clock; zero for never.
 	contactAt time.Time
-	// said is what it last said of itself in this incarnation.
-	said   word
-	client Client
-	live   bool
+	// progress is what the peer last reported about itself in this incarnation.
+	progress progress
+	client   Client
+	live     bool
 }
 
-// round is the time between two exchanges that this VM begins.
-func (m *Manager) round() time.Duration {
-	if m.Live() > smallFleet {
-		return longPeriod
+// roundInterval returns the time between two exchanges that this VM begins.
+func (m *Manager) roundInterval() time.Duration {
+	if m.LiveCount() > largeFleetSize {
+		return largeFleetExchangeInterval
 	}
-	return period
+	return exchangeInterval
 }
 
-// beat raises the own heartbeat and lets time pass over the others.
-func (m *Manager) beat(now time.Time, silentAfter time.Duration) {
+// advanceHeartbeat raises this VM's heartbeat, marks members as silent whose heartbeat has not risen for
+// silentAfter, and drops expired members and crashes.
+func (m *Manager) advanceHeartbeat(now time.Time, silentAfter time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Heartbeat++
@@ -41,18 +42,18 @@
 	var silent []string
 	for address, e := range m.members {
 		limit := silentAfter
-		if e.record.GetZone() != m.cfg.Zone && len(m.members) >= smallFleet {
-			limit *= farSilent
+		if e.record.GetZone() != m.cfg.Zone && len(m.members) >= largeFleetSize {
+			limit *= remoteSilenceFactor
 		}
-		// Only word of a VM, which merge takes, brings it back to life.
-		if e.live && now.Sub(e.aliveAt) >= limit {
+		// Only a newer record, merged by mergeRecord, makes a silent VM live again.
+		if e.live && now.Sub(e.heartbeatAt) >= limit {
 			e.live = false
 			silent = append(silent, address)
 		}
 		if e.live {
 			live++
 		}
-		if now.Sub(e.aliveAt) > forgetAfter {
+		if now.Sub(e.heartbeatAt) > forgetAfter {
 			delete(m.members, address)
 		}
 	}
@@ -60,43 +61,43 @@
 		m.cfg.Log.Info("peers silent", zap.Strings("peers", silent), zap.Duration("silent_for", silentAfter), zap.Int("live", live))
 	}
 	m.metrics.live.Set(float64(live))
-	for k, at := range m.seenCrash {
-		if now.Sub(at) > crashKeep {
-			delete(m.seenCrash, k)
+	for k, at := range m.crashTimes {
+		if now.Sub(at) > crashRetention {
+			delete(m.crashTimes, k)
 		}
 	}
 }
 
-// Leave tells the peers, with what is sent from now on, that this VM is about to end.
+// Leave announces to the peers, in all messages from now on, that this VM is about to end.
 func (m *Manager) Leave() {
 	m.mu.Lock()
 	m.self.Leaving = true
-	m.self.Heartbeat++ // so that the word counts as newer
+	m.self.Heartbeat++ // so that the record counts as newer
 	m.mu.Unlock()
-	m.crashed.Fire()
+	m.localEvents.Fire()
 }
 
-// Contact notes that the store has answered this VM.
-func (m *Manager) Contact(now time.Time) {
+// RecordStoreContact records that the store has answered this VM.
+func (m *Manager) RecordStoreContact(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.contactAt = now
-	m.self.Heartbeat++ // so that the word counts as newer
+	m.self.Heartbeat++ // so that the record counts as newer
 }
 
-// Live returns how many other VMs show signs of life.
-func (m *Manager) Live() int { return len(m.VMs()) }
+// LiveCount returns the number of other VMs that are live and not about to end.
+func (m *Manager) LiveCount() int { return len(m.VMs()) }
 
-// VM is a VM of the fleet as the others know it.
+// VM describes a VM of the fleet as the others know it.
 type VM struct {
 	Address, Zone string
-	// Millicores of its processor; 0 where not known.
+	// Millicores of its CPU; 0 if unknown.
 	Millicores int
 }
 
 func vmOf(r *pb.FleetMember) VM { return VM{r.GetAddress(), r.GetZone(), int(r.GetMillicores())} }
 
-// VMs returns the other VMs that show signs of life and aren't about to end.
+// VMs returns the other VMs that are live and not about to end.
 func (m *Manager) VMs() []VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,9 +110,9 @@
 	return out
 }
 
-// Zone returns the live members of the own zone, this VM included, and the age of the newest contact of
-// any of them with the store; Never where there was none.
-func (m *Manager) Zone(now time.Time) (members []string, contact time.Duration) {
+// ZoneStatus returns the live members of the own zone, including this VM, and the age of their newest contact with
+// the store. The age is Never if there was none.
+func (m *Manager) ZoneStatus(now time.Time) (members []string, contact time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	newest := m.contactAt
@@ -131,7 +132,7 @@
 	return members, now.Sub(newest)
 }
 
-// Zones returns the availability zones that have a live VM, the own one included.
+// Zones returns the availability zones that have a live VM, including the own one.
 func (m *Manager) Zones() []string {
 	zones := []string{m.cfg.Zone}
 	for _, vm := range m.VMs() {
@@ -145,32 +146,33 @@
 // Never is an age longer than any process runs.
 const Never = 1 << 62
 
-// behind tells whether the peer may lack something.
-func (m *Manager) behind(address string) bool {
+// needsPush reports whether the peer may lack something that this VM has.
+func (m *Manager) needsPush(address string) bool {
 	to := m.cfg.Mirror.CompleteTo()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.members[address]
-	return e == nil || e.said.completeTo < to || len(m.seenCrash) > 0 || m.self.GetLeaving()
+	return e == nil || e.progress.completeTo < to || len(m.crashTimes) > 0 || m.self.GetLeaving()
 }
 
-// selfRecord requires mu.
+// selfRecord returns this VM's own record. The caller must hold mu.
 func (m *Manager) selfRecord(now time.Time) *pb.FleetMember {
 	return &pb.FleetMember{
 		Address: m.self.Address, Zone: m.self.Zone, Incarnation: m.self.Incarnation,
-		Heartbeat: m.self.Heartbeat, Leaving: m.self.Leaving, ContactAgeMs: age(m.contactAt, now), Millicores: m.self.Millicores,
+		Heartbeat: m.self.Heartbeat, Leaving: m.self.Leaving, ContactAgeMs: ageMillis(m.contactAt, now), Millicores: m.self.Millicores,
 	}
 }
 
-func age(at, now time.Time) int64 {
+// ageMillis returns the age in milliseconds, or -1 if at is zero.
+func ageMillis(at, now time.Time) int64 {
 	if at.IsZero() {
 		return -1
 	}
 	return now.Sub(at).Milliseconds()
 }
 
-// sampleMembers returns the members that an exchange names: all in a small fleet, else those of whom word matters
-// most, in the zone, and a random choice of the others. Requires mu.
+// sampleMembers returns the members for an exchange: all in a small fleet, otherwise those of the zone that matter
+// most and a random choice of the others. The caller must hold mu.
 func (m *Manager) sampleMembers(now time.Time, zone string) []*pb.FleetMember {
 	live := make([]*member, 0, len(m.members))
 	for _, e := range m.members {
@@ -179,40 +181,40 @@
 		}
 	}
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	if len(live) > sample {
-		preferred(live, zone)
-		live = live[:sample]
+	if len(live) > maxMembersPerExchange {
+		prioritizeZone(live, zone)
+		live = live[:maxMembersPerExchange]
 	}
 	out := make([]*pb.FleetMember, 0, len(live))
 	for _, e := range live {
 		r := e.record
 		out = append(out, &pb.FleetMember{
 			Address: r.GetAddress(), Zone: r.GetZone(), Incarnation: r.GetIncarnation(),
-			Heartbeat: r.GetHeartbeat(), Leaving: r.GetLeaving(), ContactAgeMs: age(e.contactAt, now), Millicores: r.GetMillicores(),
+			Heartbeat: r.GetHeartbeat(), Leaving: r.GetLeaving(), ContactAgeMs: ageMillis(e.contactAt, now), Millicores: r.GetMillicores(),
 		})
 	}
 	return out
 }
 
-// preferred moves to the front the member of the zone with the newest contact, whose word keeps others from
-// reading the store, and after it some of the zone.
-func preferred(live []*member, zone string) {
-	near := func(e *member) bool { return e.record.GetZone() == zone }
+// prioritizeZone moves to the front the member of the zone with the newest contact, since its record keeps others
+// from reading the store, and then some other members of the zone.
+func prioritizeZone(live []*member, zone string) {
+	inZone := func(e *member) bool { return e.record.GetZone() == zone }
 	var newest *member
 	for _, e := range live {
-		if near(e) && (newest == nil || e.contactAt.After(newest.contactAt)) {
+		if inZone(e) && (newest == nil || e.contactAt.After(newest.contactAt)) {
 			newest = e
 		}
 	}
 	rest := toFront(live, 1, func(e *member) bool { return e == newest })
-	toFront(rest, sampleNear, near)
+	toFront(rest, ownZoneMemberSlots, inZone)
 }
 
-// toFront moves up to most of the wanted members to the front and returns the others.
-func toFront(list []*member, most int, wanted func(e *member) bool) []*member {
+// toFront moves up to limit matching members to the front and returns the others.
+func toFront(list []*member, limit int, match func(e *member) bool) []*member {
 	n := 0
 	for i, e := range list {
-		if n < most && wanted(e) {
+		if n < limit && match(e) {
 			list[n], list[i] = list[i], list[n]
 			n++
 		}
@@ -220,9 +222,9 @@
 	return list[n:]
 }
 
-// merge takes a record of a member; the higher incarnation and heartbeat wins. It tells whether that brings a VM to
-// life that was silent or not known. Requires mu.
-func (m *Manager) merge(r *pb.FleetMember, now time.Time) bool {
+// mergeRecord merges a record of a member. The higher incarnation wins, then the higher heartbeat. It reports
+// whether the VM was silent or unknown and is live now. The caller must hold mu.
+func (m *Manager) mergeRecord(r *pb.FleetMember, now time.Time) bool {
 	if r.GetAddress() == "" || r.GetAddress() == m.cfg.Self {
 		return false
 	}
@@ -234,14 +236,14 @@
 		e = &member{}
 		m.members[r.GetAddress()] = e
 	} else if e.record.GetIncarnation() != r.GetIncarnation() {
-		e.said, e.contactAt = word{}, time.Time{}
+		e.progress, e.contactAt = progress{}, time.Time{}
 	}
-	back := !e.live
-	e.record, e.aliveAt, e.live = r, now, true
+	revived := !e.live
+	e.record, e.heartbeatAt, e.live = r, now, true
 	if r.GetContactAgeMs() >= 0 {
 		if at := now.Add(-time.Duration(r.GetContactAgeMs()) * time.Millisecond); at.After(e.contactAt) {
 			e.contactAt = at
 		}
 	}
-	return back
+	return revived
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers lets the VMs of the system find each other and share what any of them has read from
-// the platform's store, so that a VM that the store refuses learns from those that it serves. Each VM
-// exchanges with random others several times a second, and at once with many where it has news.
+// Package peers lets the VMs of the system find each other and share, by gossip, what any of them has read from the
+// platform's store. So a VM that the store refuses learns from those that the store serves. Each VM exchanges with
+// random others several times a second, and with many at once when it has updates.
 package peers
 
 import (
@@ -20,79 +20,84 @@
 )
 
 const (
-	// period is how often a random peer is asked, longPeriod in a fleet above smallFleet: an exchange
-	// names all members, so that its bytes grow with the fleet.
-	period     = 250 * time.Millisecond
-	longPeriod = 500 * time.Millisecond
-	// exchangeTimeout bounds an exchange: a few round trips between zones, and a VM that stood still.
+	// exchangeInterval is the interval of exchanges with a random peer, largeFleetExchangeInterval that in a fleet
+	// above largeFleetSize: an exchange names all members, so that its size grows with the fleet.
+	exchangeInterval           = 250 * time.Millisecond
+	largeFleetExchangeInterval = 500 * time.Millisecond
+	// exchangeTimeout bounds an exchange. It allows for a few round trips between zones and a VM that paused.
 	exchangeTimeout = 800 * time.Millisecond
-	// silentRounds is the age of the newest sign of life, in rounds, from which a peer counts as gone: a
-	// heartbeat comes around a fleet of 60 in about 6 rounds.
-	silentRounds = 12
-	// forgetAfter is how long a silent peer is still tried.
+	// silenceRounds is the age of the last heartbeat, in rounds, from which a peer counts as silent. A heartbeat
+	// reaches a whole fleet of 60 in about 6 rounds.
+	silenceRounds = 12
+	// forgetAfter is how long after its last heartbeat a silent peer is still tried.
 	forgetAfter = time.Minute
-	// sample bounds the members that an exchange names, some 45 bytes each. In a fleet above it those of the own zone
-	// have sampleNear places: by chance alone each is heard of so seldom among 300 VMs that one of them is taken for
-	// silent at any time. With more places the same happens to those of other zones.
-	sample     = 80
-	sampleNear = 28
-	// announceFrom is the size of news in bytes from which it is only announced: a peer that lacks it asks
-	// for it, so that a large configuration goes to each VM about once instead of three times.
-	announceFrom = 1 << 10
-	// pullsMost bounds the announcements that wait to be asked for.
-	pullsMost = 8
-	// crashKeep is how long a crash is told.
-	crashKeep = 2 * time.Minute
+	// maxMembersPerExchange bounds the members that an exchange names, some 45 bytes each. In a larger fleet
+	// ownZoneMemberSlots of them are for the own zone. With a purely random choice each of them is named so seldom
+	// among 300 VMs that at any time one of them is taken for silent. With more slots the same happens to members
+	// of other zones.
+	maxMembersPerExchange = 80
+	ownZoneMemberSlots    = 28
+	// announceMinBytes is the size of an update from which it is only announced. A peer that lacks it requests it,
+	// so that a large configuration goes to each VM about once instead of three times.
+	announceMinBytes = 1 << 10
+	// maxQueuedPulls bounds the announced updates that wait to be requested.
+	maxQueuedPulls = 8
+	// crashRetention is how long a crash is reported.
+	crashRetention = 2 * time.Minute
 )
 
 // Dial returns the client of the peer at the address.
 type Dial func(address string) Client
 
-// Client is what peers need of another VM.
+// Client makes calls to another VM.
 type Client interface {
 	Exchange(ctx context.Context, req *pb.FleetExchange) (*pb.FleetExchange, error)
 }
 
-// Evidence is what VMs tell each other of leaves in trouble.
+// Evidence holds what VMs report to each other about leaves in trouble.
 type Evidence interface {
+	// Troubles returns what this VM observed of leaves in trouble.
 	Troubles(now time.Time) []replica.Trouble
+	// RecordPeerTroubles records what the VM at the address vm reported, in place of what it reported before.
 	RecordPeerTroubles(vm string, list []replica.Trouble, now time.Time)
 }
 
-// Config is what the duty works on.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
 	// Self is the address (HOST:PORT) of this VM, Zone its availability zone.
 	Self, Zone string
-	// Millicores of this VM's processor; 0 where not known.
+	// Millicores of this VM's CPU; 0 if unknown.
 	Millicores int
-	// Incarnation of this process, rising with each start.
+	// Incarnation of this process. It rises with each start.
 	Incarnation uint64
-	// Seeds returns addresses of VMs to ask first; they may be stale.
+	// Seeds returns the addresses of the VMs to contact first. They may be out of date.
 	Seeds    func() []string
 	Mirror   *mirror.Mirror
 	Evidence Evidence
+	// Changed fires when an item of Mirror changes.
 	Changed  *notify.Notifier
 	Dial     Dial
 	Log      *zap.Logger
 	Registry prometheus.Registerer
 }
 
-// Manager owns membership and exchanges. It is safe for concurrent use.
+// Manager maintains the membership and runs the exchanges. It is safe for concurrent use.
 type Manager struct {
 	cfg     Config
 	metrics *metrics
-	crashed *notify.Notifier
-	// pulls holds peers that have news.
+	// localEvents fires when this VM reports a crash or is about to end.
+	localEvents *notify.Notifier
+	// pulls queues requests for updates that peers have announced.
 	pulls chan pull
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
-	members   map[string]*member
-	self      pb.FleetMember
-	contactAt time.Time
-	seenCrash map[crashKey]time.Time
-	// toldAt is when a VM of the zone last got the whole state from this one.
-	toldAt map[string]time.Time
+	// The fields below are guarded by mu.
+	members    map[string]*member
+	self       pb.FleetMember
+	contactAt  time.Time
+	crashTimes map[crashKey]time.Time
+	// fullStateSentAt is when a VM of the zone last got the full state from this one.
+	fullStateSentAt map[string]time.Time
 }
 
 type metrics struct {
@@ -110,74 +115,75 @@
 	}
 	cfg.Registry.MustRegister(m.exchanges, m.live)
 	return &Manager{
-		cfg: cfg, metrics: m, members: make(map[string]*member), crashed: notify.New(),
-		pulls:     make(chan pull, pullsMost),
-		self:      pb.FleetMember{Address: cfg.Self, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Millicores: uint32(max(cfg.Millicores, 0))},
-		seenCrash: make(map[crashKey]time.Time), toldAt: make(map[string]time.Time),
+		cfg: cfg, metrics: m, members: make(map[string]*member), localEvents: notify.New(),
+		pulls:      make(chan pull, maxQueuedPulls),
+		self:       pb.FleetMember{Address: cfg.Self, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Millicores: uint32(max(cfg.Millicores, 0))},
+		crashTimes: make(map[crashKey]time.Time), fullStateSentAt: make(map[string]time.Time),
 	}
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges with peers until ctx ends. It returns nil.
 func (m *Manager) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.runRounds(ctx) })
-	wg.Go(func() { m.runNews(ctx) })
+	wg.Go(func() { m.runPushes(ctx) })
 	wg.Go(func() { m.runSeeds(ctx) })
 	wg.Go(func() { m.runPulls(ctx) })
 	wg.Wait()
 	return nil
 }
 
+// runRounds begins an exchange with a random peer in each round, until ctx ends.
 func (m *Manager) runRounds(ctx context.Context) {
 	for {
-		round := m.round()
+		round := m.roundInterval()
 		if !wait.For(ctx, round-round/10+rand.N(round/5)) {
 			return
 		}
-		m.beat(time.Now(), silentRounds*round)
-		if p, ok := m.pick(); ok {
+		m.advanceHeartbeat(time.Now(), silenceRounds*round)
+		if p, ok := m.pickPeer(); ok {
 			go m.exchange(ctx, p, false)
 		}
 	}
 }
 
-// runNews tells others at once when the mirror changed or a crash was seen.
-func (m *Manager) runNews(ctx context.Context) {
+// runPushes sends updates to peers at once when the mirror changes, a crash is reported or this VM is about to end.
+func (m *Manager) runPushes(ctx context.Context) {
 	for {
-		changed, crashed := m.cfg.Changed.Changed(), m.crashed.Changed()
+		changed, localEvent := m.cfg.Changed.Changed(), m.localEvents.Changed()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-crashed:
+		case <-localEvent:
 		}
-		for _, p := range m.audience() {
-			if m.behind(p) {
+		for _, p := range m.pushTargets() {
+			if m.needsPush(p) {
 				go m.exchange(ctx, p, true)
 			}
 		}
-		if !wait.For(ctx, newsGap) {
+		if !wait.For(ctx, minPushInterval) {
 			return
 		}
 	}
 }
 
-// newsGap is the least time between two rounds of news, so that a series of changes travels together.
-const newsGap = 20 * time.Millisecond
+// minPushInterval is the minimum time between two pushes, so that a series of changes is sent together.
+const minPushInterval = 20 * time.Millisecond
 
-// Dump shows the members.
+// Dump returns the known members.
 func (m *Manager) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	type shown struct {
+	type memberDump struct {
 		Zone       string `json:"zone"`
 		Live       bool   `json:"live"`
 		Leaving    bool   `json:"leaving"`
 		CompleteTo uint64 `json:"complete_to"`
 	}
-	out := make(map[string]shown, len(m.members))
+	out := make(map[string]memberDump, len(m.members))
 	for a, e := range m.members {
-		out[a] = shown{e.record.GetZone(), e.live, e.record.GetLeaving(), e.said.completeTo}
+		out[a] = memberDump{e.record.GetZone(), e.live, e.record.GetLeaving(), e.progress.completeTo}
 	}
 	return out
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -22,18 +22,19 @@
 	"github.com/burdockplank/burdockplank/internal/replica"
 )
 
-// network connects managers in memory; cut addresses don't answer.
+// network connects managers in memory. Addresses that are cut don't answer.
 type network struct {
 	mu   sync.Mutex
 	vms  map[string]*Manager
 	cut  map[string]bool
 	sent map[string]int
-	// answered counts the items in answers, and those sent in requests.
-	answered int
-	// crossed counts exchanges between zones, copiesCrossed the items that they carried.
-	crossed, copiesCrossed int
-	// near and far count the items that each VM sent to others of its zone, and of other zones.
-	near, far map[string]int
+	// itemsSent counts the items in requests and answers.
+	itemsSent int
+	// exchangesAcrossZones counts the exchanges between zones, itemsAcrossZones the items in them.
+	exchangesAcrossZones, itemsAcrossZones int
+	// sentWithinZone and sentAcrossZones count the items that each VM sent to VMs of its own zone and of other
+	// zones.
+	sentWithinZone, sentAcrossZones map[string]int
 	// delay of each exchange.
 	delay time.Duration
 	// cutZone is cut off from the others; empty for none.
@@ -41,7 +42,7 @@
 }
 
 func newNetwork() *network {
-	return &network{vms: make(map[string]*Manager), cut: make(map[string]bool), sent: make(map[string]int), near: make(map[string]int), far: make(map[string]int)}
+	return &network{vms: make(map[string]*Manager), cut: make(map[string]bool), sent: make(map[string]int), sentWithinZone: make(map[string]int), sentAcrossZones: make(map[string]int)}
 }
 
 type link struct {
@@ -54,12 +55,12 @@
 	peer, cut := l.n.vms[l.to], l.n.cut[l.to] || l.n.cut[l.from]
 	l.n.sent[l.to] += len(req.GetItems())
 	far := peer != nil && peer.cfg.Zone != req.GetSender().GetZone()
-	gave := l.n.near
+	sentBy := l.n.sentWithinZone
 	if far {
-		gave = l.n.far
-		l.n.crossed++
+		sentBy = l.n.sentAcrossZones
+		l.n.exchangesAcrossZones++
 	}
-	gave[l.from] += len(req.GetItems())
+	sentBy[l.from] += len(req.GetItems())
 	delay := l.n.delay
 	cut = cut || far && (peer.cfg.Zone == l.n.cutZone || req.GetSender().GetZone() == l.n.cutZone)
 	l.n.mu.Unlock()
@@ -69,10 +70,10 @@
 	time.Sleep(delay)
 	got := peer.Answer(req)
 	l.n.mu.Lock()
-	l.n.answered += len(got.GetItems()) + len(req.GetItems())
-	gave[l.to] += len(got.GetItems())
+	l.n.itemsSent += len(got.GetItems()) + len(req.GetItems())
+	sentBy[l.to] += len(got.GetItems())
 	if far {
-		l.n.copiesCrossed += len(got.GetItems()) + len(req.GetItems())
+		l.n.itemsAcrossZones += len(got.GetItems()) + len(req.GetItems())
 	}
 	l.n.mu.Unlock()
 	return got, nil
@@ -99,7 +100,7 @@
 	return m, mi
 }
 
-// within waits until ok holds.
+// within waits until ok holds, and fails the test if that takes longer than d.
 func within(t *testing.T, d time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(d); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -109,11 +110,11 @@
 	}
 }
 
-// allKnowAll waits until each of the VMs knows all others.
-func allKnowAll(t *testing.T, d time.Duration, vms []*Manager) {
+// waitForFullMembership waits until each of the VMs knows all others.
+func waitForFullMembership(t *testing.T, d time.Duration, vms []*Manager) {
 	t.Helper()
-	within(t, d, "all know all", func() bool {
-		return !slices.ContainsFunc(vms, func(m *Manager) bool { return m.Live() < len(vms)-1 })
+	within(t, d, "each VM knows all others", func() bool {
+		return !slices.ContainsFunc(vms, func(m *Manager) bool { return m.LiveCount() < len(vms)-1 })
 	})
 }
 
@@ -124,9 +125,9 @@
 	}
 }
 
-// A change that one VM read is known to all of a fleet in far less than the second that it may take,
-// though each knows only one seed at its start.
-func TestNewsReachesAll(t *testing.T) {
+// A change that one VM reads reaches the whole fleet in far less than the second that it may take, though each VM
+// knows only one seed at its start.
+func TestUpdatesReachAllVMs(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	n := newNetwork()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -140,7 +141,7 @@
 		vms, copies = append(vms, m), append(copies, mi)
 		wg.Go(func() { _ = m.Run(ctx) })
 	}
-	allKnowAll(t, 10*time.Second, vms)
+	waitForFullMembership(t, 10*time.Second, vms)
 	begun := time.Now()
 	copies[7].Merge(item(5), begun)
 	within(t, 2*time.Second, "all have the change", func() bool {
@@ -154,9 +155,9 @@
 	t.Logf("after %v", time.Since(begun))
 }
 
-// largeFleet runs 48 VMs in 4 zones, two of each of which are strong, until the test ends, and waits until all
-// know all.
-func largeFleet(t *testing.T, n *network) (vms []*Manager, copies []*mirror.Mirror) {
+// runLargeFleet runs 48 VMs in 4 zones, two larger ones in each, until the test ends. It returns once each VM knows
+// all others.
+func runLargeFleet(t *testing.T, n *network) (vms []*Manager, copies []*mirror.Mirror) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -173,19 +174,19 @@
 	for _, m := range vms {
 		wg.Go(func() { _ = m.Run(ctx) })
 	}
-	allKnowAll(t, 15*time.Second, vms)
+	waitForFullMembership(t, 15*time.Second, vms)
 	return vms, copies
 }
 
-// In a large fleet few exchanges cross zones, where bytes are dear, and news reaches all nevertheless.
+// In a large fleet few exchanges cross zones, where traffic is expensive, and updates still reach all VMs.
 func TestFewExchangesCrossZones(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	vms, copies := largeFleet(t, n)
+	vms, copies := runLargeFleet(t, n)
 	crossed := func() int {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.crossed
+		return n.exchangesAcrossZones
 	}
 	before := crossed()
 	const span = 4
@@ -204,18 +205,18 @@
 	}
 	rate := float64(crossed()-before) / span
 	t.Logf("%.1f exchanges a second cross zones", rate)
-	is.True(rate < 45) // 102 where all VMs talk to those of other zones, most with lists of all members
+	is.True(rate < 45) // 102 if all VMs exchange with other zones, most with lists of all members
 	for _, m := range vms {
-		is.Equal(m.Live(), len(vms)-1) // nobody was taken for gone
+		is.Equal(m.LiveCount(), len(vms)-1) // no VM was counted as silent
 	}
 }
 
-// Where the strong VMs of a zone are lost, the others bring its news to the fleet.
-func TestNewsWithoutEnvoys(t *testing.T) {
+// If the larger VMs of a zone are lost, the others bring its updates to the fleet.
+func TestUpdatesReachAllWithoutGateways(t *testing.T) {
 	n := newNetwork()
-	_, copies := largeFleet(t, n)
-	for _, envoy := range []string{"vm1", "vm5"} { // of z1
-		n.setCut(envoy, true)
+	_, copies := runLargeFleet(t, n)
+	for _, gateway := range []string{"vm1", "vm5"} { // of z1
+		n.setCut(gateway, true)
 	}
 	copies[17].Merge(item(5), time.Now())
 	within(t, 5*time.Second, "all but those cut off have the change", func() bool {
@@ -239,17 +240,17 @@
 	b, copyB := n.vm("b", "z", 1, "a", "b")
 	wg.Go(func() { _ = a.Run(ctx) })
 	wg.Go(func() { _ = b.Run(ctx) })
-	within(t, time.Second, "they know each other", func() bool { return a.Live() == 1 && b.Live() == 1 })
+	within(t, time.Second, "a and b know each other", func() bool { return a.LiveCount() == 1 && b.LiveCount() == 1 })
 	n.setCut("b", true)
-	within(t, 2*silentRounds*period, "a takes b for gone", func() bool { return a.Live() == 0 })
+	within(t, 2*silenceRounds*exchangeInterval, "a counts b as silent", func() bool { return a.LiveCount() == 0 })
 	copyA.Merge(item(9), time.Now())
 	is.Equal(copyB.CompleteTo(), uint64(0))
 	n.setCut("b", false)
 	within(t, 3*time.Second, "b catches up", func() bool { return copyB.CompleteTo() == 9 })
 }
 
-// A VM that starts anew at the address of one that knew much must not pass for complete.
-func TestNewIncarnationIsToldAll(t *testing.T) {
+// A VM that starts at the address of one that had the state must not count as complete.
+func TestNewIncarnationGetsFullState(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, copyA := n.vm("a", "z", 1)
@@ -257,7 +258,7 @@
 	copyA.Merge(item(5), time.Now())
 	a.exchange(t.Context(), "b", false)
 	is.Equal(copyOld.CompleteTo(), uint64(5))
-	is.Equal(old.Live(), 1)
+	is.Equal(old.LiveCount(), 1)
 	_, copyNew := n.vm("b", "z", 2)
 	copyA.Merge(mirror.Delta{Items: []mirror.Item{{Key: "x", Revision: 6}}, CompleteFrom: 5, CompleteTo: 6}, time.Now())
 	a.exchange(t.Context(), "b", false)
@@ -267,8 +268,8 @@
 	is.Equal(len(copyNew.All()), 2)
 }
 
-// What a peer has is not sent to it, also at the first exchange.
-func TestOnlyDifferencesTravel(t *testing.T) {
+// A peer gets nothing that it already has, even in the first exchange.
+func TestOnlyDifferencesAreSent(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, copyA := n.vm("a", "z", 1)
@@ -281,9 +282,9 @@
 	is.Equal(n.sent["b"], 0)
 }
 
-// What a peer said of itself a while ago, as before a cut or in a fleet in which two VMs seldom meet, is no reason to
-// send it all that changed since: it may have that from others.
-func TestOldWordOfAPeerIsAskedAnew(t *testing.T) {
+// Old progress of a peer, as after a partition or in a fleet in which two VMs seldom exchange, is no reason to send
+// it everything that has changed since: it may have that from others.
+func TestStaleProgressIsRefreshed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork()
@@ -292,25 +293,25 @@
 		copyA.Merge(large(5), time.Now())
 		a.exchange(t.Context(), "b", false)
 		is.Equal(copyB.CompleteTo(), uint64(5))
-		before := n.answered
-		time.Sleep(wordKeep)
+		before := n.itemsSent
+		time.Sleep(progressMaxAge)
 		copyA.Merge(large(9), time.Now())
 		copyB.Merge(large(9), time.Now()) // from another VM
 		a.exchange(t.Context(), "b", false)
-		is.Equal(n.answered, before)
+		is.Equal(n.itemsSent, before)
 		copyA.Merge(large(12), time.Now())
-		a.exchange(t.Context(), "b", false) // the word is fresh now
+		a.exchange(t.Context(), "b", false) // the progress is recent now
 		is.Equal(copyB.CompleteTo(), uint64(12))
 		is.Equal(n.sent["b"], 2)
-		time.Sleep(wordKeep)
+		time.Sleep(progressMaxAge)
 		copyA.Merge(large(15), time.Now())
-		a.exchange(t.Context(), "b", false) // it is asked, and then told
+		a.exchange(t.Context(), "b", false) // it is asked first and then gets the items
 		is.Equal(copyB.CompleteTo(), uint64(15))
 	})
 }
 
-// A large change is announced, and each VM asks one peer for it: it travels to each about once.
-func TestLargeNewsTravelsOnce(t *testing.T) {
+// A large change is announced, and each VM requests it from one peer, so that about one copy goes to each VM.
+func TestLargeUpdateIsSentOnce(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -325,8 +326,8 @@
 		copies, all = append(copies, mi), append(all, m)
 		wg.Go(func() { _ = m.Run(ctx) })
 	}
-	allKnowAll(t, 10*time.Second, all)
-	time.Sleep(2 * period) // each has said to others what it has
+	waitForFullMembership(t, 10*time.Second, all)
+	time.Sleep(2 * exchangeInterval) // each has reported its progress to others
 	d := item(5)
 	d.Items[0].Value = make([]byte, 50<<10)
 	copies[3].Merge(d, time.Now())
@@ -340,36 +341,36 @@
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	t.Logf("%d copies moved", n.answered)
-	is.True(n.answered < 3*vms/2) // 37 where all is sent at once
+	t.Logf("%d copies sent", n.itemsSent)
+	is.True(n.itemsSent < 3*vms/2) // 37 if all is sent at once
 }
 
-func TestContactOfTheZone(t *testing.T) {
+func TestZoneStoreContact(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, _ := n.vm("a", "z", 1)
 	b, _ := n.vm("b", "z", 1)
 	c, _ := n.vm("c", "other", 1)
 	now := time.Now()
-	_, contact := a.Zone(now)
+	_, contact := a.ZoneStatus(now)
 	is.True(contact > time.Hour)
-	c.Contact(now)
+	c.RecordStoreContact(now)
 	c.exchange(t.Context(), "a", false)
-	members, contact := a.Zone(now)
+	members, contact := a.ZoneStatus(now)
 	is.Equal(members, []string{"a"})
-	is.True(contact > time.Hour) // another zone's contact is of no use when the zones are cut apart
-	b.Contact(now.Add(-time.Second))
+	is.True(contact > time.Hour) // another zone's contact is of no use when the zones are partitioned
+	b.RecordStoreContact(now.Add(-time.Second))
 	b.exchange(t.Context(), "a", false)
-	members, contact = a.Zone(now)
+	members, contact = a.ZoneStatus(now)
 	is.Equal(len(members), 2)
 	is.True(contact > 900*time.Millisecond && contact < 2*time.Second)
 	b.Leave()
 	b.exchange(t.Context(), "a", false)
-	members, _ = a.Zone(now)
+	members, _ = a.ZoneStatus(now)
 	is.Equal(members, []string{"a"})
 }
 
-func TestCrashesAreTold(t *testing.T) {
+func TestCrashesAreReported(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, _ := n.vm("a", "z", 1)
@@ -385,8 +386,8 @@
 	is.Equal(b.Crashes(8, now.Add(-time.Minute)), 0)
 }
 
-// Crashes and troubles are of one start of a leaf: one that starts again under its id is another leaf.
-func TestStartsOfALeafAreToldApart(t *testing.T) {
+// Crashes and troubles belong to one start of a leaf: one that restarts under its id is another leaf.
+func TestRestartedLeafIsDistinct(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	a, _ := n.vm("a", "z", 1)
@@ -405,8 +406,8 @@
 	_, call := a.cfg.Evidence.(*replica.Table).Choose(now, "r", time.Millisecond, []replica.Candidate{{ID: first, Slots: 1}})
 	call.End(replica.Failed, now)
 	a.exchange(t.Context(), "b", false)
-	told := b.cfg.Evidence.(*replica.Table)
+	table := b.cfg.Evidence.(*replica.Table)
 	from := []replica.Candidate{{ID: first, Slots: 1}, {ID: second, Slots: 1}}
-	i, _ := told.Choose(now, "r", time.Millisecond, from)
+	i, _ := table.Choose(now, "r", time.Millisecond, from)
 	is.Equal(from[i].ID, second)
 }
--- a/internal/readers/readers_test.go
+++ b/internal/readers/readers_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-// active returns who of a zone reads, all with one view.
+// active returns the VMs of a zone that read, given that all have the same view.
 func active(members []string, age time.Duration) (out []string) {
 	for _, vm := range members {
 		s := State{Rank: Rank("az-1", members, vm), Members: len(members), ContactAge: age, SinceTakeover: -1}
@@ -28,22 +28,22 @@
 	return out
 }
 
-func TestReadersStayConstantAsTheZoneGrows(t *testing.T) {
+func TestReaderCountIsIndependentOfZoneSize(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 8, 132} {
 		is := is.New(t)
 		is.Equal(len(active(vms(n), 0)), min(n, PerZone))
 		is.Equal(len(active(vms(n), TakeoverAfter-1)), min(n, PerZone))
-		for age := TakeoverAfter; age < TakeoverAfter+70*Turn; age += Turn {
-			is.True(len(active(vms(n), age)) <= 2*PerZone) // also while the platform is down
+		for age := TakeoverAfter; age < TakeoverAfter+70*TurnDuration; age += TurnDuration {
+			is.True(len(active(vms(n), age)) <= 2*PerZone) // even while the platform is down
 		}
 	}
 }
 
-func TestEachVMGetsItsTurn(t *testing.T) {
+func TestEachVMGetsATurn(t *testing.T) {
 	is := is.New(t)
 	members := vms(9)
 	seen := make(map[string]bool)
-	for age := TakeoverAfter; age < TakeoverAfter+4*Turn; age += Turn {
+	for age := TakeoverAfter; age < TakeoverAfter+4*TurnDuration; age += TurnDuration {
 		for _, vm := range active(members, age) {
 			seen[vm] = true
 		}
@@ -51,11 +51,11 @@
 	is.Equal(len(seen), len(members))
 }
 
-func TestTakeoverIsHeldForAWhile(t *testing.T) {
+func TestTakeoverLastsItsDuration(t *testing.T) {
 	is := is.New(t)
-	s := State{Rank: 5, Members: 8, ContactAge: time.Second, SinceTakeover: Hold - 1}
+	s := State{Rank: 5, Members: 8, ContactAge: time.Second, SinceTakeover: TakeoverDuration - 1}
 	is.True(Active(s))
-	s.SinceTakeover = Hold
+	s.SinceTakeover = TakeoverDuration
 	is.True(!Active(s))
 }
 
@@ -63,13 +63,13 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
 		members := vms(rapid.IntRange(2, 40).Draw(rt, "n"))
-		before := Order("az-1", members)
+		before := ByRank("az-1", members)
 		for i, vm := range before {
 			is.Equal(Rank("az-1", members, vm), i)
 		}
 		lost := rapid.SampledFrom(members).Draw(rt, "lost")
-		left := slices.DeleteFunc(slices.Clone(members), func(vm string) bool { return vm == lost })
-		after := Order("az-1", left)
+		remaining := slices.DeleteFunc(slices.Clone(members), func(vm string) bool { return vm == lost })
+		after := ByRank("az-1", remaining)
 		is.Equal(after, slices.DeleteFunc(before, func(vm string) bool { return vm == lost }))
 	})
 }
