--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -43,7 +43,7 @@
 		return nil
 	}
 	e := outcome.NotRun(pb.Reason_REASON_CALLER_LIMIT, step, "more than %g requests a second", caller.Rate)
-	return e.After(a.returns.after(now, 0, caller.Rate, c.random()))
+	return e.WithRetryAfter(a.returns.after(now, 0, caller.Rate, c.random()))
 }
 
 // of returns the caller's allowance as its bundle says now; mu is held.
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -133,13 +133,13 @@
 		return nil
 	}
 	e := outcome.NotRun(pb.Reason_REASON_DEADLINE, step, "the time left is too short for the work")
-	return e.After(g.comeBack(now))
+	return e.WithRetryAfter(g.comeBack(now))
 }
 
 // full refuses a request for load.
 func (g *gate) full(now time.Time, why string) *outcome.Error {
 	g.excess = now
-	return outcome.NotRun(pb.Reason_REASON_QUEUE_FULL, step, "%s", why).After(g.comeBack(now))
+	return outcome.NotRun(pb.Reason_REASON_QUEUE_FULL, step, "%s", why).WithRetryAfter(g.comeBack(now))
 }
 
 // comeBack returns when a refused caller should come back.
--- a/internal/ctl/request_test.go
+++ b/internal/ctl/request_test.go
@@ -122,11 +122,11 @@
 		code int
 		says []string
 	}{
-		{"not run", outcome.NotRun(pb.Reason_REASON_QUEUE_FULL, "entry.admission", "queue of 10").After(wait), ExitNotRun,
+		{"not run", outcome.NotRun(pb.Reason_REASON_QUEUE_FULL, "entry.admission", "queue of 10").WithRetryAfter(wait), ExitNotRun,
 			[]string{"not_run", "queue_full", "entry.admission", "come back in", "1.5s", "req-9"}},
-		{"failed", outcome.Failed(pb.Reason_REASON_UPSTREAM_ERROR, "gather.scatter", "").At("teachers-1-a"), ExitFailed,
+		{"failed", outcome.Failed(pb.Reason_REASON_UPSTREAM_ERROR, "gather.scatter", "").WithPeer("teachers-1-a"), ExitFailed,
 			[]string{"failed", "upstream_error", "gather.scatter", "teachers-1-a"}},
-		{"unknown", outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, "order.run", "").At("vm-2"), ExitUnknown,
+		{"unknown", outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, "order.run", "").WithPeer("vm-2"), ExitUnknown,
 			[]string{"unknown", "incarnation_gone", "vm-2"}},
 	}
 	for _, tt := range tests {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -234,11 +234,11 @@
 func (m *Manager) takesWork(c *call) *outcome.Error {
 	switch {
 	case m.drainer.refuses():
-		return outcome.NotRun(pb.Reason_REASON_DRAINING, doorStep, "this entry is shutting down").After(drainRetryAfter)
+		return outcome.NotRun(pb.Reason_REASON_DRAINING, doorStep, "this entry is shutting down").WithRetryAfter(drainRetryAfter)
 	case c.view.Bundle == nil:
-		return outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, doorStep, "no bundle has been accepted yet").After(pausedRetryAfter)
+		return outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, doorStep, "no bundle has been accepted yet").WithRetryAfter(pausedRetryAfter)
 	case !m.source.Fresh():
-		return outcome.NotRun(pb.Reason_REASON_PAUSED, doorStep, "this entry waits for news of the fleet").After(pausedRetryAfter)
+		return outcome.NotRun(pb.Reason_REASON_PAUSED, doorStep, "this entry waits for news of the fleet").WithRetryAfter(pausedRetryAfter)
 	}
 	return nil
 }
--- a/internal/gather/door.go
+++ b/internal/gather/door.go
@@ -42,7 +42,7 @@
 // returned must be called at the request's end.
 func (d *Door) Enter(ctx context.Context, id *pb.Identity, service string) (leave func(), err error) {
 	if !d.begin(false) {
-		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, Step, "the gather is draining").After(drainRetry)
+		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, Step, "the gather is draining").WithRetryAfter(drainRetry)
 	}
 	if err := d.check(ctx, id, service); err != nil {
 		d.end()
@@ -92,7 +92,7 @@
 		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "want a request id of 1 to %d bytes", maxRequestID)
 	}
 	if !d.source.Fresh() {
-		return outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "no fresh news of the fleet").After(pausedRetry)
+		return outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "no fresh news of the fleet").WithRetryAfter(pausedRetry)
 	}
 	b, err := d.bundle(ctx, id.GetBundleVersion())
 	if err != nil {
@@ -122,7 +122,7 @@
 		select {
 		case <-changed:
 		case <-wait.C:
-			return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "bundle %d isn't in force here yet", version).After(pausedRetry)
+			return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "bundle %d isn't in force here yet", version).WithRetryAfter(pausedRetry)
 		case <-ctx.Done():
 			return nil, outcome.Classify(ctx.Err(), pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, Step)
 		}
--- a/internal/order/attempt.go
+++ b/internal/order/attempt.go
@@ -36,7 +36,7 @@
 // do returns the final record. A leaf that surely did not start the order is followed by another
 // replica; after any other failure the order is never sent again.
 func (a *attempt) do(ctx context.Context) *pb.TicketRecord {
-	last := outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, stepPlace, "no replica takes orders, take a new ticket").After(a.m.cfg.RetryAfter)
+	last := outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, stepPlace, "no replica takes orders, take a new ticket").WithRetryAfter(a.m.cfg.RetryAfter)
 	for {
 		if stop := a.clear(ctx); stop != nil {
 			return stop
@@ -65,7 +65,7 @@
 		call.Done(resultOf(ctx, ce))
 		a.tried = append(a.tried, call.Leaf())
 		if last = refusedEnd(ce); last.RetryAfter == 0 {
-			last = last.After(a.m.cfg.RetryAfter)
+			last = last.WithRetryAfter(a.m.cfg.RetryAfter)
 		}
 		if ce.Refusal == pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED && !a.replicas().AllowRetry(a.place.kind.RetryBudget) {
 			return a.ended(last)
@@ -100,7 +100,7 @@
 			return call, nil
 		}
 		if !a.m.now().Before(limit) {
-			return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, stepPlace, "all replicas are at their limit, take a new ticket").After(a.m.cfg.RetryAfter)
+			return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, stepPlace, "all replicas are at their limit, take a new ticket").WithRetryAfter(a.m.cfg.RetryAfter)
 		}
 		wait.For(ctx, a.m.cfg.PickEvery)
 	}
@@ -137,7 +137,7 @@
 func (a *attempt) answered(call balance.Call, resp *pb.LeafExecuteResponse) *pb.TicketRecord {
 	if resp.GetRequestId() != a.who.GetRequestId() || resp.GetTicket() != a.order.GetTicket() {
 		call.Done(balance.ResultError)
-		return a.ended(outcome.Unknown(pb.Reason_REASON_ANSWER_MISMATCH, stepExecute, "the leaf answered another order").At(call.Leaf()))
+		return a.ended(outcome.Unknown(pb.Reason_REASON_ANSWER_MISMATCH, stepExecute, "the leaf answered another order").WithPeer(call.Leaf()))
 	}
 	call.Done(balance.ResultOK)
 	return answeredRecord(a.m.table.id(a.t.Sequence), a.e, &pb.OrderResponse{
--- a/internal/order/ends.go
+++ b/internal/order/ends.go
@@ -15,19 +15,19 @@
 	if ctx.Err() != nil {
 		reason = pb.Reason_REASON_DEADLINE
 	}
-	return outcome.Unknown(reason, stepExecute, "the order was sent and not answered, it may have run").At(leaf).Because(err)
+	return outcome.Unknown(reason, stepExecute, "the order was sent and not answered, it may have run").WithPeer(leaf).WithCause(err)
 }
 
 // refusedEnd is the end of an order that no replica started. A refusal of this gather's own, such as
 // for its content, says itself what it is.
 func refusedEnd(ce *upstream.CallError) *outcome.Error {
 	if own, ok := outcome.As(ce.Err); ok && own.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
-		return own.At(ce.Leaf)
+		return own.WithPeer(ce.Leaf)
 	}
 	if ce.Wrote {
-		return outcome.NotRun(pb.Reason_REASON_UPSTREAM_REFUSED, stepExecute, "no replica started the order, take a new ticket").At(ce.Leaf)
+		return outcome.NotRun(pb.Reason_REASON_UPSTREAM_REFUSED, stepExecute, "no replica started the order, take a new ticket").WithPeer(ce.Leaf)
 	}
-	return outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, stepExecute, "no replica could be reached, take a new ticket").At(ce.Leaf)
+	return outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, stepExecute, "no replica could be reached, take a new ticket").WithPeer(ce.Leaf)
 }
 
 func resultOf(ctx context.Context, ce *upstream.CallError) balance.Result {
--- a/internal/order/intent.go
+++ b/internal/order/intent.go
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	if resp.GetSealed() {
-		return a.ended(outcome.NotRun(pb.Reason_REASON_SEALED, stepIntent, "the ticket was sealed, take a new one").At(a.t.WitnessVM)), nil
+		return a.ended(outcome.NotRun(pb.Reason_REASON_SEALED, stepIntent, "the ticket was sealed, take a new one").WithPeer(a.t.WitnessVM)), nil
 	}
 	return resp.GetRecord(), nil
 }
@@ -109,5 +109,5 @@
 func (a *attempt) noWitness(cause error) *pb.TicketRecord {
 	return a.ended(outcome.NotRun(pb.Reason_REASON_UNREACHABLE, stepIntent,
 		"the ticket's witness can't be asked and nothing was sent, take a new ticket").
-		At(a.t.WitnessVM).After(a.m.cfg.RetryAfter).Because(cause))
+		WithPeer(a.t.WitnessVM).WithRetryAfter(a.m.cfg.RetryAfter).WithCause(cause))
 }
--- a/internal/order/issue.go
+++ b/internal/order/issue.go
@@ -37,13 +37,13 @@
 		return nil, end
 	}
 	if !m.source.Fresh() {
-		return nil, outcome.NotRun(pb.Reason_REASON_PAUSED, stepIssue, "no fresh news of the fleet").After(m.cfg.RetryAfter)
+		return nil, outcome.NotRun(pb.Reason_REASON_PAUSED, stepIssue, "no fresh news of the fleet").WithRetryAfter(m.cfg.RetryAfter)
 	}
 	if m.draining.Load() {
-		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, stepIssue, "this gather is leaving").After(m.cfg.RetryAfter)
+		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, stepIssue, "this gather is leaving").WithRetryAfter(m.cfg.RetryAfter)
 	}
 	if reason := m.table.full(caller); reason != pb.Reason_REASON_UNSPECIFIED {
-		return nil, outcome.NotRun(reason, stepIssue, "too many tickets held").After(m.cfg.TTL)
+		return nil, outcome.NotRun(reason, stepIssue, "too many tickets held").WithRetryAfter(m.cfg.TTL)
 	}
 	return m.mint(ctx, want, caller)
 }
@@ -60,7 +60,7 @@
 	}
 	t, ok := m.minter.Mint(g)
 	if !ok || !m.table.add(t.Sequence, caller, expires) {
-		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, stepIssue, "this gather issues no more tickets").After(m.cfg.RetryAfter)
+		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, stepIssue, "this gather issues no more tickets").WithRetryAfter(m.cfg.RetryAfter)
 	}
 	return t, nil
 }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -354,7 +354,7 @@
 
 func TestOwnRefusalOfALeafCallSaysItself(t *testing.T) {
 	is := is.New(t)
-	own := outcome.NotRun(pb.Reason_REASON_QUARANTINED, "gather.quarantine", "refused for its content").After(time.Minute)
+	own := outcome.NotRun(pb.Reason_REASON_QUARANTINED, "gather.quarantine", "refused for its content").WithRetryAfter(time.Minute)
 	end := refusedEnd(&upstream.CallError{Leaf: "leaf-0a", Err: own})
 	is.Equal(end.Reason, pb.Reason_REASON_QUARANTINED)
 	is.Equal(end.RetryAfter, time.Minute)
--- a/internal/order/place.go
+++ b/internal/order/place.go
@@ -60,7 +60,7 @@
 
 // stale refuses an order of which nothing was sent.
 func (m *Manager) stale() *outcome.Error {
-	return outcome.NotRun(pb.Reason_REASON_PAUSED, stepPlace, "no fresh news of the fleet, take a new ticket").After(m.cfg.RetryAfter)
+	return outcome.NotRun(pb.Reason_REASON_PAUSED, stepPlace, "no fresh news of the fleet, take a new ticket").WithRetryAfter(m.cfg.RetryAfter)
 }
 
 // groupOf returns the leaves of the shard that xxhash64 of the key falls on, or nil.
--- a/internal/order/resolver.go
+++ b/internal/order/resolver.go
@@ -46,7 +46,7 @@
 	case pb.TicketState_TICKET_STATE_DONE:
 		return replayResolved(resp.GetRecord(), order, requestID)
 	case pb.TicketState_TICKET_STATE_SEALED:
-		return nil, outcome.NotRun(pb.Reason_REASON_SEALED, stepResolve, "the ticket is sealed, take a new one").At(t.VM)
+		return nil, outcome.NotRun(pb.Reason_REASON_SEALED, stepResolve, "the ticket is sealed, take a new one").WithPeer(t.VM)
 	}
 	return nil, q.undecided(resp.GetState())
 }
@@ -150,13 +150,13 @@
 func (q *query) undecided(s pb.TicketState) *outcome.Error {
 	if !q.gone || q.missed {
 		return outcome.Unknown(pb.Reason_REASON_UNREACHABLE, stepResolve,
-			"the ticket's gather can't be asked now, come back with the same ticket").At(q.t.VM).After(q.r.cfg.RetryAfter)
+			"the ticket's gather can't be asked now, come back with the same ticket").WithPeer(q.t.VM).WithRetryAfter(q.r.cfg.RetryAfter)
 	}
 	message := "the ticket's gather has ended and left no record"
 	if s == pb.TicketState_TICKET_STATE_INTENT {
 		message = "the ticket's gather ended with the order under way, it may have run"
 	}
-	return outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, stepResolve, "%s", message).At(q.t.VM)
+	return outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, stepResolve, "%s", message).WithPeer(q.t.VM)
 }
 
 func decided(r *pb.ResolveResponse) bool {
--- a/internal/order/send.go
+++ b/internal/order/send.go
@@ -54,7 +54,7 @@
 		return nil, invalidTicket()
 	}
 	if t.VM != m.table.self.vm {
-		return nil, outcome.Unknown(pb.Reason_REASON_UNREACHABLE, stepTicket, "the ticket is another gather's").At(t.VM).After(m.cfg.RetryAfter)
+		return nil, outcome.Unknown(pb.Reason_REASON_UNREACHABLE, stepTicket, "the ticket is another gather's").WithPeer(t.VM).WithRetryAfter(m.cfg.RetryAfter)
 	}
 	if t.Incarnation != m.table.self.incarnation {
 		return t, outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, stepTicket, "the ticket is of another incarnation")
@@ -90,7 +90,7 @@
 	case verdictExpired:
 		m.end(t, e, outcome.NotRun(pb.Reason_REASON_TICKET_EXPIRED, stepTicket, "take a new ticket"))
 	case verdictSealed:
-		m.end(t, e, outcome.NotRun(pb.Reason_REASON_SEALED, stepTicket, "this gather is leaving, take a new ticket").After(m.cfg.RetryAfter))
+		m.end(t, e, outcome.NotRun(pb.Reason_REASON_SEALED, stepTicket, "this gather is leaving, take a new ticket").WithRetryAfter(m.cfg.RetryAfter))
 	case verdictStart:
 		go m.run(t, e, order, who)
 	}
@@ -133,7 +133,7 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		reason = pb.Reason_REASON_CANCELLED
 	}
-	return outcome.Unknown(reason, stepWait, "still running, come back with the same ticket").After(m.cfg.RetryAfter)
+	return outcome.Unknown(reason, stepWait, "still running, come back with the same ticket").WithRetryAfter(m.cfg.RetryAfter)
 }
 
 // end makes the error the final record of a ticket whose order won't run.
--- a/internal/order/witness.go
+++ b/internal/order/witness.go
@@ -131,7 +131,7 @@
 	n.state = pb.TicketState_TICKET_STATE_DONE
 	gone := outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, stepWitness, "the gather ended with the order under way, it may have run")
 	n.record = &pb.TicketRecord{
-		Ticket: id, State: n.state, Caller: n.caller, OrderDigest: n.digest, Outcome: gone.At(id.GetVm()).Proto(""),
+		Ticket: id, State: n.state, Caller: n.caller, OrderDigest: n.digest, Outcome: gone.WithPeer(id.GetVm()).Proto(""),
 	}
 }
 
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -57,22 +57,22 @@
 	return &Error{Kind: kind, Reason: reason, Step: step, Message: fmt.Sprintf(format, args...)}
 }
 
-// At returns a copy that names the peer.
-func (e *Error) At(peer string) *Error {
+// WithPeer returns a copy that names the peer.
+func (e *Error) WithPeer(peer string) *Error {
 	c := *e
 	c.Peer = peer
 	return &c
 }
 
-// After returns a copy that says when to come back.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy that says when to come back.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Because returns a copy that wraps cause.
-func (e *Error) Because(cause error) *Error {
+// WithCause returns a copy that wraps cause.
+func (e *Error) WithCause(cause error) *Error {
 	c := *e
 	c.cause = cause
 	return &c
@@ -173,7 +173,7 @@
 	case errors.Is(err, context.Canceled):
 		reason = pb.Reason_REASON_CANCELLED
 	}
-	return newError(kind, reason, step, "", nil).Because(err)
+	return newError(kind, reason, step, "", nil).WithCause(err)
 }
 
 // ToConnect returns the connect error that carries e as a detail and says when to come back.
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -15,7 +15,7 @@
 
 func TestErrorSurvivesTheWire(t *testing.T) {
 	is := is.New(t)
-	e := NotRun(pb.Reason_REASON_QUEUE_FULL, "entry.admission", "%d waiting", 7).At("vm-1").After(1500 * time.Millisecond)
+	e := NotRun(pb.Reason_REASON_QUEUE_FULL, "entry.admission", "%d waiting", 7).WithPeer("vm-1").WithRetryAfter(1500 * time.Millisecond)
 	ce := ToConnect(e, "req-1")
 	is.Equal(ce.Code(), connect.CodeResourceExhausted)
 	is.Equal(ce.Meta().Get(HeaderRetryAfter), "2")
--- a/internal/quarantine/orders.go
+++ b/internal/quarantine/orders.go
@@ -33,7 +33,7 @@
 	d := OrderDigest(req.GetService(), req.GetKind(), req.GetKey(), req.GetPayload())
 	standing, after := c.registry.Standing(Key{Digest: d, Proof: d})
 	if standing >= Doubted {
-		e := outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the order's content was in flight at several upstream crashes").After(after)
+		e := outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the order's content was in flight at several upstream crashes").WithRetryAfter(after)
 		return nil, &upstream.CallError{Leaf: leaf, Err: e}
 	}
 	if standing != Proven && c.registry.Held(leaf, d) || !c.registry.Enter(leaf, standing == Suspect) {
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -50,7 +50,7 @@
 
 // pausedHere is the end of a call that is not made.
 func pausedHere() *callError {
-	end := outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "this entry was paused since the request came").After(unreachableRetryAfter)
+	end := outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "this entry was paused since the request came").WithRetryAfter(unreachableRetryAfter)
 	return &callError{notTaken: true, here: true, typed: end, err: errPaused}
 }
 
--- a/internal/route/order.go
+++ b/internal/route/order.go
@@ -93,5 +93,5 @@
 		Kind: kind, Reason: ended(ctx, ce.err), Step: orderStep, Peer: g.VM,
 		Message: "the time ended before the gather answered; come back with the same ticket",
 	}
-	return e.After(r.comeBack()).Because(ce.err)
+	return e.WithRetryAfter(r.comeBack()).WithCause(ce.err)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -218,15 +218,15 @@
 		kind = pb.OutcomeKind_OUTCOME_KIND_NOT_RUN
 	}
 	if reason := ended(ctx, ce.err); reason != pb.Reason_REASON_UNSPECIFIED {
-		return (&outcome.Error{Kind: kind, Reason: reason, Step: Step}).At(g.VM).Because(ce.err)
+		return (&outcome.Error{Kind: kind, Reason: reason, Step: Step}).WithPeer(g.VM).WithCause(ce.err)
 	}
-	return r.unreachable(kind, g.VM, "the gather can't be reached").Because(ce.err)
+	return r.unreachable(kind, g.VM, "the gather can't be reached").WithCause(ce.err)
 }
 
 // unreachable says that a gather can't be reached now, and when to come back.
 func (r *Router) unreachable(kind pb.OutcomeKind, vm, message string) *outcome.Error {
 	e := &outcome.Error{Kind: kind, Reason: pb.Reason_REASON_UNREACHABLE, Step: Step, Message: message}
-	return e.At(vm).After(r.comeBack())
+	return e.WithPeer(vm).WithRetryAfter(r.comeBack())
 }
 
 // comeBack returns a wait with jitter.
--- a/internal/search/engine.go
+++ b/internal/search/engine.go
@@ -107,7 +107,7 @@
 		return e.answer(ctx, q)
 	}
 	if !q.state.gate.enter(ctx, q.kind.Weight, q.patience()) {
-		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "too many searches run").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "too many searches run").WithRetryAfter(e.settings.RetryAfter.D())
 	}
 	begun := time.Now()
 	defer func() {
@@ -133,7 +133,7 @@
 	planned := time.Now()
 	b := e.source.Current().Bundle
 	if b == nil {
-		return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "no bundle in force yet").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "no bundle in force yet").WithRetryAfter(e.settings.RetryAfter.D())
 	}
 	s := b.Services[req.GetService()]
 	if s == nil {
@@ -192,7 +192,7 @@
 func (e *Engine) answer(ctx context.Context, q *question) (*pb.SearchResponse, error) {
 	p := choose(q.service, e.fleet())
 	if p == nil {
-		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard can be asked").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard can be asked").WithRetryAfter(e.settings.RetryAfter.D())
 	}
 	sent := false
 	for reruns := 0; ; reruns++ {
--- a/internal/search/result.go
+++ b/internal/search/result.go
@@ -49,7 +49,7 @@
 	if !sent {
 		e = outcome.NotRun(reason, Step, "no shard was asked")
 	}
-	return e.At(peer).After(r.retryAfter(reason))
+	return e.WithPeer(peer).WithRetryAfter(r.retryAfter(reason))
 }
 
 // commonReason returns the most frequent reason and the first peer it is given for.
--- a/internal/search/trial.go
+++ b/internal/search/trial.go
@@ -71,7 +71,7 @@
 func (t *trial) allowed() bool {
 	switch standing, after := t.r.e.guard.Standing(t.r.key); standing {
 	case quarantine.Quarantined:
-		t.r.refused = quarantined(after).At(t.peer)
+		t.r.refused = quarantined(after).WithPeer(t.peer)
 		return false
 	case quarantine.Proven:
 		t.r.release()
@@ -243,7 +243,7 @@
 	if !blocked {
 		after = max(after, t.r.e.guard.Hold())
 	}
-	t.r.refused = outcome.NotRun(reason, Step, "no leaf answered the first run of the request").At(t.peer).After(after)
+	t.r.refused = outcome.NotRun(reason, Step, "no leaf answered the first run of the request").WithPeer(t.peer).WithRetryAfter(after)
 }
 
 func (t *trial) due(sooner func(time.Time)) {
@@ -254,5 +254,5 @@
 
 // quarantined is the refusal of a request that crashed leaves.
 func quarantined(after time.Duration) *outcome.Error {
-	return outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the request was in flight at several upstream crashes").After(after)
+	return outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the request was in flight at several upstream crashes").WithRetryAfter(after)
 }
