--- a/internal/order/archive.go
+++ b/internal/order/archive.go
@@ -10,35 +10,35 @@
 
 const stepArchive = "order.archive"
 
-// retired is what an incarnation that left in order handed over. It is dropped as a whole, so that
+// retiredIncarnation is what an incarnation that left in order handed over. It is dropped as a whole, so that
 // a missing record keeps its meaning.
-type retired struct {
+type retiredIncarnation struct {
 	records map[uint64]*pb.TicketRecord
 	// total is how many records there are in all, known from when the minter has sealed its tickets;
 	// -1 until then.
 	total       int
 	forgottenTo uint64
-	// forgetAt is the time since boot at which it is dropped.
-	forgetAt time.Duration
+	// evictAt is the time since boot at which it is dropped.
+	evictAt time.Duration
 }
 
-// sealedAll tells whether all records are here and a ticket without one never ran.
-func (r *retired) sealedAll() bool { return r.total >= 0 && len(r.records) >= r.total }
+// complete tells whether all records are here and a ticket without one never ran.
+func (r *retiredIncarnation) complete() bool { return r.total >= 0 && len(r.records) >= r.total }
 
 // archive holds the records of retired incarnations for those who ask later.
 type archive struct {
-	limit int
-	keep  time.Duration
-	clock *elapsed
+	maxRecords int
+	retention  time.Duration
+	clock      *bootClock
 
 	mu sync.Mutex
 	// byMinter and count, the number of records in it, are guarded by mu.
-	byMinter map[identity]*retired
+	byMinter map[identity]*retiredIncarnation
 	count    int
 }
 
-func newArchive(cfg Config, clock *elapsed) *archive {
-	return &archive{limit: cfg.ArchiveLimit, keep: cfg.PeerKeep, clock: clock, byMinter: make(map[identity]*retired)}
+func newArchive(cfg Config, clock *bootClock) *archive {
+	return &archive{maxRecords: cfg.MaxArchivedRecords, retention: cfg.PeerRetention, clock: clock, byMinter: make(map[identity]*retiredIncarnation)}
 }
 
 // accept takes one part of a handover. Parts may come again; a record that is there stays, but for
@@ -47,14 +47,14 @@
 	now := a.clock.Since()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.forget(now)
-	if a.count+len(req.GetRecords()) > a.limit {
+	a.evictExpired(now)
+	if a.count+len(req.GetRecords()) > a.maxRecords {
 		return outcome.NotRun(pb.Reason_REASON_OVERLOAD, stepArchive, "too many records held")
 	}
 	minter := identity{req.GetVm(), req.GetIncarnation()}
 	r := a.byMinter[minter]
 	if r == nil {
-		r = &retired{records: make(map[uint64]*pb.TicketRecord), total: -1, forgetAt: now + min(req.GetKeep().AsDuration(), a.keep)}
+		r = &retiredIncarnation{records: make(map[uint64]*pb.TicketRecord), total: -1, evictAt: now + min(req.GetKeep().AsDuration(), a.retention)}
 		a.byMinter[minter] = r
 	}
 	for _, rec := range req.GetRecords() {
@@ -68,7 +68,7 @@
 }
 
 // put holds a record. Needs mu.
-func (a *archive) put(r *retired, rec *pb.TicketRecord) {
+func (a *archive) put(r *retiredIncarnation, rec *pb.TicketRecord) {
 	seq := rec.GetTicket().GetSequence()
 	old := r.records[seq]
 	switch {
@@ -85,7 +85,7 @@
 	now := a.clock.Since()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.forget(now)
+	a.evictExpired(now)
 	r := a.byMinter[identity{id.GetVm(), id.GetIncarnation()}]
 	if r == nil {
 		return notKnown()
@@ -94,41 +94,41 @@
 	switch {
 	case rec != nil && rec.GetCaller() == caller:
 		return &pb.ResolveResponse{State: rec.GetState(), Record: rec}
-	case rec == nil && r.sealedAll() && id.GetSequence() > r.forgottenTo:
+	case rec == nil && r.complete() && id.GetSequence() > r.forgottenTo:
 		return &pb.ResolveResponse{State: pb.TicketState_TICKET_STATE_SEALED}
 	}
 	return notKnown()
 }
 
-// forget drops old handovers. Needs mu.
-func (a *archive) forget(now time.Duration) {
+// evictExpired drops old handovers. Needs mu.
+func (a *archive) evictExpired(now time.Duration) {
 	for minter, r := range a.byMinter {
-		if r.forgetAt <= now {
+		if r.evictAt <= now {
 			a.count -= len(r.records)
 			delete(a.byMinter, minter)
 		}
 	}
 }
 
-// parts returns all that is held as handovers to pass on.
-func (a *archive) parts() []*estate {
+// handoverData returns all that is held as handovers to pass on.
+func (a *archive) handoverData() []*handoverData {
 	now := a.clock.Since()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.forget(now)
-	var all []*estate
+	a.evictExpired(now)
+	var all []*handoverData
 	for minter, r := range a.byMinter {
-		e := &estate{minter: minter, sealedAll: r.sealedAll(), forgottenTo: r.forgottenTo, keep: r.forgetAt - now}
+		data := &handoverData{minter: minter, sealedAll: r.complete(), forgottenTo: r.forgottenTo, retention: r.evictAt - now}
 		for _, rec := range r.records {
-			e.records = append(e.records, rec)
+			data.records = append(data.records, rec)
 		}
-		all = append(all, e)
+		all = append(all, data)
 	}
 	return all
 }
 
-// held returns the retired incarnations and records held.
-func (a *archive) held() (incarnations, records int) {
+// size returns the retired incarnations and records held.
+func (a *archive) size() (incarnations, records int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.byMinter), a.count
--- a/internal/order/ends.go
+++ b/internal/order/ends.go
@@ -9,8 +9,8 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// unknownEnd is the end of an order that was written and not answered.
-func unknownEnd(ctx context.Context, leaf string, err error) *outcome.Error {
+// unansweredError is the end of an order that was written and not answered.
+func unansweredError(ctx context.Context, leaf string, err error) *outcome.Error {
 	reason := pb.Reason_REASON_UPSTREAM_ERROR
 	if ctx.Err() != nil {
 		reason = pb.Reason_REASON_DEADLINE
@@ -18,9 +18,9 @@
 	return outcome.Unknown(reason, stepExecute, "the order was sent and not answered, it may have run").WithPeer(leaf).WithCause(err)
 }
 
-// refusedEnd is the end of an order that no replica started. A refusal of this gather's own, such as
+// notStartedError is the end of an order that no replica started. A refusal of this gather's own, such as
 // for its content, says itself what it is.
-func refusedEnd(ce *upstream.CallError) *outcome.Error {
+func notStartedError(ce *upstream.CallError) *outcome.Error {
 	if own, ok := outcome.As(ce.Err); ok && own.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
 		return own.WithPeer(ce.Leaf)
 	}
@@ -30,7 +30,7 @@
 	return outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, stepExecute, "no replica could be reached, take a new ticket").WithPeer(ce.Leaf)
 }
 
-func resultOf(ctx context.Context, ce *upstream.CallError) balance.Result {
+func balanceResult(ctx context.Context, ce *upstream.CallError) balance.Result {
 	switch {
 	case ce != nil && ce.Refusal == pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED:
 		return balance.ResultShed
--- a/internal/order/handler.go
+++ b/internal/order/handler.go
@@ -21,10 +21,10 @@
 
 // NoteIntent implements TicketPeerServiceHandler.
 func (h PeerHandler) NoteIntent(_ context.Context, req *pb.NoteIntentRequest) (*pb.NoteIntentResponse, error) {
-	resp, end := h.m.witness.noteIntent(req)
-	h.m.metrics.noted(resp, end)
-	if end != nil {
-		return nil, outcome.ToConnect(end, "")
+	resp, outcomeErr := h.m.witness.noteIntent(req)
+	h.m.metrics.countNote(resp, outcomeErr)
+	if outcomeErr != nil {
+		return nil, outcome.ToConnect(outcomeErr, "")
 	}
 	return resp, nil
 }
@@ -38,7 +38,7 @@
 			resp = noted
 		}
 	}
-	h.m.metrics.resolved(resp.GetState())
+	h.m.metrics.countResolve(resp.GetState())
 	return resp, nil
 }
 
@@ -46,13 +46,13 @@
 // incarnation and holds outcomes as they arise.
 func (h PeerHandler) Handover(_ context.Context, req *pb.HandoverRequest) (*pb.HandoverResponse, error) {
 	for _, r := range req.GetRecords() {
-		h.m.witness.settle(r)
+		h.m.witness.recordOutcome(r)
 	}
 	if req.GetRecordsTotal() == 0 && !req.GetSealedAll() {
 		return &pb.HandoverResponse{}, nil
 	}
-	if end := h.m.archive.accept(req); end != nil {
-		return nil, outcome.ToConnect(end, "")
+	if outcomeErr := h.m.archive.accept(req); outcomeErr != nil {
+		return nil, outcome.ToConnect(outcomeErr, "")
 	}
 	return &pb.HandoverResponse{}, nil
 }
--- a/internal/order/handover.go
+++ b/internal/order/handover.go
@@ -14,34 +14,34 @@
 const (
 	// handoverCopies is how many peers get the records.
 	handoverCopies = 3
-	// handoverPart is how many records go in one message.
-	handoverPart = 500
-	// handoverLimit bounds the handover as a whole.
-	handoverLimit = 5 * time.Second
+	// maxHandoverRecords is how many records go in one message.
+	maxHandoverRecords = 500
+	// handoverTimeout bounds the handover as a whole.
+	handoverTimeout = 5 * time.Second
 )
 
-// estate is all that is handed over of one incarnation.
-type estate struct {
+// handoverData is all that is handed over of one incarnation.
+type handoverData struct {
 	minter      identity
 	records     []*pb.TicketRecord
 	sealedAll   bool
 	forgottenTo uint64
-	keep        time.Duration
+	retention   time.Duration
 }
 
-// parts cuts the estate into messages; sealed_all goes in the last.
-func (e *estate) parts() []*pb.HandoverRequest {
+// requests cuts the estate into messages; sealed_all goes in the last.
+func (d *handoverData) requests() []*pb.HandoverRequest {
 	var all []*pb.HandoverRequest
-	rest := e.records
+	remaining := d.records
 	for {
-		n := min(len(rest), handoverPart)
+		n := min(len(remaining), maxHandoverRecords)
 		all = append(all, &pb.HandoverRequest{
-			Vm: e.minter.vm, Incarnation: e.minter.incarnation, Records: rest[:n],
-			RecordsTotal: uint32(len(e.records)), ForgottenTo: e.forgottenTo, Keep: durationpb.New(e.keep),
+			Vm: d.minter.vm, Incarnation: d.minter.incarnation, Records: remaining[:n],
+			RecordsTotal: uint32(len(d.records)), ForgottenTo: d.forgottenTo, Keep: durationpb.New(d.retention),
 		})
-		rest = rest[n:]
-		if len(rest) == 0 {
-			all[len(all)-1].SealedAll = e.sealedAll
+		remaining = remaining[n:]
+		if len(remaining) == 0 {
+			all[len(all)-1].SealedAll = d.sealedAll
 			return all
 		}
 	}
@@ -52,8 +52,8 @@
 // ends first, orders still running are handed over as intents. It may be called once.
 func (m *Manager) Drain(ctx context.Context) {
 	m.draining.Store(true)
-	grace, cancel := context.WithTimeout(ctx, m.cfg.DrainGrace)
-	m.table.wait(grace, func(c counts) bool { return c.Minted == 0 })
+	graceCtx, cancel := context.WithTimeout(ctx, m.cfg.DrainGracePeriod)
+	m.table.wait(graceCtx, func(c counts) bool { return c.Minted == 0 })
 	cancel()
 	m.table.seal()
 	m.table.wait(ctx, func(c counts) bool { return c.Running == 0 })
@@ -62,12 +62,12 @@
 
 // handOver sends what this gather holds to peers: its own records and those handed to it before.
 func (m *Manager) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handoverLimit)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	own := m.table.estate()
+	own := m.table.handoverData()
 	var wg sync.WaitGroup
-	for _, e := range m.archive.parts() {
-		wg.Go(func() { m.handOverOne(ctx, e) })
+	for _, data := range m.archive.handoverData() {
+		wg.Go(func() { m.handOverOne(ctx, data) })
 	}
 	copies := m.handOverOne(ctx, own)
 	wg.Wait()
@@ -76,23 +76,23 @@
 
 // handOverOne gives the estate to the first peers, by rank, that take it whole, and returns to how
 // many.
-func (m *Manager) handOverOne(ctx context.Context, e *estate) int {
+func (m *Manager) handOverOne(ctx context.Context, data *handoverData) int {
 	copies := 0
-	for _, vm := range handoverOrder(m.source.Current(), e.minter) {
+	for _, vm := range handoverTargets(m.source.Current(), data.minter) {
 		if copies == handoverCopies || ctx.Err() != nil {
 			break
 		}
-		if m.handOverTo(ctx, vm, e) {
+		if m.handOverTo(ctx, vm, data) {
 			copies++
 		}
 	}
 	return copies
 }
 
-func (m *Manager) handOverTo(ctx context.Context, vm *pb.Vm, e *estate) bool {
-	for _, part := range e.parts() {
+func (m *Manager) handOverTo(ctx context.Context, vm *pb.Vm, data *handoverData) bool {
+	for _, req := range data.requests() {
 		pctx, cancel := context.WithTimeout(ctx, m.cfg.PeerTimeout)
-		_, err := m.peers.Peer(vm).Handover(pctx, part)
+		_, err := m.peers.Peer(vm).Handover(pctx, req)
 		cancel()
 		if err != nil {
 			m.metrics.handovers.WithLabelValues("failed").Inc()
@@ -111,37 +111,37 @@
 }
 
 // wait returns when the counts are as wanted or ctx ends.
-func (t *table) wait(ctx context.Context, wanted func(counts) bool) {
+func (t *table) wait(ctx context.Context, condition func(counts) bool) {
 	for {
 		t.mu.Lock()
-		quiet, c := t.quiet, t.countsLocked()
+		changed, c := t.changed, t.countsLocked()
 		t.mu.Unlock()
-		if wanted(c) {
+		if condition(c) {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-quiet:
+		case <-changed:
 		}
 	}
 }
 
-// estate returns all records of this incarnation; running orders are in it as intents. Tickets
+// handoverData returns all records of this incarnation; running orders are in it as intents. Tickets
 // without a record are sealed where the table is.
-func (t *table) estate() *estate {
+func (t *table) handoverData() *handoverData {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := &estate{minter: t.self, sealedAll: t.sealed, forgottenTo: t.forgottenTo, keep: t.cfg.PeerKeep}
-	for _, x := range t.queue {
-		switch x.state {
+	data := &handoverData{minter: t.self, sealedAll: t.sealed, forgottenTo: t.forgottenTo, retention: t.cfg.PeerRetention}
+	for _, e := range t.queue {
+		switch e.state {
 		case stateDone:
-			e.records = append(e.records, x.record)
+			data.records = append(data.records, e.record)
 		case stateRunning:
-			e.records = append(e.records, &pb.TicketRecord{
-				Ticket: t.id(x.sequence), State: pb.TicketState_TICKET_STATE_INTENT, Caller: x.caller, OrderDigest: x.digest,
+			data.records = append(data.records, &pb.TicketRecord{
+				Ticket: t.ticketID(e.sequence), State: pb.TicketState_TICKET_STATE_INTENT, Caller: e.caller, OrderDigest: e.digest,
 			})
 		}
 	}
-	return e
+	return data
 }
--- a/internal/order/history_test.go
+++ b/internal/order/history_test.go
@@ -70,29 +70,29 @@
 }
 
 func stepTicketModel(r register, in sendInput, got string) (bool, register) {
-	mine := r.payload == "" || r.payload == in.payload || in.resolve
-	taken := r
+	sameOrder := r.payload == "" || r.payload == in.payload || in.resolve
+	next := r
 	if !in.resolve {
-		taken.payload = in.payload
+		next.payload = in.payload
 	}
 	switch got {
 	case gotNothing:
 		if r.payload == "" {
-			r.payload = taken.payload
+			r.payload = next.payload
 		}
 		return true, r
 	case gotReused:
-		return !mine, r
+		return !sameOrder, r
 	case gotRunning:
-		return mine, taken
+		return sameOrder, next
 	case gotNotRun:
-		taken.final = gotNotRun
+		next.final = gotNotRun
 		// A sealed ticket never ran whichever order asks.
-		return r.final == "" && mine || r.final == gotNotRun, taken
+		return r.final == "" && sameOrder || r.final == gotNotRun, next
 	default:
-		taken.final = got
+		next.final = got
 		ran := r.payload != "" || !in.resolve
-		return mine && ran && (r.final == "" || r.final == got), taken
+		return sameOrder && ran && (r.final == "" || r.final == got), next
 	}
 }
 
@@ -118,7 +118,7 @@
 // recordHistory runs senders at once against one gather, with faults drawn from the seed.
 func recordHistory(seed uint64) (*machine, []porcupine.Operation) {
 	m := newMachine()
-	defer m.end()
+	defer m.shutDown()
 	for range historyTickets {
 		m.issueAt("vm-1")
 		synctest.Wait()
@@ -181,17 +181,17 @@
 
 // gotOf names what a send got. A resolver that can't tell says nothing; a lost answer neither.
 func gotOf(err error, fromGather bool) string {
-	end, ok := outcome.As(err)
+	outcomeErr, ok := outcome.As(err)
 	switch {
 	case err == nil:
 		return gotAnswered
 	case !ok:
 		return gotNothing
-	case end.Reason == pb.Reason_REASON_TICKET_REUSED:
+	case outcomeErr.Reason == pb.Reason_REASON_TICKET_REUSED:
 		return gotReused
-	case end.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN:
+	case outcomeErr.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN:
 		return gotNotRun
-	case end.RetryAfter == 0:
+	case outcomeErr.RetryAfter == 0:
 		return gotUnknown
 	case fromGather:
 		return gotRunning
--- a/internal/order/intent.go
+++ b/internal/order/intent.go
@@ -14,31 +14,31 @@
 
 const stepIntent = "order.intent"
 
-// clear tells whether the order may be written to a leaf now; nil means yes. It is asked again
+// checkBeforeWrite tells whether the order may be written to a leaf now; nil means yes. It is asked again
 // right before each write. An answer of the witness counts only while the process was not paused
 // since the question, for others may have decided meanwhile.
 //
 // A process can still be paused between this and the write. Then the order is written late, which
 // is safe: its intent is noted, so nobody was or will be told that it never runs.
-func (a *attempt) clear(ctx context.Context) *pb.TicketRecord {
-	for a.t.HasWitness() && !a.current() {
+func (a *attempt) checkBeforeWrite(ctx context.Context) *pb.TicketRecord {
+	for a.t.HasWitness() && !a.noteIsCurrent() {
 		if stop := a.noteIntent(ctx); stop != nil {
 			return stop
 		}
 	}
 	if a.m.table.expired(a.e) {
-		return a.ended(outcome.NotRun(pb.Reason_REASON_TICKET_EXPIRED, stepIntent, "the ticket expired before its order was sent, take a new one"))
+		return a.finalRecord(outcome.NotRun(pb.Reason_REASON_TICKET_EXPIRED, stepIntent, "the ticket expired before its order was sent, take a new one"))
 	}
 	if ctx.Err() != nil {
-		return a.ended(outcome.NotRun(pb.Reason_REASON_DEADLINE, stepIntent, "the time ran out before the order was sent, take a new ticket"))
+		return a.finalRecord(outcome.NotRun(pb.Reason_REASON_DEADLINE, stepIntent, "the time ran out before the order was sent, take a new ticket"))
 	}
 	return nil
 }
 
-// current tells whether the witness noted the intent and the process was not paused since it was
+// noteIsCurrent tells whether the witness noted the intent and the process was not paused since it was
 // asked.
-func (a *attempt) current() bool {
-	return a.noted && !a.m.pauses.LastPause(a.m.now()).After(a.asked)
+func (a *attempt) noteIsCurrent() bool {
+	return a.mayBeNoted && !a.m.pauses.LastPause(a.m.now()).After(a.askedAt)
 }
 
 // noteIntent asks the witness, also where the order's time is over: after a pause the witness may
@@ -48,7 +48,7 @@
 func (a *attempt) noteIntent(ctx context.Context) *pb.TicketRecord {
 	stop, err := a.askWitness(ctx)
 	if err != nil {
-		return a.noWitness(err)
+		return a.witnessUnavailable(err)
 	}
 	return stop
 }
@@ -65,49 +65,49 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.m.cfg.NoteTimeout)
 	defer cancel()
-	a.asked = a.m.now()
-	a.noted = true
+	a.askedAt = a.m.now()
+	a.mayBeNoted = true
 	resp, err := a.m.peers.Peer(vm).NoteIntent(ctx, &pb.NoteIntentRequest{
-		Ticket: a.m.table.id(a.t.Sequence), WitnessIncarnation: a.t.WitnessIncarnation,
+		Ticket: a.m.table.ticketID(a.t.Sequence), WitnessIncarnation: a.t.WitnessIncarnation,
 		Expires: timestamppb.New(a.t.Expires), OrderDigest: a.e.digest, Caller: a.e.caller,
 	})
 	if err != nil {
-		a.m.witnesses.Failed(a.t.WitnessVM)
+		a.m.witnessSelector.MarkFailed(a.t.WitnessVM)
 		return nil, err
 	}
 	if resp.GetSealed() {
-		return a.ended(outcome.NotRun(pb.Reason_REASON_SEALED, stepIntent, "the ticket was sealed, take a new one").WithPeer(a.t.WitnessVM)), nil
+		return a.finalRecord(outcome.NotRun(pb.Reason_REASON_SEALED, stepIntent, "the ticket was sealed, take a new one").WithPeer(a.t.WitnessVM)), nil
 	}
 	return resp.GetRecord(), nil
 }
 
-// refuse ends an order that is not tried. The witness is asked first, for after a pause of this process it
+// refuseOrder ends an order that is not tried. The witness is asked first, for after a pause of this process it
 // may have sealed the ticket, and both are to give one reason; where it has no record it is told this one.
-func (m *Manager) refuse(t *ticket.Ticket, e *entry, end *outcome.Error) {
+func (m *Manager) refuseOrder(t *ticket.Ticket, e *entry, outcomeErr *outcome.Error) {
 	a := &attempt{m: m, t: t, e: e}
-	record := a.ended(end)
+	record := a.finalRecord(outcomeErr)
 	if t.HasWitness() {
 		switch held, err := a.askWitness(context.Background()); {
 		case err != nil:
 			m.log.Info("order refused without its witness", zap.Uint64("ticket", t.Sequence), zap.String("witness", t.WitnessVM),
-				zap.String("reason", outcome.ReasonName(end.Reason)), zap.Error(err))
+				zap.String("reason", outcome.ReasonName(outcomeErr.Reason)), zap.Error(err))
 		case held != nil:
 			record = held
 		}
 	}
-	m.record(a, record)
+	m.finishAttempt(a, record)
 }
 
-// record makes the record of an attempt final, and tells the witness where that knows of the order.
-func (m *Manager) record(a *attempt, r *pb.TicketRecord) {
+// finishAttempt makes the record of an attempt final, and tells the witness where that knows of the order.
+func (m *Manager) finishAttempt(a *attempt, r *pb.TicketRecord) {
 	m.finish(a.t, a.e, r)
-	if a.noted {
+	if a.mayBeNoted {
 		m.spread(identity{a.t.WitnessVM, a.t.WitnessIncarnation}, r)
 	}
 }
 
-func (a *attempt) noWitness(cause error) *pb.TicketRecord {
-	return a.ended(outcome.NotRun(pb.Reason_REASON_UNREACHABLE, stepIntent,
+func (a *attempt) witnessUnavailable(cause error) *pb.TicketRecord {
+	return a.finalRecord(outcome.NotRun(pb.Reason_REASON_UNREACHABLE, stepIntent,
 		"the ticket's witness can't be asked and nothing was sent, take a new ticket").
 		WithPeer(a.t.WitnessVM).WithRetryAfter(a.m.cfg.RetryAfter).WithCause(cause))
 }
--- a/internal/order/issue.go
+++ b/internal/order/issue.go
@@ -17,24 +17,24 @@
 
 // IssueTicket mints a ticket for the caller. Errors are *outcome.Error, all not_run.
 func (m *Manager) IssueTicket(ctx context.Context, req *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
-	want, who := req.GetTicket(), req.GetIdentity()
-	t, end := m.issue(ctx, want, who.GetCaller())
-	m.metrics.issued(want, end)
-	if end != nil {
-		return nil, end
+	request, requester := req.GetTicket(), req.GetIdentity()
+	t, outcomeErr := m.issue(ctx, request, requester.GetCaller())
+	m.metrics.countIssue(request, outcomeErr)
+	if outcomeErr != nil {
+		return nil, outcomeErr
 	}
 	return &pb.GatherIssueTicketResponse{
-		Identity: who,
+		Identity: requester,
 		Ticket: &pb.IssueTicketResponse{
-			Ticket: t.Text(), Expires: timestamppb.New(t.Expires), RequestId: who.GetRequestId(),
+			Ticket: t.Text(), Expires: timestamppb.New(t.Expires), RequestId: requester.GetRequestId(),
 		},
 	}, nil
 }
 
-func (m *Manager) issue(ctx context.Context, want *pb.IssueTicketRequest, caller string) (*ticket.Ticket, *outcome.Error) {
+func (m *Manager) issue(ctx context.Context, request *pb.IssueTicketRequest, caller string) (*ticket.Ticket, *outcome.Error) {
 	view := m.source.Current()
-	if _, end := orderKind(view, want.GetService(), want.GetKind(), stepIssue); end != nil {
-		return nil, end
+	if _, outcomeErr := orderKind(view, request.GetService(), request.GetKind(), stepIssue); outcomeErr != nil {
+		return nil, outcomeErr
 	}
 	if !m.source.Fresh() {
 		return nil, outcome.NotRun(pb.Reason_REASON_PAUSED, stepIssue, "no fresh news of the fleet").WithRetryAfter(m.cfg.RetryAfter)
@@ -42,18 +42,18 @@
 	if m.draining.Load() {
 		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, stepIssue, "this gather is leaving").WithRetryAfter(m.cfg.RetryAfter)
 	}
-	if reason := m.table.full(caller); reason != pb.Reason_REASON_UNSPECIFIED {
+	if reason := m.table.limitReached(caller); reason != pb.Reason_REASON_UNSPECIFIED {
 		return nil, outcome.NotRun(reason, stepIssue, "too many tickets held").WithRetryAfter(m.cfg.TTL)
 	}
-	return m.mint(ctx, want, caller)
+	return m.mint(ctx, request, caller)
 }
 
-func (m *Manager) mint(ctx context.Context, want *pb.IssueTicketRequest, caller string) (*ticket.Ticket, *outcome.Error) {
-	w := m.awaitWitness(ctx)
+func (m *Manager) mint(ctx context.Context, request *pb.IssueTicketRequest, caller string) (*ticket.Ticket, *outcome.Error) {
+	w := m.waitForWitness(ctx)
 	expires := m.table.clock.Since() + m.cfg.TTL
 	g := ticket.Grant{
-		Expires: m.table.clock.Wall(expires),
-		Caller:  caller, Service: want.GetService(), Kind: want.GetKind(),
+		Expires: m.table.clock.WallTime(expires),
+		Caller:  caller, Service: request.GetService(), Kind: request.GetKind(),
 	}
 	if w != nil {
 		g.WitnessVM, g.WitnessIncarnation = w.GetId(), gatherOf(w).GetIncarnation()
@@ -65,17 +65,17 @@
 	return t, nil
 }
 
-// awaitWitness picks the witness of a new ticket, nil where there is none. Shortly after the start it
+// waitForWitness picks the witness of a new ticket, nil where there is none. Shortly after the start it
 // waits for one, if there are other VMs at all.
-func (m *Manager) awaitWitness(ctx context.Context) *pb.Vm {
+func (m *Manager) waitForWitness(ctx context.Context) *pb.Vm {
 	for {
 		changed, view := m.source.Changed(), m.source.Current()
-		w := m.witnesses.Pick(view)
-		left := m.cfg.WitnessWait - m.table.clock.Since()
-		if w != nil || left <= 0 || len(view.VMs) < 2 || ctx.Err() != nil {
+		w := m.witnessSelector.Pick(view)
+		remaining := m.cfg.WitnessWait - m.table.clock.Since()
+		if w != nil || remaining <= 0 || len(view.VMs) < 2 || ctx.Err() != nil {
 			return w
 		}
-		t := time.NewTimer(left)
+		t := time.NewTimer(remaining)
 		select {
 		case <-changed:
 		case <-t.C:
--- a/internal/order/late_test.go
+++ b/internal/order/late_test.go
@@ -11,7 +11,7 @@
 )
 
 // An order that was given up at its deadline would end unknown, though the leaf still tells.
-func TestAnswerAfterTheDeadlineCounts(t *testing.T) {
+func TestAnswerWithinTheGracePeriodIsRecorded(t *testing.T) {
 	deadline := pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE
 	for _, tt := range []struct {
 		name  string
@@ -27,10 +27,10 @@
 			inWorld(t, func(is *is.I, m *machine) {
 				i := m.ticket()
 				m.arm(atExecute, tt.fault)
-				is.Equal(m.ask(i, "p"), tt.want)
+				is.Equal(m.sendOrder(i, "p"), tt.want)
 				time.Sleep(time.Second)
-				is.Equal(m.ask(i, "p"), tt.want)
-				is.Equal(m.askAround(i), tt.want)
+				is.Equal(m.sendOrder(i, "p"), tt.want)
+				is.Equal(m.resolveTicket(i), tt.want)
 				is.Equal(m.runsOf(i.text), tt.runs)
 			})
 		})
@@ -38,34 +38,34 @@
 }
 
 // A cut between gather and witness when the order ends must not make it unknown later.
-func TestOutcomeReachesTheWitnessAfterACut(t *testing.T) {
+func TestOutcomeReachesTheWitnessAfterAPartition(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
 		m.arm(atHandover, fault{dropRequest: true}, fault{dropRequest: true}, fault{dropResponse: true})
-		is.Equal(m.ask(i, "p"), "answered")
+		is.Equal(m.sendOrder(i, "p"), "answered")
 		synctest.Wait()
-		is.Equal(m.askAround(i), "unknown unreachable")
+		is.Equal(m.resolveTicket(i), "unknown unreachable")
 		time.Sleep(3 * time.Second)
 		m.kill(m.node("vm-1"))
-		m.news()
-		is.Equal(m.askAround(i), "answered")
+		m.publishActualState()
+		is.Equal(m.resolveTicket(i), "answered")
 	})
 }
 
 // A gather that other VMs can't reach may be on the other side of a cut: only its replacement or
 // the word of its own VM make its orders unknown for good.
-func TestUnreachableGatherIsNotTakenForEnded(t *testing.T) {
+func TestUnreachableGatherIsNotTreatedAsEnded(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
 		m.arm(atExecute, fault{delay: 500 * time.Millisecond})
 		got := make(chan string, 1)
-		go func() { got <- m.ask(i, "p") }()
+		go func() { got <- m.sendOrder(i, "p") }()
 		synctest.Wait()
-		m.rumour("vm-1", pb.VmState_VM_STATE_GONE)
-		is.Equal(m.askAround(i), "unknown unreachable")
+		m.setViewState("vm-1", pb.VmState_VM_STATE_GONE)
+		is.Equal(m.resolveTicket(i), "unknown unreachable")
 		is.Equal(<-got, "answered")
 		synctest.Wait()
-		is.Equal(m.askAround(i), "answered") // the witness was told
+		is.Equal(m.resolveTicket(i), "answered") // the witness was told
 	})
 }
 
@@ -76,16 +76,16 @@
 		n := m.node("vm-1")
 		n.m.cfg.WitnessWait = time.Second
 		for _, vm := range []string{"vm-2", "vm-3", "vm-4"} {
-			m.rumour(vm, pb.VmState_VM_STATE_SUSPECT)
+			m.setViewState(vm, pb.VmState_VM_STATE_SUSPECT)
 		}
 		start := time.Now()
 		m.issueAt("vm-1")
 		synctest.Wait()
 		is.Equal(len(m.tickets), 0)
-		m.news()
+		m.publishActualState()
 		is.True(m.ticket().ticket.HasWitness())
 		for _, vm := range []string{"vm-2", "vm-3", "vm-4"} {
-			m.rumour(vm, pb.VmState_VM_STATE_SUSPECT)
+			m.setViewState(vm, pb.VmState_VM_STATE_SUSPECT)
 		}
 		time.Sleep(time.Second - time.Since(start)) // the first ticket gives up waiting
 		synctest.Wait()
--- a/internal/order/metrics.go
+++ b/internal/order/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/burdockplank/burdockplank/internal/ticket"
 )
 
-var endLabels = []string{"service", "kind", "outcome", "reason"}
+var outcomeLabels = []string{"service", "kind", "outcome", "reason"}
 
 // metrics counts sends, final records and tickets. Service and kind are labels only once they are
 // known to be the bundle's.
@@ -21,8 +21,8 @@
 	// notes and resolves count what this gather was asked as a witness or peer, spreads and
 	// handovers what it sent to others.
 	notes, resolves, spreads, handovers *prometheus.CounterVec
-	// all and unknown count final records for the share of unknown ones.
-	all, unknown atomic.Uint64
+	// finalRecords and unknown count final records for the share of unknown ones.
+	finalRecords, unknownRecords atomic.Uint64
 }
 
 func newMetrics(reg prometheus.Registerer, m *Manager) *metrics {
@@ -42,8 +42,8 @@
 			func() float64 { return float64(m.table.counts().Running) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "burdock_gather_witnesses", Help: "Other gathers that can be the witness of a new ticket now."},
 			func() float64 {
-				near, far := m.witnesses.candidates(m.source.Current())
-				return float64(len(near) + len(far))
+				sameZone, otherZones := m.witnessSelector.candidates(m.source.Current())
+				return float64(len(sameZone) + len(otherZones))
 			}),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "burdock_gather_order_unknown_share", Help: "Share of final records since start that are unknown, 0 to 1."},
 			x.unknownShare),
@@ -52,19 +52,19 @@
 }
 
 func counter(name, help string) *prometheus.CounterVec {
-	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, endLabels)
+	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, outcomeLabels)
 }
 
 func resultCounter(name, help string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{"result"})
 }
 
-// noted counts an answer of this gather as a witness.
-func (x *metrics) noted(resp *pb.NoteIntentResponse, end *outcome.Error) {
+// countNote counts an answer of this gather as a witness.
+func (x *metrics) countNote(resp *pb.NoteIntentResponse, outcomeErr *outcome.Error) {
 	result := "noted"
 	switch {
-	case end != nil:
-		result = outcome.ReasonName(end.Reason)
+	case outcomeErr != nil:
+		result = outcome.ReasonName(outcomeErr.Reason)
 	case resp.GetSealed():
 		result = "sealed"
 	case resp.GetRecord() != nil:
@@ -73,31 +73,31 @@
 	x.notes.WithLabelValues(result).Inc()
 }
 
-func (x *metrics) resolved(s pb.TicketState) { x.resolves.WithLabelValues(stateName(s)).Inc() }
+func (x *metrics) countResolve(s pb.TicketState) { x.resolves.WithLabelValues(stateName(s)).Inc() }
 
 func (x *metrics) unknownShare() float64 {
-	all := x.all.Load()
+	all := x.finalRecords.Load()
 	if all == 0 {
 		return 0
 	}
-	return float64(x.unknown.Load()) / float64(all)
+	return float64(x.unknownRecords.Load()) / float64(all)
 }
 
-func (x *metrics) issued(want *pb.IssueTicketRequest, end *outcome.Error) {
-	if end == nil {
-		count(x.tickets, want.GetService(), want.GetKind(), &pb.Outcome{Kind: pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE})
+func (x *metrics) countIssue(request *pb.IssueTicketRequest, outcomeErr *outcome.Error) {
+	if outcomeErr == nil {
+		countOutcome(x.tickets, request.GetService(), request.GetKind(), &pb.Outcome{Kind: pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE})
 		return
 	}
-	switch end.Reason {
+	switch outcomeErr.Reason {
 	case pb.Reason_REASON_UNKNOWN_SERVICE, pb.Reason_REASON_INVALID_REQUEST, pb.Reason_REASON_NO_BUNDLE:
-		count(x.tickets, "", "", end.Proto(""))
+		countOutcome(x.tickets, "", "", outcomeErr.Proto(""))
 	default:
-		count(x.tickets, want.GetService(), want.GetKind(), end.Proto(""))
+		countOutcome(x.tickets, request.GetService(), request.GetKind(), outcomeErr.Proto(""))
 	}
 }
 
-// sent counts one send; t is nil where the ticket could not be used.
-func (x *metrics) sent(t *ticket.Ticket, resp *pb.OrderResponse, err error) {
+// countSend counts one send; t is nil where the ticket could not be used.
+func (x *metrics) countSend(t *ticket.Ticket, resp *pb.OrderResponse, err error) {
 	var service, kind string
 	if t != nil {
 		service, kind = t.Service, t.Kind
@@ -106,17 +106,17 @@
 	if e, ok := outcome.As(err); ok {
 		o = e.Proto("")
 	}
-	count(x.sends, service, kind, o)
+	countOutcome(x.sends, service, kind, o)
 }
 
-func (x *metrics) recorded(t *ticket.Ticket, r *pb.TicketRecord) {
-	x.all.Add(1)
+func (x *metrics) countRecord(t *ticket.Ticket, r *pb.TicketRecord) {
+	x.finalRecords.Add(1)
 	if r.GetOutcome().GetKind() == pb.OutcomeKind_OUTCOME_KIND_UNKNOWN {
-		x.unknown.Add(1)
+		x.unknownRecords.Add(1)
 	}
-	count(x.records, t.Service, t.Kind, r.GetOutcome())
+	countOutcome(x.records, t.Service, t.Kind, r.GetOutcome())
 }
 
-func count(c *prometheus.CounterVec, service, kind string, o *pb.Outcome) {
+func countOutcome(c *prometheus.CounterVec, service, kind string, o *pb.Outcome) {
 	c.WithLabelValues(service, kind, outcome.KindName(o.GetKind()), outcome.ReasonName(o.GetReason())).Inc()
 }
--- a/internal/order/model_test.go
+++ b/internal/order/model_test.go
@@ -45,14 +45,14 @@
 type machine struct {
 	*world
 	entry   *Resolver
-	tickets []*issued
+	tickets []*issuedTicket
 }
 
 var testZones = map[string]string{"vm-1": "az-1", "vm-2": "az-1", "vm-3": "az-2", "vm-4": "az-2"}
 
 func newMachine() *machine {
 	cfg := DefaultConfig()
-	cfg.TTL, cfg.KeepAfter, cfg.PeerKeep, cfg.Linger = 4*time.Second, 3*time.Second, 5*time.Second, time.Second
+	cfg.TTL, cfg.RecordRetention, cfg.PeerRetention, cfg.LateAnswerGracePeriod = 4*time.Second, 3*time.Second, 5*time.Second, time.Second
 	cfg.WitnessWait = 0
 	w := newWorld(cfg, testZones)
 	return &machine{world: w, entry: NewResolver(cfg, entrySource{w}, netPeers{w, nil})}
@@ -71,23 +71,23 @@
 func (m *machine) issueAt(vm string) {
 	n := m.node(vm)
 	go func() {
-		if !n.alive() {
+		if !n.waitAlive() {
 			return
 		}
 		resp, err := n.m.IssueTicket(context.Background(), &pb.GatherIssueTicketRequest{
 			Identity: &pb.Identity{RequestId: "t", Caller: "desk"}, Ticket: &pb.IssueTicketRequest{Service: "teachers", Kind: "book"},
 		})
-		if err != nil || !n.alive() {
+		if err != nil || !n.waitAlive() {
 			return
 		}
 		parsed, _ := ticket.Parse(resp.GetTicket().GetTicket())
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.tickets = append(m.tickets, &issued{text: resp.GetTicket().GetTicket(), ticket: parsed, minter: n})
+		m.tickets = append(m.tickets, &issuedTicket{text: resp.GetTicket().GetTicket(), ticket: parsed, minter: n})
 	}()
 }
 
-func (m *machine) drawTicket(t *rapid.T) *issued {
+func (m *machine) drawTicket(t *rapid.T) *issuedTicket {
 	if len(m.tickets) == 0 {
 		t.Skip("no ticket yet")
 	}
@@ -97,14 +97,14 @@
 // send sends an order as an entry does: to the ticket's gather, else through the resolver.
 func (m *machine) send(t *rapid.T) { m.sendOf(t, m.drawTicket(t)) }
 
-func (m *machine) sendOf(t *rapid.T, i *issued) {
+func (m *machine) sendOf(t *rapid.T, i *issuedTicket) {
 	payload := rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(t, "payload")
 	timeout := rapid.SampledFrom([]time.Duration{50, 400, 3000}).Draw(t, "timeout") * time.Millisecond
 	go m.sendOnce(i, payload, timeout)
 	synctest.Wait()
 }
 
-func (m *machine) sendOnce(i *issued, payload string, timeout time.Duration) {
+func (m *machine) sendOnce(i *issuedTicket, payload string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req := orderRequest(i.text, payload)
@@ -115,15 +115,15 @@
 		m.resolve(i, req.GetOrder())
 		return
 	}
-	m.note(i, resp.GetOrder(), err, false)
+	m.recordAnswer(i, resp.GetOrder(), err, false)
 }
 
-func (m *machine) resolve(i *issued, order *pb.OrderRequest) {
-	binding := m.ended(i) && m.viewTrue()
+func (m *machine) resolve(i *issuedTicket, order *pb.OrderRequest) {
+	mustBeFinal := m.ended(i) && m.viewIsAccurate()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	resp, err := m.entry.ResolveOrder(ctx, i.ticket, "desk", order, "r")
-	m.note(i, resp, err, binding)
+	m.recordAnswer(i, resp, err, mustBeFinal)
 }
 
 // resolveOnly asks the resolver while the gather may be alive, as an entry cut off from it does.
@@ -134,24 +134,24 @@
 }
 
 // ended tells whether the minter was killed, without a handover that may still be under way.
-func (m *machine) ended(i *issued) bool {
+func (m *machine) ended(i *issuedTicket) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return i.minter.dead && !i.minter.draining
 }
 
-func (m *machine) note(i *issued, resp *pb.OrderResponse, err error, binding bool) {
-	end, _ := outcome.As(err)
+func (m *machine) recordAnswer(i *issuedTicket, resp *pb.OrderResponse, err error, mustBeFinal bool) {
+	outcomeErr, _ := outcome.As(err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if end != nil && end.Reason == pb.Reason_REASON_TICKET_REUSED {
+	if outcomeErr != nil && outcomeErr.Reason == pb.Reason_REASON_TICKET_REUSED {
 		return // this is about another order than the ticket's
 	}
-	i.told = append(i.told, told{end: end, result: resp.GetResult(), binding: binding})
+	i.answers = append(i.answers, answer{outcomeErr: outcomeErr, result: resp.GetResult(), mustBeFinal: mustBeFinal})
 }
 
 func (m *machine) armFault(t *rapid.T) {
-	strikes := []strike{strikeNone, strikeNone, strikeFreeze, strikeKill}
+	strikes := []nodeEvent{eventNone, eventNone, eventFreeze, eventKill}
 	refusals := make([]pb.LeafRefusalReason, 4)
 	refusals = append(refusals, pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING, pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)
 	f := fault{
@@ -167,23 +167,23 @@
 	m.arm(rapid.SampledFrom([]string{atNote, atNote, atHandover, atResolve, atOrder, atExecute, atExecute}).Draw(t, "step"), f)
 }
 
-func (m *machine) cutLink(t *rapid.T) {
+func (m *machine) partitionLink(t *rapid.T) {
 	a := rapid.SampledFrom([]string{"entry", "vm-1", "vm-2"}).Draw(t, "from")
 	b := drawVM(t)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut[[2]string{min(a, b), max(a, b)}] = true
+	m.partitioned[[2]string{min(a, b), max(a, b)}] = true
 }
 
 func (m *machine) heal(*rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.cut)
+	clear(m.partitioned)
 }
 
-func (m *machine) leaveOne(t *rapid.T) {
+func (m *machine) drainOne(t *rapid.T) {
 	limit := rapid.SampledFrom([]time.Duration{100, 1000, 5000}).Draw(t, "limit")
-	m.leave(m.node(drawVM(t)), limit*time.Millisecond)
+	m.drainAndKill(m.node(drawVM(t)), limit*time.Millisecond)
 	synctest.Wait()
 }
 
@@ -197,25 +197,25 @@
 	}
 }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *machine) advanceTime(t *rapid.T) {
 	time.Sleep(rapid.SampledFrom([]time.Duration{10, 50, 200, 1000, 3000}).Draw(t, "time") * time.Millisecond)
 	synctest.Wait()
 }
 
-// passLong lets tickets expire and notes be forgotten.
-func (m *machine) passLong(*rapid.T) {
+// advancePastRetention lets tickets expire and notes be forgotten.
+func (m *machine) advancePastRetention(*rapid.T) {
 	time.Sleep(8 * time.Second)
 	synctest.Wait()
 }
 
-// faulted issues a ticket and sends its order into a fault.
-func (m *machine) faulted(t *rapid.T) {
+// sendIntoFault issues a ticket and sends its order into a fault.
+func (m *machine) sendIntoFault(t *rapid.T) {
 	m.issue(t)
 	m.armFault(t)
 	m.sendOf(t, m.lastTicket(t))
 }
 
-func (m *machine) lastTicket(t *rapid.T) *issued {
+func (m *machine) lastTicket(t *rapid.T) *issuedTicket {
 	if len(m.tickets) == 0 {
 		t.Skip("no ticket yet")
 	}
@@ -234,14 +234,14 @@
 		name   string
 		do     func(*rapid.T)
 	}{
-		{2, "issue", m.issue}, {4, "send", m.send}, {5, "faulted", m.faulted}, {2, "resolve", m.resolveOnly},
-		{1, "fault", m.armFault}, {1, "cut", m.cutLink}, {2, "heal", m.heal}, {3, "restart", m.restart},
-		{3, "pass", m.pass}, {1, "passLong", m.passLong},
-		{1, "freeze", onNode(m.freeze)}, {3, "thaw", onNode(m.thaw)}, {1, "kill", onNode(m.kill)}, {1, "leave", m.leaveOne},
-		{1, "thawUnaware", onNode(m.thawUnaware)},
-		{4, "news", func(*rapid.T) { m.news() }},
-		{1, "rumour", func(t *rapid.T) { m.rumour(drawVM(t), pb.VmState_VM_STATE_GONE) }},
-		{1, "rumourEnded", func(t *rapid.T) { m.rumourEnded(drawVM(t)) }},
+		{2, "issue", m.issue}, {4, "send", m.send}, {5, "faulted", m.sendIntoFault}, {2, "resolve", m.resolveOnly},
+		{1, "fault", m.armFault}, {1, "cut", m.partitionLink}, {2, "heal", m.heal}, {3, "restart", m.restart},
+		{3, "pass", m.advanceTime}, {1, "passLong", m.advancePastRetention},
+		{1, "freeze", onNode(m.freeze)}, {3, "thaw", onNode(m.thaw)}, {1, "kill", onNode(m.kill)}, {1, "leave", m.drainOne},
+		{1, "thawUnaware", onNode(m.thawUnnoticed)},
+		{4, "news", func(*rapid.T) { m.publishActualState() }},
+		{1, "rumour", func(t *rapid.T) { m.setViewState(drawVM(t), pb.VmState_VM_STATE_GONE) }},
+		{1, "rumourEnded", func(t *rapid.T) { m.setViewGatherEnded(drawVM(t)) }},
 	}
 	all := map[string]func(*rapid.T){"": m.check}
 	for _, a := range weighted {
@@ -257,8 +257,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, i := range m.tickets {
-		if broken := i.broken(m.runs[i.text]); broken != "" {
-			t.Fatalf("ticket %s ran %d times, told %v: %s", i.ticket.Identity(), m.runs[i.text], i.told, broken)
+		if violation := i.violation(m.runs[i.text]); violation != "" {
+			t.Fatalf("ticket %s ran %d times, told %v: %s", i.ticket.Identity(), m.runs[i.text], i.answers, violation)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	for range 2 {
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		m.news()
+		m.publishActualState()
 		for _, i := range m.tickets {
 			go m.sendOnce(i, "a", 3*time.Second)
 		}
@@ -282,7 +282,7 @@
 	}
 }
 
-func (m *machine) end() {
+func (m *machine) shutDown() {
 	m.mu.Lock()
 	clear(m.armed)
 	nodes := make([]*node, 0, len(m.nodes))
@@ -307,7 +307,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(t *rapid.T) {
 			m := newMachine()
-			defer m.end()
+			defer m.shutDown()
 			t.Repeat(m.actions())
 			m.settleAndEnd(t)
 		})
--- a/internal/order/net_test.go
+++ b/internal/order/net_test.go
@@ -20,7 +20,7 @@
 	w.armed[step] = f
 }
 
-func (w *world) take(step string) fault {
+func (w *world) takeFault(step string) fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	armed := w.armed[step]
@@ -39,10 +39,10 @@
 	return [2]string{min(name, to), max(name, to)}
 }
 
-func (w *world) isCut(from *node, to string) bool {
+func (w *world) isPartitioned(from *node, to string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.cut[linkOf(from, to)]
+	return w.partitioned[linkOf(from, to)]
 }
 
 // call carries one message to the gather of a VM and its answer back; from is nil for the entry. A
@@ -53,20 +53,20 @@
 		err error
 	}
 	var none T
-	f := w.take(step)
-	if w.strike(from, f.before); !from.alive() {
+	f := w.takeFault(step)
+	if w.applyEvent(from, f.before); !from.waitAlive() {
 		return none, errLost
 	}
 	answer := make(chan result, 1)
-	if !f.dropRequest && !w.isCut(from, to) {
+	if !f.dropRequest && !w.isPartitioned(from, to) {
 		go func() {
 			time.Sleep(f.delay)
 			n := w.node(to)
-			if !n.alive() {
+			if !n.waitAlive() {
 				return
 			}
 			v, err := handle(n)
-			if n.alive() && !f.dropResponse && !w.isCut(from, to) {
+			if n.waitAlive() && !f.dropResponse && !w.isPartitioned(from, to) {
 				answer <- result{v, err}
 			}
 		}()
@@ -76,7 +76,7 @@
 	case r = <-answer:
 	case <-ctx.Done():
 	}
-	if w.strike(from, f.after); !from.alive() {
+	if w.applyEvent(from, f.after); !from.waitAlive() {
 		return none, errLost
 	}
 	return r.v, r.err
@@ -117,9 +117,9 @@
 
 // Execute implements upstream.Caller. What is written may run at any time after.
 func (n *node) Execute(ctx context.Context, leaf string, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
-	f := n.w.take(atExecute)
-	n.w.strike(n, f.before)
-	if !n.alive() || f.notWritten {
+	f := n.w.takeFault(atExecute)
+	n.w.applyEvent(n, f.before)
+	if !n.waitAlive() || f.notWritten {
 		return nil, &upstream.CallError{Leaf: leaf, Err: errLost}
 	}
 	if f.refusal != pb.LeafRefusalReason_LEAF_REFUSAL_REASON_UNSPECIFIED {
@@ -132,7 +132,7 @@
 	if !f.dropRequest {
 		go func() {
 			time.Sleep(f.delay)
-			n.w.ran(req.GetTicket())
+			n.w.recordRun(req.GetTicket())
 			if !f.dropResponse {
 				answer <- struct{}{}
 			}
@@ -148,8 +148,8 @@
 			err = &upstream.CallError{Leaf: leaf, Wrote: true, Err: ctx.Err()}
 		}
 	}
-	n.w.strike(n, f.after)
-	n.alive()
+	n.w.applyEvent(n, f.after)
+	n.waitAlive()
 	resp := &pb.LeafExecuteResponse{RequestId: req.GetRequestId(), Ticket: req.GetTicket(), Result: "done:" + req.GetTicket()}
 	if f.mismatch {
 		resp.RequestId = "another"
@@ -157,7 +157,7 @@
 	return resp, err
 }
 
-func (w *world) ran(ticket string) {
+func (w *world) recordRun(ticket string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs[ticket]++
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -25,38 +25,38 @@
 type Config struct {
 	// TTL is how long a ticket may be used for its first send, at most MaxTTL.
 	TTL time.Duration
-	// KeepAfter is how long the record of a ticket is kept after its expiry.
-	KeepAfter time.Duration
-	// TicketLimit is how many tickets are held; each issued one has a place until its record is
+	// RecordRetention is how long the record of a ticket is kept after its expiry.
+	RecordRetention time.Duration
+	// MaxTickets is how many tickets are held; each issued one has a place until its record is
 	// dropped, so that a record never lacks a place.
-	TicketLimit int
-	// CallerLimit is how many of them one caller may hold.
-	CallerLimit int
-	// ResultLimit is how many bytes of results are held before no more tickets are issued.
-	ResultLimit int
+	MaxTickets int
+	// MaxCallerTickets is how many of them one caller may hold.
+	MaxCallerTickets int
+	// MaxResultBytes is how many bytes of results are held before no more tickets are issued.
+	MaxResultBytes int
 	// NoteTimeout bounds the round trip to the witness before the first byte.
 	NoteTimeout time.Duration
-	// PickWait is how long an order waits for a free slot at a leaf, and PickEvery how often it
+	// SlotTimeout is how long an order waits for a free slot at a leaf, and PickEvery how often it
 	// looks.
-	PickWait, PickEvery time.Duration
-	// Linger is how long after an order's deadline the leaf's answer is still waited for.
-	Linger time.Duration
+	SlotTimeout, SlotPollInterval time.Duration
+	// LateAnswerGracePeriod is how long after an order's deadline the leaf's answer is still waited for.
+	LateAnswerGracePeriod time.Duration
 	// WitnessWait is how long after its start a gather waits for a witness before it issues a ticket
 	// without one: the gathers of a fleet that starts as a whole take a moment to hear of each other.
 	WitnessWait time.Duration
-	// AvoidWitness is how long a witness that failed is not picked for new tickets.
-	AvoidWitness time.Duration
+	// WitnessCooldown is how long a witness that failed is not picked for new tickets.
+	WitnessCooldown time.Duration
 	// RetryAfter is when a caller should come back for an order that is still running, or after a
 	// refusal that may pass soon.
 	RetryAfter time.Duration
-	// NoteLimit is how many tickets of other gathers are held as their witness.
-	NoteLimit int
-	// ArchiveLimit is how many records of retired incarnations are held.
-	ArchiveLimit int
-	// PeerKeep is how long a witness or peer keeps what it received.
-	PeerKeep time.Duration
-	// DrainGrace is how long a gather that leaves waits for tickets not used yet.
-	DrainGrace time.Duration
+	// MaxNotes is how many tickets of other gathers are held as their witness.
+	MaxNotes int
+	// MaxArchivedRecords is how many records of retired incarnations are held.
+	MaxArchivedRecords int
+	// PeerRetention is how long a witness or peer keeps what it received.
+	PeerRetention time.Duration
+	// DrainGracePeriod is how long a gather that leaves waits for tickets not used yet.
+	DrainGracePeriod time.Duration
 	// PeerTimeout bounds one call that spreads, hands over or resolves.
 	PeerTimeout time.Duration
 }
@@ -64,23 +64,23 @@
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		TTL:          30 * time.Second,
-		KeepAfter:    2 * time.Minute,
-		TicketLimit:  50_000,
-		CallerLimit:  25_000,
-		ResultLimit:  32 << 20,
-		NoteTimeout:  250 * time.Millisecond,
-		PickWait:     100 * time.Millisecond,
-		PickEvery:    2 * time.Millisecond,
-		Linger:       5 * time.Second,
-		WitnessWait:  2 * time.Second,
-		AvoidWitness: 5 * time.Second,
-		RetryAfter:   200 * time.Millisecond,
-		NoteLimit:    100_000,
-		ArchiveLimit: 100_000,
-		PeerKeep:     2*MaxTTL + time.Minute,
-		DrainGrace:   2 * time.Second,
-		PeerTimeout:  500 * time.Millisecond,
+		TTL:                   30 * time.Second,
+		RecordRetention:       2 * time.Minute,
+		MaxTickets:            50_000,
+		MaxCallerTickets:      25_000,
+		MaxResultBytes:        32 << 20,
+		NoteTimeout:           250 * time.Millisecond,
+		SlotTimeout:           100 * time.Millisecond,
+		SlotPollInterval:      2 * time.Millisecond,
+		LateAnswerGracePeriod: 5 * time.Second,
+		WitnessWait:           2 * time.Second,
+		WitnessCooldown:       5 * time.Second,
+		RetryAfter:            200 * time.Millisecond,
+		MaxNotes:              100_000,
+		MaxArchivedRecords:    100_000,
+		PeerRetention:         2*MaxTTL + time.Minute,
+		DrainGracePeriod:      2 * time.Second,
+		PeerTimeout:           500 * time.Millisecond,
 	}
 }
 
@@ -121,34 +121,34 @@
 	now      balance.Clock
 	metrics  *metrics
 
-	minter    *ticket.Minter
-	table     *table
-	witnesses *witnesses
+	minter          *ticket.Minter
+	table           *table
+	witnessSelector *witnessSelector
 	// witness and archive hold what this gather knows of other gathers' tickets.
 	witness *witness
 	archive *archive
 	// resolver answers for tickets of earlier incarnations of this VM's gather.
 	resolver *Resolver
-	// outcomes are on their way to witnesses.
-	outcomes chan settled
+	// pendingOutcomes are on their way to witnesses.
+	pendingOutcomes chan pendingOutcome
 	// draining is set once this gather leaves; no ticket is issued any more.
 	draining atomic.Bool
 }
 
 // New returns a Manager with a new ticket key.
 func New(o Options) *Manager {
-	clock := newElapsed(o.Now)
+	clock := newBootClock(o.Now)
 	o.Config.TTL = min(o.Config.TTL, MaxTTL)
 	m := &Manager{
 		cfg: o.Config, vm: o.VM, source: o.Source, replicas: o.Replicas, leaves: o.Leaves,
 		peers: o.Peers, pauses: o.Pauses, log: o.Log, now: o.Now,
-		minter:    ticket.NewMinter(o.VM, o.Incarnation),
-		table:     newTable(o.Config, clock, identity{vm: o.VM, incarnation: o.Incarnation}),
-		witnesses: newWitnesses(o.Config.AvoidWitness, o.Now, o.Random),
-		witness:   newWitness(o.Config, o.Incarnation, clock),
-		archive:   newArchive(o.Config, clock),
-		resolver:  NewResolver(o.Config, o.Source, o.Peers),
-		outcomes:  make(chan settled, spreadQueue),
+		minter:          ticket.NewMinter(o.VM, o.Incarnation),
+		table:           newTable(o.Config, clock, identity{vm: o.VM, incarnation: o.Incarnation}),
+		witnessSelector: newWitnessSelector(o.Config.WitnessCooldown, o.Now, o.Random),
+		witness:         newWitness(o.Config, o.Incarnation, clock),
+		archive:         newArchive(o.Config, clock),
+		resolver:        NewResolver(o.Config, o.Source, o.Peers),
+		pendingOutcomes: make(chan pendingOutcome, maxSpreadQueue),
 	}
 	m.metrics = newMetrics(o.Registry, m)
 	return m
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -20,44 +20,44 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		m := newMachine()
-		defer m.end()
+		defer m.shutDown()
 		test(is.New(t), m)
 	})
 }
 
 // ticket issues a ticket of vm-1.
-func (m *machine) ticket() *issued {
+func (m *machine) ticket() *issuedTicket {
 	m.issueAt("vm-1")
 	synctest.Wait()
 	return m.tickets[len(m.tickets)-1]
 }
 
-// ask sends the order to vm-1 with plenty of time and tells the end as "kind reason".
-func (m *machine) ask(i *issued, payload string) string {
+// sendOrder sends the order to vm-1 with plenty of time and tells the end as "kind reason".
+func (m *machine) sendOrder(i *issuedTicket, payload string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	_, err := m.node("vm-1").m.Order(ctx, orderRequest(i.text, payload))
-	return endOf(err)
+	return outcomeText(err)
 }
 
-// askAround resolves the ticket without its gather.
-func (m *machine) askAround(i *issued) string {
+// resolveTicket resolves the ticket without its gather.
+func (m *machine) resolveTicket(i *issuedTicket) string {
 	_, err := m.entry.Resolve(context.Background(), i.ticket, "desk")
-	return endOf(err)
+	return outcomeText(err)
 }
 
-func endOf(err error) string {
-	end, ok := outcome.As(err)
+func outcomeText(err error) string {
+	outcomeErr, ok := outcome.As(err)
 	switch {
 	case err == nil:
 		return "answered"
 	case !ok:
 		return err.Error()
 	}
-	return outcome.KindName(end.Kind) + " " + outcome.ReasonName(end.Reason)
+	return outcome.KindName(outcomeErr.Kind) + " " + outcome.ReasonName(outcomeErr.Reason)
 }
 
-func TestTicketsThatCantBeUsed(t *testing.T) {
+func TestUnusableTicketsAreRefused(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
 		forged := *i.ticket
@@ -80,12 +80,12 @@
 			req := orderRequest(i.text, "p")
 			c.change(req)
 			_, err := m.node("vm-1").m.Order(context.Background(), req)
-			is.Equal(name+": "+endOf(err), name+": "+c.want)
+			is.Equal(name+": "+outcomeText(err), name+": "+c.want)
 		}
 		is.Equal(m.runsOf(i.text), 0)
-		is.Equal(m.ask(i, "p"), "answered") // none of them took the ticket
-		is.Equal(m.ask(i, "q"), "not_run ticket_reused")
-		is.Equal(m.ask(i, "p"), "answered")
+		is.Equal(m.sendOrder(i, "p"), "answered") // none of them took the ticket
+		is.Equal(m.sendOrder(i, "q"), "not_run ticket_reused")
+		is.Equal(m.sendOrder(i, "p"), "answered")
 		is.Equal(m.runsOf(i.text), 1)
 	})
 }
@@ -113,7 +113,7 @@
 		{name: "all at their limit", node: func(n *node) { n.full = true }, want: "not_run overload"},
 		{name: "paused since it was placed", node: func(n *node) {
 			n.full = true // it waits for a slot meanwhile
-			time.AfterFunc(time.Microsecond, func() { n.sawPause(time.Now()) })
+			time.AfterFunc(time.Microsecond, func() { n.recordPause(time.Now()) })
 		}, want: "not_run paused"},
 		{name: "all leaving", node: func(n *node) {
 			n.leaving = map[string]bool{"leaf-0a": true, "leaf-0b": true, "leaf-1a": true, "leaf-1b": true}
@@ -127,11 +127,11 @@
 				if c.node != nil {
 					c.node(m.node("vm-1"))
 				}
-				is.Equal(m.ask(i, "p"), c.want)
+				is.Equal(m.sendOrder(i, "p"), c.want)
 				m.arm(atExecute)
-				is.Equal(m.ask(i, "p"), c.want) // final
+				is.Equal(m.sendOrder(i, "p"), c.want) // final
 				time.Sleep(time.Second)
-				is.Equal(m.askAround(i), c.want) // spread to the witness
+				is.Equal(m.resolveTicket(i), c.want) // spread to the witness
 				is.Equal(m.runsOf(i.text), c.runs)
 			})
 		})
@@ -142,17 +142,17 @@
 // kept, as for searches.
 func TestTimeKeptForTheWayBack(t *testing.T) {
 	is := is.New(t)
-	for left, want := range map[time.Duration]time.Duration{
+	for remaining, want := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: 10 * time.Millisecond,
 		400 * time.Millisecond: 20 * time.Millisecond,
 		time.Second:            31250 * time.Microsecond,
 		8 * time.Second:        250 * time.Millisecond,
 	} {
-		is.Equal(keptForAnswer(left), want)
+		is.Equal(answerReserve(remaining), want)
 	}
 }
 
-func TestTimeOfSendAndOrderAreApart(t *testing.T) {
+func TestSendTimeoutDoesNotEndTheOrder(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
 		m.arm(atExecute, fault{delay: 500 * time.Millisecond})
@@ -160,99 +160,99 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		_, err := m.node("vm-1").m.Order(ctx, orderRequest(i.text, "p"))
-		end, _ := outcome.As(err)
-		is.Equal(endOf(err), "unknown deadline")
-		is.True(end.RetryAfter > 0)
+		outcomeErr, _ := outcome.As(err)
+		is.Equal(outcomeText(err), "unknown deadline")
+		is.True(outcomeErr.RetryAfter > 0)
 		is.True(time.Since(start) < 100*time.Millisecond) // the answer still reaches the caller in time
-		gone, cancelGone := context.WithCancel(context.Background())
+		cancelled, cancelGone := context.WithCancel(context.Background())
 		cancelGone()
-		_, err = m.node("vm-1").m.Order(gone, orderRequest(i.text, "p"))
-		is.Equal(endOf(err), "unknown cancelled")
-		is.Equal(m.ask(i, "p"), "answered") // the order went on without its callers
+		_, err = m.node("vm-1").m.Order(cancelled, orderRequest(i.text, "p"))
+		is.Equal(outcomeText(err), "unknown cancelled")
+		is.Equal(m.sendOrder(i, "p"), "answered") // the order went on without its callers
 	})
 }
 
-func TestExpiryAndForgetting(t *testing.T) {
+func TestExpiryAndEviction(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		used, unused, late := m.ticket(), m.ticket(), m.ticket()
-		is.Equal(m.ask(used, "p"), "answered")
-		m.arm(atNote, fault{after: strikeFreeze})
+		is.Equal(m.sendOrder(used, "p"), "answered")
+		m.arm(atNote, fault{after: eventFreeze})
 		got := make(chan string, 1)
-		go func() { got <- m.ask(late, "p") }()
+		go func() { got <- m.sendOrder(late, "p") }()
 		time.Sleep(m.cfg.TTL)
 		m.thaw(m.node("vm-1"))
 		is.Equal(<-got, "not_run ticket_expired") // after the pause, before the first byte
-		is.Equal(m.ask(unused, "p"), "not_run ticket_expired")
+		is.Equal(m.sendOrder(unused, "p"), "not_run ticket_expired")
 		is.Equal(len(m.node("vm-2").m.witness.notes), 2) // the witness was not asked in vain
-		is.Equal(m.ask(used, "p"), "answered")
-		time.Sleep(m.cfg.KeepAfter)
+		is.Equal(m.sendOrder(used, "p"), "answered")
+		time.Sleep(m.cfg.RecordRetention)
 		m.ticket() // drops what is old
-		is.Equal(m.ask(used, "p"), "unknown ticket_expired")
+		is.Equal(m.sendOrder(used, "p"), "unknown ticket_expired")
 		is.Equal(m.runsOf(used.text), 1)
 	})
 }
 
-func TestWitnessSealsAndCloses(t *testing.T) {
+func TestWitnessSealsTicketsAndClosesIntents(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		n := m.node("vm-1")
 		sealed, noted := m.ticket(), m.ticket()
 		is.Equal(sealed.ticket.WitnessVM, "vm-2") // own availability zone first
-		is.Equal(m.askAround(sealed), "not_run sealed")
-		is.Equal(m.ask(sealed, "p"), "not_run sealed")
+		is.Equal(m.resolveTicket(sealed), "not_run sealed")
+		is.Equal(m.sendOrder(sealed, "p"), "not_run sealed")
 
-		m.arm(atNote, fault{after: strikeFreeze})
+		m.arm(atNote, fault{after: eventFreeze})
 		got := make(chan string, 1)
-		go func() { got <- m.ask(noted, "p") }()
+		go func() { got <- m.sendOrder(noted, "p") }()
 		synctest.Wait()
-		is.Equal(m.askAround(noted), "unknown unreachable") // the intent is noted, nothing is sealed
-		m.rumour("vm-1", pb.VmState_VM_STATE_GONE)
-		is.Equal(m.askAround(noted), "unknown unreachable") // it may be on the other side of a cut
-		m.rumourEnded("vm-1")
-		is.Equal(m.askAround(noted), "unknown incarnation_gone")
-		m.node("vm-2").m.witness.settle(&pb.TicketRecord{ // late news changes nothing
-			Ticket: n.m.table.id(noted.ticket.Sequence), State: pb.TicketState_TICKET_STATE_DONE, Caller: "desk",
+		is.Equal(m.resolveTicket(noted), "unknown unreachable") // the intent is noted, nothing is sealed
+		m.setViewState("vm-1", pb.VmState_VM_STATE_GONE)
+		is.Equal(m.resolveTicket(noted), "unknown unreachable") // it may be on the other side of a cut
+		m.setViewGatherEnded("vm-1")
+		is.Equal(m.resolveTicket(noted), "unknown incarnation_gone")
+		m.node("vm-2").m.witness.recordOutcome(&pb.TicketRecord{ // late news changes nothing
+			Ticket: n.m.table.ticketID(noted.ticket.Sequence), State: pb.TicketState_TICKET_STATE_DONE, Caller: "desk",
 			OrderDigest: Digest(orderRequest("", "p").GetOrder()), Outcome: &pb.Outcome{Kind: pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE},
 		})
 		time.Sleep(time.Second)
 		m.thaw(n)
 		is.Equal(<-got, "unknown incarnation_gone") // asked again after the pause, and not sent
-		is.Equal(m.askAround(noted), "unknown incarnation_gone")
+		is.Equal(m.resolveTicket(noted), "unknown incarnation_gone")
 		is.Equal(m.runsOf(noted.text)+m.runsOf(sealed.text), 0)
 
 		done := m.ticket()
-		is.Equal(m.ask(done, "p"), "answered")
+		is.Equal(m.sendOrder(done, "p"), "answered")
 		synctest.Wait()
 		stolen := *done.ticket
 		stolen.Caller = "portal"
 		_, err := m.entry.Resolve(context.Background(), &stolen, "portal")
-		is.Equal(endOf(err), "unknown incarnation_gone") // nothing of another caller's order
+		is.Equal(outcomeText(err), "unknown incarnation_gone") // nothing of another caller's order
 	})
 }
 
-func TestOrderWithoutItsWitnessIsRefusedForGood(t *testing.T) {
+func TestOrderIsRefusedWhenItsWitnessIsUnreachable(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
 		m.arm(atNote, fault{dropRequest: true})
-		is.Equal(m.ask(i, "p"), "not_run unreachable")
-		is.Equal(m.ask(i, "p"), "not_run unreachable")
+		is.Equal(m.sendOrder(i, "p"), "not_run unreachable")
+		is.Equal(m.sendOrder(i, "p"), "not_run unreachable")
 		is.Equal(m.ticket().ticket.WitnessVM, "vm-4") // the failed witness is avoided for a while
 		for _, vm := range []string{"vm-2", "vm-3", "vm-4"} {
-			m.rumour(vm, pb.VmState_VM_STATE_SUSPECT)
+			m.setViewState(vm, pb.VmState_VM_STATE_SUSPECT)
 		}
 		alone := m.ticket()
 		is.True(!alone.ticket.HasWitness())
-		is.Equal(m.ask(alone, "p"), "answered")
+		is.Equal(m.sendOrder(alone, "p"), "answered")
 		is.Equal(m.runsOf(i.text), 0)
 	})
 }
 
-func TestLeavingInOrderLeavesNothingUnknown(t *testing.T) {
+func TestDrainLeavesNoOutcomeUnknown(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		done, running, unused := m.ticket(), m.ticket(), m.ticket()
-		is.Equal(m.ask(done, "p"), "answered")
+		is.Equal(m.sendOrder(done, "p"), "answered")
 		m.arm(atExecute, fault{delay: 900 * time.Millisecond})
 		got := make(chan string, 1)
-		go func() { got <- m.ask(running, "p") }()
+		go func() { got <- m.sendOrder(running, "p") }()
 		synctest.Wait()
 		n := m.node("vm-1")
 		go n.m.Drain(context.Background())
@@ -260,37 +260,37 @@
 		_, err := n.m.IssueTicket(context.Background(), &pb.GatherIssueTicketRequest{
 			Ticket: &pb.IssueTicketRequest{Service: "teachers", Kind: "book"},
 		})
-		is.Equal(endOf(err), "not_run draining")
+		is.Equal(outcomeText(err), "not_run draining")
 		is.Equal(<-got, "answered")
-		time.Sleep(m.cfg.DrainGrace)
-		is.Equal(m.ask(unused, "p"), "not_run sealed")
+		time.Sleep(m.cfg.DrainGracePeriod)
+		is.Equal(m.sendOrder(unused, "p"), "not_run sealed")
 		m.kill(n)
 		m.start("vm-1", "az-1")
-		m.news()
+		m.publishActualState()
 		for _, vm := range []string{"vm-2", "vm-3", "vm-4"} { // witness and all who were handed the records
-			m.leave(m.node(vm), time.Second)
+			m.drainAndKill(m.node(vm), time.Second)
 			synctest.Wait()
-			m.news()
+			m.publishActualState()
 		}
-		is.Equal(m.askAround(done), "answered")
-		is.Equal(m.askAround(running), "answered")
-		is.Equal(m.askAround(unused), "not_run sealed")
+		is.Equal(m.resolveTicket(done), "answered")
+		is.Equal(m.resolveTicket(running), "answered")
+		is.Equal(m.resolveTicket(unused), "not_run sealed")
 		_, err = m.entry.ResolveOrder(context.Background(), done.ticket, "desk", orderRequest("", "q").GetOrder(), "r")
-		is.Equal(endOf(err), "not_run ticket_reused")
+		is.Equal(outcomeText(err), "not_run ticket_reused")
 		is.Equal(m.runsOf(unused.text), 0)
 	})
 }
 
-func TestHandoverCountsOnlyWhenWhole(t *testing.T) {
+func TestIncompleteHandoverSealsNothing(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		a := m.node("vm-3").m.archive
-		e := &estate{minter: identity{"vm-9", 9}, sealedAll: true, forgottenTo: 5, keep: time.Minute}
-		for seq := range uint64(handoverPart + 1) {
-			e.records = append(e.records, &pb.TicketRecord{
+		data := &handoverData{minter: identity{"vm-9", 9}, sealedAll: true, forgottenTo: 5, retention: time.Minute}
+		for seq := range uint64(maxHandoverRecords + 1) {
+			data.records = append(data.records, &pb.TicketRecord{
 				Ticket: &pb.TicketId{Vm: "vm-9", Incarnation: 9, Sequence: 10 + seq}, State: pb.TicketState_TICKET_STATE_DONE, Caller: "desk",
 			})
 		}
-		parts := e.parts()
+		parts := data.requests()
 		is.Equal(len(parts), 2)
 		stateOf := func(seq uint64, caller string) string {
 			return stateName(a.lookup(&pb.TicketId{Vm: "vm-9", Incarnation: 9, Sequence: seq}, caller).GetState())
@@ -308,12 +308,12 @@
 func TestTicketLimits(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		n := m.node("vm-1")
-		n.m.table.cfg.TicketLimit, n.m.table.cfg.CallerLimit = 3, 2
+		n.m.table.cfg.MaxTickets, n.m.table.cfg.MaxCallerTickets = 3, 2
 		issue := func(caller, service, kind string) string {
 			_, err := n.m.IssueTicket(context.Background(), &pb.GatherIssueTicketRequest{
 				Identity: &pb.Identity{Caller: caller}, Ticket: &pb.IssueTicketRequest{Service: service, Kind: kind},
 			})
-			return endOf(err)
+			return outcomeText(err)
 		}
 		is.Equal(issue("desk", "nothing", "book"), "not_run unknown_service")
 		is.Equal(issue("desk", "teachers", "dawn"), "not_run invalid_request") // a search kind
@@ -322,7 +322,7 @@
 		is.Equal(issue("desk", "teachers", "book"), "not_run caller_limit")
 		is.Equal(issue("portal", "teachers", "book"), "answered")
 		is.Equal(issue("portal", "teachers", "book"), "not_run overload")
-		time.Sleep(m.cfg.TTL + m.cfg.KeepAfter)
+		time.Sleep(m.cfg.TTL + m.cfg.RecordRetention)
 		is.Equal(issue("desk", "teachers", "book"), "answered")
 	})
 }
@@ -330,7 +330,7 @@
 func TestDumpShowsNoSecret(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
-		is.Equal(m.ask(i, "the payload"), "answered")
+		is.Equal(m.sendOrder(i, "the payload"), "answered")
 		text, err := json.Marshal(m.node("vm-1").m.Dump())
 		is.NoErr(err)
 		is.True(strings.Contains(string(text), `"held":1`))
@@ -340,10 +340,10 @@
 	})
 }
 
-func TestElapsedNeverGoesBack(t *testing.T) {
+func TestBootClockNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	e := newElapsed(func() time.Time { return now })
+	e := newBootClock(func() time.Time { return now })
 	now = now.Add(3 * time.Second)
 	is.Equal(e.Since(), 3*time.Second)
 	now = now.Add(-time.Hour)
@@ -352,11 +352,11 @@
 	is.Equal(e.Since(), time.Hour+3*time.Second)
 }
 
-func TestOwnRefusalOfALeafCallSaysItself(t *testing.T) {
+func TestRefusalOfALeafCallKeepsItsReason(t *testing.T) {
 	is := is.New(t)
 	own := outcome.NotRun(pb.Reason_REASON_QUARANTINED, "gather.quarantine", "refused for its content").WithRetryAfter(time.Minute)
-	end := refusedEnd(&upstream.CallError{Leaf: "leaf-0a", Err: own})
-	is.Equal(end.Reason, pb.Reason_REASON_QUARANTINED)
-	is.Equal(end.RetryAfter, time.Minute)
-	is.Equal(end.Peer, "leaf-0a")
+	outcomeErr := notStartedError(&upstream.CallError{Leaf: "leaf-0a", Err: own})
+	is.Equal(outcomeErr.Reason, pb.Reason_REASON_QUARANTINED)
+	is.Equal(outcomeErr.RetryAfter, time.Minute)
+	is.Equal(outcomeErr.Peer, "leaf-0a")
 }
--- a/internal/order/peers.go
+++ b/internal/order/peers.go
@@ -13,8 +13,8 @@
 	"github.com/burdockplank/burdockplank/internal/feed"
 )
 
-// peerCache is how many clients are kept before the cache starts anew.
-const peerCache = 2048
+// maxPeerClients is how many clients are kept before the cache starts anew.
+const maxPeerClients = 2048
 
 // Peers reaches the TicketPeerService of other gathers.
 type Peers interface {
@@ -43,7 +43,7 @@
 	if c, ok := p.byAddress[addr]; ok {
 		return c
 	}
-	if len(p.byAddress) >= peerCache {
+	if len(p.byAddress) >= maxPeerClients {
 		clear(p.byAddress)
 	}
 	c := burdockv1connect.NewTicketPeerServiceClient(p.client, "http://"+addr)
@@ -77,9 +77,9 @@
 		gatherOf(vm).GetState() == pb.ProcessState_PROCESS_STATE_READY
 }
 
-// ended tells whether the view shows that an incarnation of the VM's gather has ended: another one
+// incarnationEnded tells whether the view shows that an incarnation of the VM's gather has ended: another one
 // took its place, or the VM says so. That other VMs can't reach the VM doesn't show it.
-func ended(vm *pb.Vm, incarnation uint64) bool {
+func incarnationEnded(vm *pb.Vm, incarnation uint64) bool {
 	p := gatherOf(vm)
 	return p != nil && (p.GetIncarnation() != incarnation || p.GetState() == pb.ProcessState_PROCESS_STATE_GONE)
 }
@@ -90,63 +90,63 @@
 		gatherOf(vm).GetState() == pb.ProcessState_PROCESS_STATE_GONE
 }
 
-// witnesses picks the witness of each new ticket and avoids those that failed lately.
-type witnesses struct {
-	avoid  time.Duration
-	now    balance.Clock
-	random balance.Random
+// witnessSelector picks the witness of each new ticket and avoids those that failed lately.
+type witnessSelector struct {
+	cooldown time.Duration
+	now      balance.Clock
+	random   balance.Random
 
 	mu sync.Mutex
-	// failed holds when a VM failed as a witness; guarded by mu.
-	failed map[string]time.Time
+	// failedAt holds when a VM failed as a witness; guarded by mu.
+	failedAt map[string]time.Time
 }
 
-func newWitnesses(avoid time.Duration, now balance.Clock, random balance.Random) *witnesses {
-	return &witnesses{avoid: avoid, now: now, random: random, failed: make(map[string]time.Time)}
+func newWitnessSelector(avoid time.Duration, now balance.Clock, random balance.Random) *witnessSelector {
+	return &witnessSelector{cooldown: avoid, now: now, random: random, failedAt: make(map[string]time.Time)}
 }
 
 // Pick returns a ready gather of another VM, one of the own availability zone where there is any,
 // or nil.
-func (w *witnesses) Pick(v *feed.View) *pb.Vm {
-	near, far := w.candidates(v)
-	if len(near) == 0 {
-		near = far
+func (w *witnessSelector) Pick(v *feed.View) *pb.Vm {
+	sameZone, otherZones := w.candidates(v)
+	if len(sameZone) == 0 {
+		sameZone = otherZones
 	}
-	if len(near) == 0 {
+	if len(sameZone) == 0 {
 		return nil
 	}
-	return near[int(w.random()*float64(len(near)))]
+	return sameZone[int(w.random()*float64(len(sameZone)))]
 }
 
 // candidates returns the gathers that can be a witness now, those of the own availability zone and
 // the others.
-func (w *witnesses) candidates(v *feed.View) (near, far []*pb.Vm) {
+func (w *witnessSelector) candidates(v *feed.View) (sameZone, otherZones []*pb.Vm) {
 	for _, vm := range v.VMs {
 		switch {
-		case vm.GetId() == v.VM || !readyGather(vm) || w.avoided(vm.GetId()):
+		case vm.GetId() == v.VM || !readyGather(vm) || w.coolingDown(vm.GetId()):
 		case vm.GetZone() == v.Zone:
-			near = append(near, vm)
+			sameZone = append(sameZone, vm)
 		default:
-			far = append(far, vm)
+			otherZones = append(otherZones, vm)
 		}
 	}
-	return near, far
+	return sameZone, otherZones
 }
 
-// Failed notes that the VM failed as a witness.
-func (w *witnesses) Failed(vm string) {
+// MarkFailed notes that the VM failed as a witness.
+func (w *witnessSelector) MarkFailed(vm string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failed[vm] = w.now()
+	w.failedAt[vm] = w.now()
 }
 
-// avoided tells whether the VM failed lately; it drops what is old.
-func (w *witnesses) avoided(vm string) bool {
+// coolingDown tells whether the VM failed lately; it drops what is old.
+func (w *witnessSelector) coolingDown(vm string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at, ok := w.failed[vm]
-	if ok && w.now().Sub(at) >= w.avoid {
-		delete(w.failed, vm)
+	failedAt, ok := w.failedAt[vm]
+	if ok && w.now().Sub(failedAt) >= w.cooldown {
+		delete(w.failedAt, vm)
 		return false
 	}
 	return ok
--- a/internal/order/promise_test.go
+++ b/internal/order/promise_test.go
@@ -9,41 +9,41 @@
 	"github.com/burdockplank/burdockplank/internal/ticket"
 )
 
-// told is what one send of a ticket was told.
-type told struct {
-	end    *outcome.Error
-	result string
-	// binding is true where the minter had ended and everything believed was the case when the
+// answer is what one send of a ticket was told.
+type answer struct {
+	outcomeErr *outcome.Error
+	result     string
+	// mustBeFinal is true where the minter had ended and everything believed was the case when the
 	// resolver was asked, so that even a final unknown may not change any more.
-	binding bool
+	mustBeFinal bool
 }
 
-func (a told) kind() pb.OutcomeKind {
-	if a.end == nil {
+func (a answer) kind() pb.OutcomeKind {
+	if a.outcomeErr == nil {
 		return pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE
 	}
-	return a.end.Kind
+	return a.outcomeErr.Kind
 }
 
-func (a told) String() string {
-	if a.end == nil {
+func (a answer) String() string {
+	if a.outcomeErr == nil {
 		return "answered"
 	}
-	return fmt.Sprintf("%s %v after %v", outcome.KindName(a.end.Kind), a.end, a.end.RetryAfter)
+	return fmt.Sprintf("%s %v after %v", outcome.KindName(a.outcomeErr.Kind), a.outcomeErr, a.outcomeErr.RetryAfter)
 }
 
-// issued is a ticket with all that was told of it, in order.
-type issued struct {
-	text   string
-	ticket *ticket.Ticket
-	minter *node
-	told   []told
+// issuedTicket is a ticket with all that was told of it, in order.
+type issuedTicket struct {
+	text    string
+	ticket  *ticket.Ticket
+	minter  *node
+	answers []answer
 }
 
-// broken says which part of the promise does not hold, or "".
-func (i *issued) broken(runs int) string {
+// violation says which part of the promise does not hold, or "".
+func (i *issuedTicket) violation(runs int) string {
 	has := func(k pb.OutcomeKind) bool {
-		return slices.ContainsFunc(i.told, func(a told) bool { return a.kind() == k })
+		return slices.ContainsFunc(i.answers, func(a answer) bool { return a.kind() == k })
 	}
 	answered := has(pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE)
 	notRun := has(pb.OutcomeKind_OUTCOME_KIND_NOT_RUN)
@@ -55,21 +55,21 @@
 	case answered && runs != 1:
 		return "answered, but it did not run"
 	}
-	return i.changed()
+	return i.changedAnswer()
 }
 
-// changed tells whether an outcome changed after it was final.
-func (i *issued) changed() string {
+// changedAnswer tells whether an outcome changed after it was final.
+func (i *issuedTicket) changedAnswer() string {
 	final := false
-	for _, a := range i.told {
-		if a.end == nil && a.result != "done:"+i.text {
+	for _, a := range i.answers {
+		if a.outcomeErr == nil && a.result != "done:"+i.text {
 			return "answered another order"
 		}
 		if final && a.kind() != pb.OutcomeKind_OUTCOME_KIND_UNKNOWN {
 			return "changed after a final unknown"
 		}
-		if a.kind() == pb.OutcomeKind_OUTCOME_KIND_UNKNOWN && a.end.RetryAfter == 0 {
-			final = final || a.binding || a.end.Step == stepExecute
+		if a.kind() == pb.OutcomeKind_OUTCOME_KIND_UNKNOWN && a.outcomeErr.RetryAfter == 0 {
+			final = final || a.mustBeFinal || a.outcomeErr.Step == stepExecute
 		}
 	}
 	return ""
--- a/internal/order/rank.go
+++ b/internal/order/rank.go
@@ -10,13 +10,13 @@
 	"github.com/burdockplank/burdockplank/internal/feed"
 )
 
-// askPerZone is how many gathers of each availability zone are asked about a retired incarnation.
+// maxAskedPerZone is how many gathers of each availability zone are asked about a retired incarnation.
 // One of each zone is handed the records first; the others stand for changes of the list since.
-const askPerZone = 3
+const maxAskedPerZone = 3
 
-// ranked returns the VMs of the view with a gather that is not gone, without the minter, by
+// rankByZone returns the VMs of the view with a gather that is not gone, without the minter, by
 // availability zone and in rendezvous order for the incarnation. VMs with equal views rank equally.
-func ranked(v *feed.View, minter identity) map[string][]*pb.Vm {
+func rankByZone(v *feed.View, minter identity) map[string][]*pb.Vm {
 	zones := make(map[string][]*pb.Vm)
 	for _, vm := range v.VMs {
 		p := gatherOf(vm)
@@ -31,12 +31,12 @@
 	return zones
 }
 
-// handoverOrder returns whom to hand records to: ready gathers, the first of the own availability
+// handoverTargets returns whom to hand records to: ready gathers, the first of the own availability
 // zone, then the first of each other, then the second of each, and so on.
-func handoverOrder(v *feed.View, minter identity) []*pb.Vm {
-	zones := ranked(v, minter)
+func handoverTargets(v *feed.View, minter identity) []*pb.Vm {
+	zones := rankByZone(v, minter)
 	names := zoneNames(zones, v.Zone)
-	var order []*pb.Vm
+	var targets []*pb.Vm
 	for rank := 0; ; rank++ {
 		found := false
 		for _, z := range names {
@@ -45,11 +45,11 @@
 			}
 			found = true
 			if vm := zones[z][rank]; readyGather(vm) && vm.GetId() != v.VM {
-				order = append(order, vm)
+				targets = append(targets, vm)
 			}
 		}
 		if !found {
-			return order
+			return targets
 		}
 	}
 }
@@ -66,13 +66,13 @@
 	return append([]string{own}, names...)
 }
 
-// askOrder returns whom to ask about a retired incarnation.
-func askOrder(v *feed.View, minter identity) []*pb.Vm {
-	var ask []*pb.Vm
-	for _, vms := range ranked(v, minter) {
-		ask = append(ask, vms[:min(len(vms), askPerZone)]...)
+// resolveTargets returns whom to ask about a retired incarnation.
+func resolveTargets(v *feed.View, minter identity) []*pb.Vm {
+	var targets []*pb.Vm
+	for _, vms := range rankByZone(v, minter) {
+		targets = append(targets, vms[:min(len(vms), maxAskedPerZone)]...)
 	}
-	return ask
+	return targets
 }
 
 func score(vm *pb.Vm, minter identity) uint64 {
--- a/internal/order/record.go
+++ b/internal/order/record.go
@@ -25,28 +25,28 @@
 
 // answeredRecord is the final record of an order that a leaf executed.
 func answeredRecord(id *pb.TicketId, e *entry, resp *pb.OrderResponse) *pb.TicketRecord {
-	r := endedRecord(id, e, nil)
+	r := finalRecord(id, e, nil)
 	r.Response = resp
 	r.Outcome = resp.GetOutcome()
 	return r
 }
 
-// endedRecord is the final record of an order that ended with the error.
-func endedRecord(id *pb.TicketId, e *entry, end *outcome.Error) *pb.TicketRecord {
+// finalRecord is the final record of an order that ended with the error.
+func finalRecord(id *pb.TicketId, e *entry, outcomeErr *outcome.Error) *pb.TicketRecord {
 	r := &pb.TicketRecord{
 		Ticket: id, State: pb.TicketState_TICKET_STATE_DONE,
 		Caller: e.caller, OrderDigest: e.digest,
 	}
-	if end != nil {
-		r.Outcome = end.Proto("")
+	if outcomeErr != nil {
+		r.Outcome = outcomeErr.Proto("")
 	}
 	return r
 }
 
 // Replay turns a final record into what a send of the ticket gets.
 func Replay(r *pb.TicketRecord, requestID string, replayed bool) (*pb.OrderResponse, error) {
-	if end := outcome.FromProto(r.GetOutcome()); end != nil {
-		return nil, end
+	if outcomeErr := outcome.FromProto(r.GetOutcome()); outcomeErr != nil {
+		return nil, outcomeErr
 	}
 	if r.GetResponse().GetOutcome() == nil {
 		return nil, outcome.Unknown(pb.Reason_REASON_INTERNAL, stepExecute, "the record holds no answer")
--- a/internal/order/resolver.go
+++ b/internal/order/resolver.go
@@ -37,10 +37,10 @@
 // answer names the request. Without an order the orders are not compared.
 func (r *Resolver) ResolveOrder(ctx context.Context, t *ticket.Ticket, caller string, order *pb.OrderRequest, requestID string) (*pb.OrderResponse, error) {
 	if t.Caller != caller || (order != nil && (t.Service != order.GetService() || t.Kind != order.GetKind())) {
-		return nil, invalidTicket()
+		return nil, invalidTicketError()
 	}
 	view := r.source.Current()
-	q := &query{r: r, view: view, t: t, gone: minterGone(view, t)}
+	q := &query{r: r, view: view, t: t, minterEnded: minterEnded(view, t)}
 	resp := q.find(ctx)
 	switch resp.GetState() {
 	case pb.TicketState_TICKET_STATE_DONE:
@@ -48,7 +48,7 @@
 	case pb.TicketState_TICKET_STATE_SEALED:
 		return nil, outcome.NotRun(pb.Reason_REASON_SEALED, stepResolve, "the ticket is sealed, take a new one").WithPeer(t.VM)
 	}
-	return nil, q.undecided(resp.GetState())
+	return nil, q.undecidedError(resp.GetState())
 }
 
 func replayResolved(rec *pb.TicketRecord, order *pb.OrderRequest, requestID string) (*pb.OrderResponse, error) {
@@ -63,10 +63,10 @@
 	r    *Resolver
 	view *feed.View
 	t    *ticket.Ticket
-	// gone is true where the minting incarnation has ended, missed where a witness or peer that may
+	// minterEnded is true where the minting incarnation has ended, missed where a witness or peer that may
 	// know more could not be asked.
-	gone   bool
-	missed bool
+	minterEnded bool
+	incomplete  bool
 }
 
 // find asks the witness first, then the peers that may have been handed the records. Only then is
@@ -80,7 +80,7 @@
 	if decided(handed) {
 		return handed
 	}
-	if q.gone && !q.missed && noted.GetState() == pb.TicketState_TICKET_STATE_INTENT {
+	if q.minterEnded && !q.incomplete && noted.GetState() == pb.TicketState_TICKET_STATE_INTENT {
 		return q.askWitness(ctx, true)
 	}
 	if noted.GetState() == pb.TicketState_TICKET_STATE_INTENT {
@@ -90,37 +90,37 @@
 }
 
 // askWitness asks the witness in the incarnation that the ticket names.
-func (q *query) askWitness(ctx context.Context, gone bool) *pb.ResolveResponse {
+func (q *query) askWitness(ctx context.Context, minterEnded bool) *pb.ResolveResponse {
 	vm := findVM(q.view, q.t.WitnessVM)
-	if !q.t.HasWitness() || vm == nil || ended(vm, q.t.WitnessIncarnation) {
+	if !q.t.HasWitness() || vm == nil || incarnationEnded(vm, q.t.WitnessIncarnation) {
 		return notKnown()
 	}
 	if vm.GetState() == pb.VmState_VM_STATE_GONE {
-		q.missed = true // on the other side of a cut, perhaps
+		q.incomplete = true // on the other side of a cut, perhaps
 		return notKnown()
 	}
 	req := q.request()
 	req.WitnessIncarnation = q.t.WitnessIncarnation
-	req.MinterGone = gone
-	resp := q.ask(ctx, vm, req)
-	q.missed = q.missed || resp == nil
+	req.MinterGone = minterEnded
+	resp := q.resolveAt(ctx, vm, req)
+	q.incomplete = q.incomplete || resp == nil
 	return resp
 }
 
 // askPeers asks all peers at once and returns the first deciding answer.
 func (q *query) askPeers(ctx context.Context) *pb.ResolveResponse {
-	ask := askOrder(q.view, identity{q.t.VM, q.t.Incarnation})
-	answers := make(chan *pb.ResolveResponse, len(ask))
-	for _, vm := range ask {
-		go func() { answers <- q.ask(ctx, vm, q.request()) }()
+	targets := resolveTargets(q.view, identity{q.t.VM, q.t.Incarnation})
+	answers := make(chan *pb.ResolveResponse, len(targets))
+	for _, vm := range targets {
+		go func() { answers <- q.resolveAt(ctx, vm, q.request()) }()
 	}
 	best := notKnown()
-	for range ask {
+	for range targets {
 		a := <-answers
 		if decided(a) {
 			return a
 		}
-		q.missed = q.missed || a == nil
+		q.incomplete = q.incomplete || a == nil
 		if a.GetState() == pb.TicketState_TICKET_STATE_INTENT {
 			best = a
 		}
@@ -128,8 +128,8 @@
 	return best
 }
 
-// ask returns nil where the peer can't be reached.
-func (q *query) ask(ctx context.Context, vm *pb.Vm, req *pb.ResolveRequest) *pb.ResolveResponse {
+// resolveAt returns nil where the peer can't be reached.
+func (q *query) resolveAt(ctx context.Context, vm *pb.Vm, req *pb.ResolveRequest) *pb.ResolveResponse {
 	ctx, cancel := context.WithTimeout(ctx, q.r.cfg.PeerTimeout)
 	defer cancel()
 	resp, err := q.r.peers.Peer(vm).Resolve(ctx, req)
@@ -146,9 +146,9 @@
 	}
 }
 
-// undecided is unknown: for good where neither gather nor witness will ever tell.
-func (q *query) undecided(s pb.TicketState) *outcome.Error {
-	if !q.gone || q.missed {
+// undecidedError is unknown: for good where neither gather nor witness will ever tell.
+func (q *query) undecidedError(s pb.TicketState) *outcome.Error {
+	if !q.minterEnded || q.incomplete {
 		return outcome.Unknown(pb.Reason_REASON_UNREACHABLE, stepResolve,
 			"the ticket's gather can't be asked now, come back with the same ticket").WithPeer(q.t.VM).WithRetryAfter(q.r.cfg.RetryAfter)
 	}
@@ -163,13 +163,13 @@
 	return r.GetState() == pb.TicketState_TICKET_STATE_DONE || r.GetState() == pb.TicketState_TICKET_STATE_SEALED
 }
 
-// minterGone tells whether the view shows that the minting incarnation has ended. A VM that is on
+// minterEnded tells whether the view shows that the minting incarnation has ended. A VM that is on
 // no list any more counts as gone, for addresses and VMs are replaced at any time. One that is
 // listed and can't be reached may be on the other side of a cut, and answer after it.
-func minterGone(v *feed.View, t *ticket.Ticket) bool {
+func minterEnded(v *feed.View, t *ticket.Ticket) bool {
 	vm := findVM(v, t.VM)
 	if vm == nil {
 		return len(v.VMs) > 0
 	}
-	return ended(vm, t.Incarnation)
+	return incarnationEnded(vm, t.Incarnation)
 }
--- a/internal/order/send.go
+++ b/internal/order/send.go
@@ -13,45 +13,45 @@
 const (
 	stepTicket = "order.ticket"
 	stepWait   = "order.wait"
-	// answerLeast is what is kept for the way back of an answer, but no more than answerMost of the time left. Of
+	// minAnswerReserve is what is kept for the way back of an answer, but no more than answerMost of the time left. Of
 	// long times answerShare is kept, as for searches, since the way takes longer where VMs are busy.
-	answerLeast = 20 * time.Millisecond
-	answerMost  = 10
-	answerShare = 32
+	minAnswerReserve        = 20 * time.Millisecond
+	maxAnswerReserveDivisor = 10
+	answerReserveDivisor    = 32
 )
 
 // Order runs the order of a ticket, or gives the outcome that it had. Errors are *outcome.Error.
 func (m *Manager) Order(ctx context.Context, req *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
-	order, who := req.GetOrder(), req.GetIdentity()
-	t, end := m.accept(order, who.GetCaller())
-	if t != nil && end != nil {
-		return m.resolveEarlier(ctx, t, order, who)
+	order, requester := req.GetOrder(), req.GetIdentity()
+	t, outcomeErr := m.checkTicket(order, requester.GetCaller())
+	if t != nil && outcomeErr != nil {
+		return m.resolveEarlier(ctx, t, order, requester)
 	}
-	if end != nil {
-		m.metrics.sent(t, nil, end)
-		return nil, end
+	if outcomeErr != nil {
+		m.metrics.countSend(t, nil, outcomeErr)
+		return nil, outcomeErr
 	}
-	resp, err := m.send(ctx, t, order, who)
-	m.metrics.sent(t, resp, err)
+	resp, err := m.send(ctx, t, order, requester)
+	m.metrics.countSend(t, resp, err)
 	if err != nil {
 		return nil, err
 	}
-	return &pb.GatherOrderResponse{Identity: who, Order: resp}, nil
+	return &pb.GatherOrderResponse{Identity: requester, Order: resp}, nil
 }
 
-// accept checks that the ticket is this gather's and for this caller, service and kind. It says the
+// checkTicket checks that the ticket is this gather's and for this caller, service and kind. It says the
 // same for all mismatches, so that nothing is learned about another caller's ticket. The ticket is
 // returned only where its MAC is right, and with an error where it is of an earlier incarnation.
-func (m *Manager) accept(order *pb.OrderRequest, caller string) (*ticket.Ticket, *outcome.Error) {
+func (m *Manager) checkTicket(order *pb.OrderRequest, caller string) (*ticket.Ticket, *outcome.Error) {
 	if order.GetTicket() == "" {
 		return nil, outcome.NotRun(pb.Reason_REASON_NO_TICKET, stepTicket, "an order needs a ticket")
 	}
 	t, err := ticket.Parse(order.GetTicket())
 	if err != nil {
-		return nil, invalidTicket()
+		return nil, invalidTicketError()
 	}
 	if t.Caller != caller || t.Service != order.GetService() || t.Kind != order.GetKind() {
-		return nil, invalidTicket()
+		return nil, invalidTicketError()
 	}
 	if t.VM != m.table.self.vm {
 		return nil, outcome.Unknown(pb.Reason_REASON_UNREACHABLE, stepTicket, "the ticket is another gather's").WithPeer(t.VM).WithRetryAfter(m.cfg.RetryAfter)
@@ -60,30 +60,30 @@
 		return t, outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, stepTicket, "the ticket is of another incarnation")
 	}
 	if !m.minter.Check(t) {
-		return nil, invalidTicket()
+		return nil, invalidTicketError()
 	}
 	return t, nil
 }
 
 // resolveEarlier finds out about a ticket of an earlier incarnation of this VM's gather, for an entry
 // that does not know yet that the gather was started anew.
-func (m *Manager) resolveEarlier(ctx context.Context, t *ticket.Ticket, order *pb.OrderRequest, who *pb.Identity) (*pb.GatherOrderResponse, error) {
-	resp, err := m.resolver.ResolveOrder(ctx, t, who.GetCaller(), order, who.GetRequestId())
-	m.metrics.sent(nil, resp, err)
+func (m *Manager) resolveEarlier(ctx context.Context, t *ticket.Ticket, order *pb.OrderRequest, requester *pb.Identity) (*pb.GatherOrderResponse, error) {
+	resp, err := m.resolver.ResolveOrder(ctx, t, requester.GetCaller(), order, requester.GetRequestId())
+	m.metrics.countSend(nil, resp, err)
 	if err != nil {
 		return nil, err
 	}
-	return &pb.GatherOrderResponse{Identity: who, Order: resp}, nil
+	return &pb.GatherOrderResponse{Identity: requester, Order: resp}, nil
 }
 
-func invalidTicket() *outcome.Error {
+func invalidTicketError() *outcome.Error {
 	return outcome.NotRun(pb.Reason_REASON_TICKET_INVALID, stepTicket, "the ticket can't be used for this order")
 }
 
-func (m *Manager) send(ctx context.Context, t *ticket.Ticket, order *pb.OrderRequest, who *pb.Identity) (*pb.OrderResponse, error) {
+func (m *Manager) send(ctx context.Context, t *ticket.Ticket, order *pb.OrderRequest, requester *pb.Identity) (*pb.OrderResponse, error) {
 	e, v := m.table.begin(t.Sequence, Digest(order))
 	switch v {
-	case verdictForgotten:
+	case verdictEvicted:
 		return nil, outcome.Unknown(pb.Reason_REASON_TICKET_EXPIRED, stepTicket, "the ticket's record is no longer held")
 	case verdictReused:
 		return nil, outcome.NotRun(pb.Reason_REASON_TICKET_REUSED, stepTicket, "the ticket is taken by another order")
@@ -92,15 +92,15 @@
 	case verdictSealed:
 		m.end(t, e, outcome.NotRun(pb.Reason_REASON_SEALED, stepTicket, "this gather is leaving, take a new ticket").WithRetryAfter(m.cfg.RetryAfter))
 	case verdictStart:
-		go m.run(t, e, order, who)
+		go m.runOrder(t, e, order, requester)
 	}
-	return m.await(ctx, e, who.GetRequestId(), v == verdictJoin)
+	return m.await(ctx, e, requester.GetRequestId(), v == verdictJoin)
 }
 
 // await returns the final record of the entry, or that it is still running once the time of this
 // send is nearly up.
 func (m *Manager) await(ctx context.Context, e *entry, requestID string, replayed bool) (*pb.OrderResponse, error) {
-	ctx, cancel := leaveForAnswer(ctx)
+	ctx, cancel := withAnswerReserve(ctx)
 	defer cancel()
 	select {
 	case <-e.done:
@@ -108,27 +108,27 @@
 		select {
 		case <-e.done:
 		case <-ctx.Done():
-			return nil, m.stillRunning(ctx)
+			return nil, m.stillRunningError(ctx)
 		}
 	}
 	return Replay(m.table.recordOf(e), requestID, replayed)
 }
 
-// leaveForAnswer ends the context early enough for an answer to reach the caller in time.
-func leaveForAnswer(ctx context.Context) (context.Context, context.CancelFunc) {
+// withAnswerReserve ends the context early enough for an answer to reach the caller in time.
+func withAnswerReserve(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return ctx, func() {}
 	}
-	return context.WithDeadline(ctx, deadline.Add(-keptForAnswer(time.Until(deadline))))
+	return context.WithDeadline(ctx, deadline.Add(-answerReserve(time.Until(deadline))))
 }
 
-// keptForAnswer returns how much of the time left is kept for the way back.
-func keptForAnswer(left time.Duration) time.Duration {
-	return min(max(answerLeast, left/answerShare), left/answerMost)
+// answerReserve returns how much of the time left is kept for the way back.
+func answerReserve(remaining time.Duration) time.Duration {
+	return min(max(minAnswerReserve, remaining/answerReserveDivisor), remaining/maxAnswerReserveDivisor)
 }
 
-func (m *Manager) stillRunning(ctx context.Context) *outcome.Error {
+func (m *Manager) stillRunningError(ctx context.Context) *outcome.Error {
 	reason := pb.Reason_REASON_DEADLINE
 	if errors.Is(ctx.Err(), context.Canceled) {
 		reason = pb.Reason_REASON_CANCELLED
@@ -138,10 +138,10 @@
 
 // end makes the error the final record of a ticket whose order won't run.
 func (m *Manager) end(t *ticket.Ticket, e *entry, end *outcome.Error) {
-	m.finish(t, e, endedRecord(m.table.id(t.Sequence), e, end))
+	m.finish(t, e, finalRecord(m.table.ticketID(t.Sequence), e, end))
 }
 
 func (m *Manager) finish(t *ticket.Ticket, e *entry, r *pb.TicketRecord) {
-	m.metrics.recorded(t, r)
+	m.metrics.countRecord(t, r)
 	m.table.finish(e, r)
 }
--- a/internal/order/spread.go
+++ b/internal/order/spread.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// spreadQueue is how many outcomes wait to be spread, for the first time or again; a lost one
+	// maxSpreadQueue is how many outcomes wait to be spread, for the first time or again; a lost one
 	// only makes an answer unknown.
-	spreadQueue = 4096
-	// spreadBatch is how many outcomes go in one round.
-	spreadBatch = 256
-	// spreadAgain is the time between two tries at a witness that could not be reached.
-	spreadAgain = 500 * time.Millisecond
+	maxSpreadQueue = 4096
+	// maxSpreadBatch is how many outcomes go in one round.
+	maxSpreadBatch = 256
+	// spreadRetryInterval is the time between two tries at a witness that could not be reached.
+	spreadRetryInterval = 500 * time.Millisecond
 )
 
-// settled is an outcome on its way to the witness of its ticket.
-type settled struct {
+// pendingOutcome is an outcome on its way to the witness of its ticket.
+type pendingOutcome struct {
 	witness identity
 	record  *pb.TicketRecord
-	// until is the time since boot from which it isn't worth another try.
-	until time.Duration
+	// retryUntil is the time since boot from which it isn't worth another try.
+	retryUntil time.Duration
 }
 
 // spread queues the outcome of a noted order for its witness.
 func (m *Manager) spread(w identity, r *pb.TicketRecord) {
 	select {
-	case m.outcomes <- settled{w, r, m.table.clock.Since() + m.cfg.KeepAfter}:
+	case m.pendingOutcomes <- pendingOutcome{w, r, m.table.clock.Since() + m.cfg.RecordRetention}:
 	default:
 		m.metrics.spreads.WithLabelValues("dropped").Inc()
 	}
@@ -39,36 +39,36 @@
 // Run spreads outcomes to witnesses until ctx ends, one round at a time. What a witness could not
 // be told is tried again, while the witness runs, for as long as the record itself is kept.
 func (m *Manager) Run(ctx context.Context) error {
-	var unsent []settled
+	var unsent []pendingOutcome
 	for {
-		var again <-chan time.Time
+		var retryTimer <-chan time.Time
 		if len(unsent) > 0 {
-			again = time.After(spreadAgain)
+			retryTimer = time.After(spreadRetryInterval)
 		}
-		var batch []settled
+		var batch []pendingOutcome
 		select {
 		case <-ctx.Done():
 			return nil
-		case s := <-m.outcomes:
-			batch = m.batch(s)
-		case <-again:
+		case o := <-m.pendingOutcomes:
+			batch = m.collectBatch(o)
+		case <-retryTimer:
 			batch, unsent = unsent, nil
 		}
 		unsent = append(unsent, m.spreadRound(ctx, batch)...)
-		if over := len(unsent) - spreadQueue; over > 0 {
-			m.metrics.spreads.WithLabelValues("dropped").Add(float64(over))
-			unsent = unsent[over:]
+		if excess := len(unsent) - maxSpreadQueue; excess > 0 {
+			m.metrics.spreads.WithLabelValues("dropped").Add(float64(excess))
+			unsent = unsent[excess:]
 		}
 	}
 }
 
-// batch returns the first and what else is queued.
-func (m *Manager) batch(first settled) []settled {
-	all := []settled{first}
-	for len(all) < spreadBatch {
+// collectBatch returns the first and what else is queued.
+func (m *Manager) collectBatch(first pendingOutcome) []pendingOutcome {
+	all := []pendingOutcome{first}
+	for len(all) < maxSpreadBatch {
 		select {
-		case s := <-m.outcomes:
-			all = append(all, s)
+		case o := <-m.pendingOutcomes:
+			all = append(all, o)
 		default:
 			return all
 		}
@@ -77,44 +77,44 @@
 }
 
 // spreadRound sends the outcomes, one message to each witness, and returns those to try again.
-func (m *Manager) spreadRound(ctx context.Context, batch []settled) []settled {
-	groups := make(map[identity][]settled)
-	for _, s := range batch {
-		groups[s.witness] = append(groups[s.witness], s)
+func (m *Manager) spreadRound(ctx context.Context, batch []pendingOutcome) []pendingOutcome {
+	groups := make(map[identity][]pendingOutcome)
+	for _, o := range batch {
+		groups[o.witness] = append(groups[o.witness], o)
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.PeerTimeout)
 	defer cancel()
 	view, now := m.source.Current(), m.table.clock.Since()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var again []settled
+	var retry []pendingOutcome
 	for w, group := range groups {
 		wg.Go(func() {
 			failed := m.spreadTo(ctx, view, w, group)
 			mu.Lock()
 			defer mu.Unlock()
-			for _, s := range failed {
-				if now < s.until {
-					again = append(again, s)
+			for _, o := range failed {
+				if now < o.retryUntil {
+					retry = append(retry, o)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	return again
+	return retry
 }
 
 // spreadTo tells one witness, and returns what it could not be told though it may still run.
-func (m *Manager) spreadTo(ctx context.Context, view *feed.View, w identity, group []settled) []settled {
+func (m *Manager) spreadTo(ctx context.Context, view *feed.View, w identity, group []pendingOutcome) []pendingOutcome {
 	count := func(result string) { m.metrics.spreads.WithLabelValues(result).Add(float64(len(group))) }
 	vm := findVM(view, w.vm)
-	if vm == nil || ended(vm, w.incarnation) {
+	if vm == nil || incarnationEnded(vm, w.incarnation) {
 		count("lost")
 		return nil
 	}
 	req := &pb.HandoverRequest{Vm: m.table.self.vm, Incarnation: m.table.self.incarnation}
-	for _, s := range group {
-		req.Records = append(req.Records, s.record)
+	for _, o := range group {
+		req.Records = append(req.Records, o.record)
 	}
 	if _, err := m.peers.Peer(vm).Handover(ctx, req); err != nil {
 		count("failed")
--- a/internal/order/table.go
+++ b/internal/order/table.go
@@ -43,7 +43,7 @@
 // presence of a minted entry is what allows an order to run, so no clock can make one run twice.
 type table struct {
 	cfg   Config
-	clock *elapsed
+	clock *bootClock
 	self  identity
 
 	mu sync.Mutex
@@ -58,28 +58,28 @@
 	sealed  bool
 	running int
 	minted  int
-	// quiet is closed and replaced when running or minted falls.
-	quiet chan struct{}
+	// changed is closed and replaced when running or minted falls.
+	changed chan struct{}
 }
 
-func newTable(cfg Config, clock *elapsed, self identity) *table {
+func newTable(cfg Config, clock *bootClock, self identity) *table {
 	return &table{
 		cfg: cfg, clock: clock, self: self, entries: make(map[uint64]*entry),
-		byCaller: make(map[string]int), quiet: make(chan struct{}),
+		byCaller: make(map[string]int), changed: make(chan struct{}),
 	}
 }
 
-// full returns why no more tickets of the caller can be held, after dropping what is old;
+// limitReached returns why no more tickets of the caller can be held, after dropping what is old;
 // unspecified where one can.
-func (t *table) full(caller string) pb.Reason {
+func (t *table) limitReached(caller string) pb.Reason {
 	now := t.clock.Since()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
+	t.evictExpired(now)
 	switch {
-	case len(t.entries) >= t.cfg.TicketLimit || t.resultBytes >= t.cfg.ResultLimit:
+	case len(t.entries) >= t.cfg.MaxTickets || t.resultBytes >= t.cfg.MaxResultBytes:
 		return pb.Reason_REASON_OVERLOAD
-	case t.byCaller[caller] >= t.cfg.CallerLimit:
+	case t.byCaller[caller] >= t.cfg.MaxCallerTickets:
 		return pb.Reason_REASON_CALLER_LIMIT
 	}
 	return pb.Reason_REASON_UNSPECIFIED
@@ -100,11 +100,11 @@
 	return true
 }
 
-// forget drops entries that expired long ago. Needs mu.
-func (t *table) forget(now time.Duration) {
+// evictExpired drops entries that expired long ago. Needs mu.
+func (t *table) evictExpired(now time.Duration) {
 	n := 0
 	for _, e := range t.queue {
-		if e.state == stateRunning || now < e.expires+t.cfg.KeepAfter {
+		if e.state == stateRunning || now < e.expires+t.cfg.RecordRetention {
 			break
 		}
 		if e.state == stateMinted {
@@ -116,7 +116,7 @@
 	}
 	t.queue = t.queue[n:]
 	if n > 0 {
-		t.signal()
+		t.notifyChanged()
 	}
 }
 
@@ -135,7 +135,7 @@
 
 const (
 	// verdictForgotten: the ticket's record was dropped for age.
-	verdictForgotten verdict = iota
+	verdictEvicted verdict = iota
 	// verdictReused: the ticket's order is another one.
 	verdictReused
 	// verdictStart: this send starts the order.
@@ -155,7 +155,7 @@
 	e := t.entries[sequence]
 	switch {
 	case e == nil:
-		return nil, verdictForgotten
+		return nil, verdictEvicted
 	case e.digest != 0 && e.digest != digest:
 		return nil, verdictReused
 	case e.state != stateMinted:
@@ -181,7 +181,7 @@
 	t.resultBytes += len(record.GetResponse().GetResult())
 	t.running--
 	close(e.done)
-	t.signal()
+	t.notifyChanged()
 }
 
 // expired tells whether an entry may not start any more.
@@ -194,14 +194,14 @@
 	return e.record
 }
 
-// signal wakes those who wait for quiet. Needs mu.
-func (t *table) signal() {
-	close(t.quiet)
-	t.quiet = make(chan struct{})
+// notifyChanged wakes those who wait for quiet. Needs mu.
+func (t *table) notifyChanged() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-// id returns the ticket's name in the fleet.
-func (t *table) id(sequence uint64) *pb.TicketId {
+// ticketID returns the ticket's name in the fleet.
+func (t *table) ticketID(sequence uint64) *pb.TicketId {
 	return &pb.TicketId{Vm: t.self.vm, Incarnation: t.self.incarnation, Sequence: sequence}
 }
 
--- a/internal/order/witness.go
+++ b/internal/order/witness.go
@@ -8,9 +8,9 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// horizonLimit is how many minting incarnations a witness remembers horizons of. They are 32 bytes
+// maxWatermarks is how many minting incarnations a witness remembers horizons of. They are 32 bytes
 // or so each and kept as long as the process lives.
-const horizonLimit = 65_536
+const maxWatermarks = 65_536
 
 const stepWitness = "order.witness"
 
@@ -32,8 +32,8 @@
 	caller string
 	digest uint64
 	record *pb.TicketRecord
-	// forgetAt is the time since boot at which the note is dropped.
-	forgetAt time.Duration
+	// evictAt is the time since boot at which the note is dropped.
+	evictAt time.Duration
 }
 
 // witness notes intents for other gathers and seals tickets. It compares no clock with another VM:
@@ -41,21 +41,21 @@
 // horizon it neither takes an intent nor says "never run".
 type witness struct {
 	incarnation uint64
-	limit       int
-	keep        time.Duration
-	clock       *elapsed
+	maxNotes    int
+	retention   time.Duration
+	clock       *bootClock
 
 	mu sync.Mutex
 	// All below is guarded by mu. queue holds the notes by age.
-	notes   map[ticketKey]*note
-	queue   []*note
-	horizon map[identity]uint64
+	notes     map[ticketKey]*note
+	queue     []*note
+	watermark map[identity]uint64
 }
 
-func newWitness(cfg Config, incarnation uint64, clock *elapsed) *witness {
+func newWitness(cfg Config, incarnation uint64, clock *bootClock) *witness {
 	return &witness{
-		incarnation: incarnation, limit: cfg.NoteLimit, keep: cfg.PeerKeep, clock: clock,
-		notes: make(map[ticketKey]*note), horizon: make(map[identity]uint64),
+		incarnation: incarnation, maxNotes: cfg.MaxNotes, retention: cfg.PeerRetention, clock: clock,
+		notes: make(map[ticketKey]*note), watermark: make(map[identity]uint64),
 	}
 }
 
@@ -68,11 +68,11 @@
 	now := w.clock.Since()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.forget(now)
+	w.evictExpired(now)
 	if n := w.notes[key]; n != nil {
-		return w.noteAgain(n, req.GetOrderDigest())
+		return w.answerRepeatedIntent(n, req.GetOrderDigest())
 	}
-	if key.sequence <= w.horizon[key.minter] {
+	if key.sequence <= w.watermark[key.minter] {
 		return &pb.NoteIntentResponse{Sealed: true}, nil
 	}
 	if !w.hasRoom(key.minter) {
@@ -80,13 +80,13 @@
 	}
 	w.add(&note{
 		key: key, state: pb.TicketState_TICKET_STATE_INTENT,
-		caller: req.GetCaller(), digest: req.GetOrderDigest(), forgetAt: now + w.keep,
+		caller: req.GetCaller(), digest: req.GetOrderDigest(), evictAt: now + w.retention,
 	})
 	return &pb.NoteIntentResponse{}, nil
 }
 
-// noteAgain answers a repeated intent: lost answers and pauses of the gather cause them.
-func (w *witness) noteAgain(n *note, digest uint64) (*pb.NoteIntentResponse, *outcome.Error) {
+// answerRepeatedIntent answers a repeated intent: lost answers and pauses of the gather cause them.
+func (w *witness) answerRepeatedIntent(n *note, digest uint64) (*pb.NoteIntentResponse, *outcome.Error) {
 	switch {
 	case n.state == pb.TicketState_TICKET_STATE_SEALED:
 		return &pb.NoteIntentResponse{Sealed: true}, nil
@@ -103,7 +103,7 @@
 	now := w.clock.Since()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.forget(now)
+	w.evictExpired(now)
 	n := w.notes[key]
 	if n == nil {
 		return w.seal(key, req.GetCaller(), now)
@@ -112,31 +112,31 @@
 		return notKnown()
 	}
 	if n.state == pb.TicketState_TICKET_STATE_INTENT && req.GetMinterGone() {
-		n.close(req.GetTicket())
+		n.closeAsUnknown(req.GetTicket())
 	}
 	return &pb.ResolveResponse{State: n.state, Record: n.record}
 }
 
 // seal makes "never run" certain. Needs mu.
 func (w *witness) seal(key ticketKey, caller string, now time.Duration) *pb.ResolveResponse {
-	if key.sequence <= w.horizon[key.minter] || !w.hasRoom(key.minter) {
+	if key.sequence <= w.watermark[key.minter] || !w.hasRoom(key.minter) {
 		return notKnown()
 	}
-	w.add(&note{key: key, state: pb.TicketState_TICKET_STATE_SEALED, caller: caller, forgetAt: now + w.keep})
+	w.add(&note{key: key, state: pb.TicketState_TICKET_STATE_SEALED, caller: caller, evictAt: now + w.retention})
 	return &pb.ResolveResponse{State: pb.TicketState_TICKET_STATE_SEALED}
 }
 
-// close records the outcome as unknown for good, since nobody is left who could tell it.
-func (n *note) close(id *pb.TicketId) {
+// closeAsUnknown records the outcome as unknown for good, since nobody is left who could tell it.
+func (n *note) closeAsUnknown(id *pb.TicketId) {
 	n.state = pb.TicketState_TICKET_STATE_DONE
-	gone := outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, stepWitness, "the gather ended with the order under way, it may have run")
+	outcomeErr := outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, stepWitness, "the gather ended with the order under way, it may have run")
 	n.record = &pb.TicketRecord{
-		Ticket: id, State: n.state, Caller: n.caller, OrderDigest: n.digest, Outcome: gone.WithPeer(id.GetVm()).Proto(""),
+		Ticket: id, State: n.state, Caller: n.caller, OrderDigest: n.digest, Outcome: outcomeErr.WithPeer(id.GetVm()).Proto(""),
 	}
 }
 
-// settle takes the final record of a noted order. A record that is there already stays.
-func (w *witness) settle(r *pb.TicketRecord) {
+// recordOutcome takes the final record of a noted order. A record that is there already stays.
+func (w *witness) recordOutcome(r *pb.TicketRecord) {
 	if r.GetState() != pb.TicketState_TICKET_STATE_DONE {
 		return
 	}
@@ -151,25 +151,25 @@
 
 // hasRoom tells whether a note of the minter can be held, and its horizon later. Needs mu.
 func (w *witness) hasRoom(minter identity) bool {
-	_, known := w.horizon[minter]
-	return len(w.notes) < w.limit && (known || len(w.horizon) < horizonLimit)
+	_, known := w.watermark[minter]
+	return len(w.notes) < w.maxNotes && (known || len(w.watermark) < maxWatermarks)
 }
 
 // add holds a note. Needs mu.
 func (w *witness) add(n *note) {
 	w.notes[n.key] = n
 	w.queue = append(w.queue, n)
-	if _, known := w.horizon[n.key.minter]; !known {
-		w.horizon[n.key.minter] = 0
+	if _, known := w.watermark[n.key.minter]; !known {
+		w.watermark[n.key.minter] = 0
 	}
 }
 
-// forget drops old notes and raises the horizons. Needs mu.
-func (w *witness) forget(now time.Duration) {
+// evictExpired drops old notes and raises the horizons. Needs mu.
+func (w *witness) evictExpired(now time.Duration) {
 	n := 0
-	for n < len(w.queue) && w.queue[n].forgetAt <= now {
+	for n < len(w.queue) && w.queue[n].evictAt <= now {
 		old := w.queue[n]
-		w.horizon[old.key.minter] = max(w.horizon[old.key.minter], old.key.sequence)
+		w.watermark[old.key.minter] = max(w.watermark[old.key.minter], old.key.sequence)
 		delete(w.notes, old.key)
 		w.queue[n] = nil
 		n++
@@ -177,8 +177,8 @@
 	w.queue = w.queue[n:]
 }
 
-// held returns how many notes are held by state.
-func (w *witness) held() map[string]int {
+// notesByState returns how many notes are held by state.
+func (w *witness) notesByState() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	by := make(map[string]int)
--- a/internal/order/witness_test.go
+++ b/internal/order/witness_test.go
@@ -15,16 +15,16 @@
 	"github.com/burdockplank/burdockplank/internal/rpc"
 )
 
-func TestWitnessThatForgotSaysNothing(t *testing.T) {
+func TestWitnessDoesNotDecideEvictedTickets(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		w := m.node("vm-3").m.witness
-		w.limit = 2
+		w.maxNotes = 2
 		id := func(seq uint64) *pb.TicketId { return &pb.TicketId{Vm: "vm-9", Incarnation: 9, Sequence: seq} }
 		note := func(seq uint64) string {
-			resp, end := w.noteIntent(&pb.NoteIntentRequest{Ticket: id(seq), WitnessIncarnation: w.incarnation, Caller: "desk", OrderDigest: 1})
+			resp, outcomeErr := w.noteIntent(&pb.NoteIntentRequest{Ticket: id(seq), WitnessIncarnation: w.incarnation, Caller: "desk", OrderDigest: 1})
 			switch {
-			case end != nil:
-				return outcome.ReasonName(end.Reason)
+			case outcomeErr != nil:
+				return outcome.ReasonName(outcomeErr.Reason)
 			case resp.GetSealed():
 				return "sealed"
 			}
@@ -39,7 +39,7 @@
 		is.Equal(note(8), "sealed")
 		is.Equal(note(12), "overload") // no room: neither a note nor a seal
 		is.Equal(resolve(12), "not_known")
-		time.Sleep(m.cfg.PeerKeep)
+		time.Sleep(m.cfg.PeerRetention)
 		is.Equal(resolve(10), "not_known") // it may have run
 		is.Equal(note(8), "sealed")        // it may have been told "never runs"
 		is.Equal(note(9), "sealed")
@@ -52,13 +52,13 @@
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
 		m.arm(atExecute, fault{delay: 900 * time.Millisecond})
-		go m.ask(i, "p")
+		go m.sendOrder(i, "p")
 		synctest.Wait()
-		m.leave(m.node("vm-1"), 100*time.Millisecond)
+		m.drainAndKill(m.node("vm-1"), 100*time.Millisecond)
 		time.Sleep(200 * time.Millisecond)
 		m.kill(m.node("vm-2")) // the witness
-		m.news()
-		is.Equal(m.askAround(i), "unknown incarnation_gone")
+		m.publishActualState()
+		is.Equal(m.resolveTicket(i), "unknown incarnation_gone")
 		time.Sleep(time.Second)
 		is.Equal(m.runsOf(i.text), 1)
 	})
@@ -79,9 +79,9 @@
 	peer := NewHTTPPeers(rpc.NewClient("127.0.0.1")).Peer(&pb.Vm{Address: "127.0.0.1", GatherPort: uint32(addr.Port)})
 	req := &pb.NoteIntentRequest{Ticket: &pb.TicketId{Vm: "vm-9", Incarnation: 9, Sequence: 1}, WitnessIncarnation: w.incarnation + 1}
 	_, err = peer.NoteIntent(context.Background(), req)
-	end, ok := outcome.FromConnect(err)
+	outcomeErr, ok := outcome.FromConnect(err)
 	is.True(ok)
-	is.Equal(end.Reason, pb.Reason_REASON_INCARNATION_GONE)
+	is.Equal(outcomeErr.Reason, pb.Reason_REASON_INCARNATION_GONE)
 	req.WitnessIncarnation = w.incarnation
 	resp, err := peer.NoteIntent(context.Background(), req)
 	is.NoErr(err)
@@ -97,13 +97,13 @@
 	inWorld(t, func(is *is.I, m *machine) {
 		n := m.node("vm-1")
 		sealed, free := m.ticket(), m.ticket()
-		is.Equal(m.askAround(sealed), "not_run sealed")
+		is.Equal(m.resolveTicket(sealed), "not_run sealed")
 		n.stale = true
-		is.Equal(m.ask(sealed, "p"), "not_run sealed")
-		is.Equal(m.ask(free, "p"), "not_run paused")
+		is.Equal(m.sendOrder(sealed, "p"), "not_run sealed")
+		is.Equal(m.sendOrder(free, "p"), "not_run paused")
 		time.Sleep(time.Second)
-		m.rumourEnded("vm-1") // only the witness is asked from now on
-		is.Equal(m.askAround(free), "not_run paused")
+		m.setViewGatherEnded("vm-1") // only the witness is asked from now on
+		is.Equal(m.resolveTicket(free), "not_run paused")
 		is.Equal(m.runsOf(sealed.text)+m.runsOf(free.text), 0)
 	})
 }
--- a/internal/order/world_test.go
+++ b/internal/order/world_test.go
@@ -32,7 +32,7 @@
 	dropRequest, dropResponse bool
 	delay                     time.Duration
 	// before and after strike the sender, before it sends and after it has the answer.
-	before, after strike
+	before, after nodeEvent
 	// notWritten, broken and refusal are ways a call to a leaf fails; a broken one runs all the same.
 	notWritten, broken bool
 	refusal            pb.LeafRefusalReason
@@ -40,12 +40,12 @@
 	mismatch bool
 }
 
-type strike int
+type nodeEvent int
 
 const (
-	strikeNone strike = iota
-	strikeFreeze
-	strikeKill
+	eventNone nodeEvent = iota
+	eventFreeze
+	eventKill
 )
 
 // world is some gathers, the leaves and the network between them, on fake time. An order is told
@@ -57,11 +57,11 @@
 	// All below is guarded by mu.
 	nodes           map[string]*node
 	lastIncarnation uint64
-	cut             map[[2]string]bool
+	partitioned     map[[2]string]bool
 	armed           map[string][]fault
-	// believed is the view that all processes have; it changes by news and rumours only.
-	believed map[string]*pb.Vm
-	runs     map[string]int
+	// viewVMs is the view that all processes have; it changes by news and rumours only.
+	viewVMs map[string]*pb.Vm
+	runs    map[string]int
 }
 
 // node is one incarnation of a VM's gather.
@@ -75,10 +75,10 @@
 	// far its clocks are behind.
 	dead, draining bool
 	thawed         chan struct{}
-	frozeAt        time.Time
-	lag            time.Duration
-	// pauseSeen is when the node last saw a pause of its own end.
-	pauseSeen time.Time
+	frozenSince    time.Time
+	clockLag       time.Duration
+	// lastPause is when the node last saw a pause of its own end.
+	lastPause time.Time
 	// stale is true while the node has no fresh news of the fleet; set before it runs orders.
 	stale bool
 	// full and leaving are what leaves look like to the node; set before it runs orders.
@@ -89,13 +89,13 @@
 
 func newWorld(cfg Config, zones map[string]string) *world {
 	w := &world{
-		cfg: cfg, nodes: make(map[string]*node), cut: make(map[[2]string]bool),
-		armed: make(map[string][]fault), believed: make(map[string]*pb.Vm), runs: make(map[string]int),
+		cfg: cfg, nodes: make(map[string]*node), partitioned: make(map[[2]string]bool),
+		armed: make(map[string][]fault), viewVMs: make(map[string]*pb.Vm), runs: make(map[string]int),
 	}
 	for id, zone := range zones {
 		w.start(id, zone)
 	}
-	w.news()
+	w.publishActualState()
 	return w
 }
 
@@ -126,16 +126,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if n.thawed == nil && !n.dead {
-		n.thawed, n.frozeAt = make(chan struct{}), time.Now()
+		n.thawed, n.frozenSince = make(chan struct{}), time.Now()
 	}
 }
 
-// thawUnaware wakes a node whose clocks stood still while it was frozen, so that it sees no pause.
-func (w *world) thawUnaware(n *node) {
+// thawUnnoticed wakes a node whose clocks stood still while it was frozen, so that it sees no pause.
+func (w *world) thawUnnoticed(n *node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if n.thawed != nil {
-		n.lag += time.Since(n.frozeAt)
+		n.clockLag += time.Since(n.frozenSince)
 	}
 	n.wake()
 }
@@ -144,14 +144,14 @@
 func (n *node) now() time.Time {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	return time.Now().Add(-n.lag)
+	return time.Now().Add(-n.clockLag)
 }
 
 func (w *world) thaw(n *node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if n.thawed != nil {
-		n.pauseSeen = time.Now().Add(-n.lag)
+		n.lastPause = time.Now().Add(-n.clockLag)
 	}
 	n.wake()
 }
@@ -172,8 +172,8 @@
 	w.thaw(n)
 }
 
-// leave drains the node within the limit and ends its process.
-func (w *world) leave(n *node, limit time.Duration) {
+// drainAndKill drains the node within the limit and ends its process.
+func (w *world) drainAndKill(n *node, limit time.Duration) {
 	w.mu.Lock()
 	n.draining = true
 	w.mu.Unlock()
@@ -185,18 +185,18 @@
 	}()
 }
 
-func (w *world) strike(n *node, s strike) {
+func (w *world) applyEvent(n *node, s nodeEvent) {
 	switch {
 	case n == nil:
-	case s == strikeFreeze:
+	case s == eventFreeze:
 		w.freeze(n)
-	case s == strikeKill:
+	case s == eventKill:
 		w.kill(n)
 	}
 }
 
-// alive waits while the node is frozen and tells whether it lives. Each step of a node passes here.
-func (n *node) alive() bool {
+// waitAlive waits while the node is frozen and tells whether it lives. Each step of a node passes here.
+func (n *node) waitAlive() bool {
 	if n == nil {
 		return true
 	}
@@ -217,13 +217,13 @@
 }
 
 func (n *node) State(leaf string) (upstream.State, bool) {
-	n.alive()
+	n.waitAlive()
 	return upstream.State{Leaf: leaf, Connected: true, Leaving: n.leaving[leaf]}, true
 }
 
 // Pick and AllowRetry implement balance.Replicas.
 func (n *node) Pick(candidates []string) (balance.Call, bool) {
-	n.alive()
+	n.waitAlive()
 	return fakeCall(candidates[0]), !n.full
 }
 
@@ -238,22 +238,22 @@
 
 // LastPause implements Pauses.
 // sawPause lets the node see a pause of its own that ended at t; its leaves have room since.
-func (n *node) sawPause(t time.Time) {
+func (n *node) recordPause(t time.Time) {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	n.pauseSeen, n.full = t, false
+	n.lastPause, n.full = t, false
 }
 
 func (n *node) LastPause(time.Time) time.Time {
-	n.alive()
+	n.waitAlive()
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	return n.pauseSeen
+	return n.lastPause
 }
 
 // Current, Changed and Fresh implement feed.Source.
 func (n *node) Current() *feed.View {
-	n.alive()
+	n.waitAlive()
 	return n.w.view(n.id, n.zone)
 }
 
@@ -277,14 +277,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	v := &feed.View{VM: id, Zone: zone, Bundle: testBundle()}
-	for _, id := range slices.Sorted(maps.Keys(w.believed)) {
-		v.VMs = append(v.VMs, w.believed[id])
+	for _, id := range slices.Sorted(maps.Keys(w.viewVMs)) {
+		v.VMs = append(v.VMs, w.viewVMs[id])
 	}
 	return v
 }
 
-// truth is what is the case with the VM. Needs mu.
-func (w *world) truth(n *node) *pb.Vm {
+// actualVM is what is the case with the VM. Needs mu.
+func (w *world) actualVM(n *node) *pb.Vm {
 	vm := gatherVM(n.id, n.zone, n.incarnation)
 	switch {
 	case n.dead: // the sync of the VM tells
@@ -295,39 +295,39 @@
 	return vm
 }
 
-// news makes everyone believe what is the case.
-func (w *world) news() {
+// publishActualState makes everyone believe what is the case.
+func (w *world) publishActualState() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, n := range w.nodes {
-		w.believed[id] = w.truth(n)
+		w.viewVMs[id] = w.actualVM(n)
 	}
 }
 
-// rumour makes everyone believe a state of a VM, true or not.
-func (w *world) rumour(id string, s pb.VmState) {
+// setViewState makes everyone believe a state of a VM, true or not.
+func (w *world) setViewState(id string, s pb.VmState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	old := w.believed[id]
-	w.believed[id] = &pb.Vm{Id: old.Id, Zone: old.Zone, State: s, Processes: old.Processes}
+	old := w.viewVMs[id]
+	w.viewVMs[id] = &pb.Vm{Id: old.Id, Zone: old.Zone, State: s, Processes: old.Processes}
 }
 
-// rumourEnded makes everyone believe that the gather of a VM has ended, true or not.
-func (w *world) rumourEnded(id string) {
+// setViewGatherEnded makes everyone believe that the gather of a VM has ended, true or not.
+func (w *world) setViewGatherEnded(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	old := w.believed[id]
+	old := w.viewVMs[id]
 	ended := gatherVM(old.Id, old.Zone, gatherOf(old).GetIncarnation())
 	ended.Processes[0].State = pb.ProcessState_PROCESS_STATE_GONE
-	w.believed[id] = ended
+	w.viewVMs[id] = ended
 }
 
-// viewTrue tells whether all that is believed is the case.
-func (w *world) viewTrue() bool {
+// viewIsAccurate tells whether all that is believed is the case.
+func (w *world) viewIsAccurate() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, n := range w.nodes {
-		if fmt.Sprint(w.believed[id]) != fmt.Sprint(w.truth(n)) {
+		if fmt.Sprint(w.viewVMs[id]) != fmt.Sprint(w.actualVM(n)) {
 			return false
 		}
 	}
