--- a/internal/order/archive.go
+++ b/internal/order/archive.go
@@ -10,29 +10,31 @@
 
 const stepArchive = "order.archive"
 
-// retiredIncarnation is what an incarnation that left in order handed over. It is dropped as a whole, so that
-// a missing record keeps its meaning.
+// retiredIncarnation holds the records that an incarnation handed over when it drained. It is
+// evicted as a whole, so that a missing record of a complete handover always means a ticket without
+// an order.
 type retiredIncarnation struct {
 	records map[uint64]*pb.TicketRecord
-	// total is how many records there are in all, known from when the minter has sealed its tickets;
-	// -1 until then.
+	// total is the number of records of the incarnation. It is known once the minter has sealed
+	// its tickets, and -1 until then.
 	total       int
 	forgottenTo uint64
-	// evictAt is the time since boot at which it is dropped.
+	// evictAt is the time since boot at which the records are dropped.
 	evictAt time.Duration
 }
 
-// complete tells whether all records are here and a ticket without one never ran.
+// complete reports whether all records have arrived, in which case a ticket without a record never
+// ran.
 func (r *retiredIncarnation) complete() bool { return r.total >= 0 && len(r.records) >= r.total }
 
-// archive holds the records of retired incarnations for those who ask later.
+// archive holds the records of retired incarnations and answers later resolve requests from them.
 type archive struct {
 	maxRecords int
 	retention  time.Duration
 	clock      *bootClock
 
 	mu sync.Mutex
-	// byMinter and count, the number of records in it, are guarded by mu.
+	// byMinter, and count, the number of records in it, are guarded by mu.
 	byMinter map[identity]*retiredIncarnation
 	count    int
 }
@@ -41,8 +43,9 @@
 	return &archive{maxRecords: cfg.MaxArchivedRecords, retention: cfg.PeerRetention, clock: clock, byMinter: make(map[identity]*retiredIncarnation)}
 }
 
-// accept takes one part of a handover. Parts may come again; a record that is there stays, but for
-// an intent, which its outcome follows.
+// accept stores one request of a handover. Requests may be repeated: a record that is present is
+// kept, except that an intent is replaced by its outcome. It refuses the request with reason
+// overload when the archive would exceed maxRecords.
 func (a *archive) accept(req *pb.HandoverRequest) *outcome.Error {
 	now := a.clock.Since()
 	a.mu.Lock()
@@ -67,7 +70,7 @@
 	return nil
 }
 
-// put holds a record. Needs mu.
+// put stores a record. The caller must hold mu.
 func (a *archive) put(r *retiredIncarnation, rec *pb.TicketRecord) {
 	seq := rec.GetTicket().GetSequence()
 	old := r.records[seq]
@@ -80,7 +83,8 @@
 	r.records[seq] = rec
 }
 
-// lookup says what is known of a ticket.
+// lookup returns what the archive knows of a ticket of the caller. The state is not_known for
+// another caller's ticket.
 func (a *archive) lookup(id *pb.TicketId, caller string) *pb.ResolveResponse {
 	now := a.clock.Since()
 	a.mu.Lock()
@@ -100,7 +104,7 @@
 	return notKnown()
 }
 
-// evictExpired drops old handovers. Needs mu.
+// evictExpired drops handovers past their retention. The caller must hold mu.
 func (a *archive) evictExpired(now time.Duration) {
 	for minter, r := range a.byMinter {
 		if r.evictAt <= now {
@@ -110,7 +114,7 @@
 	}
 }
 
-// handoverData returns all that is held as handovers to pass on.
+// handoverData returns all that is held, by incarnation, to be passed on when this gather drains.
 func (a *archive) handoverData() []*handoverData {
 	now := a.clock.Since()
 	a.mu.Lock()
@@ -127,7 +131,7 @@
 	return all
 }
 
-// size returns the retired incarnations and records held.
+// size returns the number of retired incarnations and of their records.
 func (a *archive) size() (incarnations, records int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/order/attempt.go
+++ b/internal/order/attempt.go
@@ -16,7 +16,7 @@
 
 const stepExecute = "order.execute"
 
-// attempt is the one execution of an order.
+// attempt is the single execution of an order.
 type attempt struct {
 	m         *Manager
 	t         *ticket.Ticket
@@ -24,17 +24,20 @@
 	order     *pb.OrderRequest
 	requester *pb.Identity
 	placement *placement
-	// answerCtx ends when the answer of the leaf is no longer waited for.
+	// answerCtx ends when the gather stops waiting for the leaf's answer, one grace period after
+	// the order's deadline.
 	answerCtx context.Context
-	// notStarted are the leaves that surely did not start the order.
+	// notStarted holds the leaves that are known not to have started the order.
 	notStarted []string
-	// mayBeNoted is true once the intent may be noted at the witness, asked when it was last asked.
+	// mayBeNoted is true from the first request to the witness on, since the witness may have
+	// noted the intent even if its answer is lost. askedAt is the time of the latest request.
 	mayBeNoted bool
 	askedAt    time.Time
 }
 
-// run returns the final record. A leaf that surely did not start the order is followed by another
-// replica; after any other failure the order is never sent again.
+// run executes the order and returns its final record. After a leaf that is known not to have
+// started the order it tries another replica. After any other failure it never sends the order
+// again.
 func (a *attempt) run(ctx context.Context) *pb.TicketRecord {
 	lastErr := outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, stepPlace, "no replica takes orders, take a new ticket").WithRetryAfter(a.m.cfg.RetryAfter)
 	for {
@@ -73,8 +76,9 @@
 	}
 }
 
-// execute writes the order to the leaf. The leaf has until the end of ctx; its answer is waited for
-// beyond, while the leaf's load counts it as over.
+// execute sends the order to the leaf. The leaf has until the deadline of ctx to work on it. The
+// answer is awaited until answerCtx ends, but the call stops counting as load of the leaf at the
+// end of ctx.
 func (a *attempt) execute(ctx context.Context, call balance.Call) (*pb.LeafExecuteResponse, error) {
 	stopTimeout := context.AfterFunc(ctx, func() { call.Done(balance.ResultTimeout) })
 	defer stopTimeout()
@@ -87,8 +91,8 @@
 
 func (a *attempt) replicas() balance.Replicas { return a.m.replicas(a.t.Service) }
 
-// acquireSlot takes a slot at a replica that was not tried, waiting a little for one. Where none is left
-// it gives the last refusal.
+// acquireSlot takes a slot at a replica that has not been tried, waiting up to SlotTimeout for one.
+// Without a candidate it returns lastErr, the last refusal.
 func (a *attempt) acquireSlot(ctx context.Context, lastErr *outcome.Error) (balance.Call, *outcome.Error) {
 	deadline := a.m.now().Add(a.m.cfg.SlotTimeout)
 	for {
@@ -106,8 +110,8 @@
 	}
 }
 
-// candidates are the replicas that are not leaving and were not tried; connected ones where there
-// are any.
+// candidates returns the replicas that are not leaving and have not been tried. It returns only
+// connected ones if there are any.
 func (a *attempt) candidates() []string {
 	var connected, other []string
 	for _, leaf := range a.placement.leaves {
@@ -133,7 +137,8 @@
 	}
 }
 
-// answerRecord records the leaf's answer, or unknown where it answers another order.
+// answerRecord returns the final record for the leaf's answer. The outcome is unknown if the answer
+// belongs to another order.
 func (a *attempt) answerRecord(call balance.Call, resp *pb.LeafExecuteResponse) *pb.TicketRecord {
 	if resp.GetRequestId() != a.requester.GetRequestId() || resp.GetTicket() != a.order.GetTicket() {
 		call.Done(balance.ResultError)
--- a/internal/order/dump.go
+++ b/internal/order/dump.go
@@ -1,6 +1,6 @@
 package order
 
-// state of the duty as operators see it; no MAC, payload or result is in it.
+// dump is the state of the order duty as operators see it. It holds no MAC, payload or result.
 type dump struct {
 	VM           string         `json:"vm"`
 	Incarnation  uint64         `json:"incarnation"`
@@ -9,7 +9,7 @@
 	Tickets      counts         `json:"tickets"`
 	UnknownShare float64        `json:"unknown_share"`
 	WitnessNotes map[string]int `json:"witness_notes"`
-	// RetiredIncarnations is how many incarnations handed their records to this one.
+	// RetiredIncarnations is the number of incarnations that handed their records to this one.
 	RetiredIncarnations int `json:"retired_incarnations"`
 	RetiredRecords      int `json:"retired_records"`
 	SpreadQueue         int `json:"spread_queue"`
--- a/internal/order/elapsed.go
+++ b/internal/order/elapsed.go
@@ -7,18 +7,18 @@
 	"github.com/burdockplank/burdockplank/internal/balance"
 )
 
-// suspendThreshold is how far the wall clock may run ahead of the monotonic clock between two readings
-// before it counts as time that passed while the VM stood still.
+// suspendThreshold is how far the wall clock may advance beyond the monotonic clock between two
+// readings before the difference counts as time in which the VM was suspended.
 const suspendThreshold = time.Second
 
-// bootClock measures the time since boot by the process's own clock. It never goes back. Time in
-// which the VM was frozen counts, where the wall clock shows it.
+// bootClock measures the time since boot with the clock of this process. It never goes back. It
+// includes time in which the VM was suspended, provided that the wall clock shows it.
 type bootClock struct {
 	now  balance.Clock
 	boot time.Time
 
 	mu sync.Mutex
-	// lastReading is the newest reading, sum the time up to it; guarded by mu.
+	// lastReading is the newest reading and sinceBoot the time up to it. Both are guarded by mu.
 	lastReading time.Time
 	sinceBoot   time.Duration
 }
@@ -44,5 +44,5 @@
 	return c.sinceBoot
 }
 
-// WallTime returns the wall-clock time at the given time since boot, for people to read.
+// WallTime returns the wall-clock time at the given time since boot, for display only.
 func (c *bootClock) WallTime(since time.Duration) time.Time { return c.boot.Round(0).Add(since) }
--- a/internal/order/ends.go
+++ b/internal/order/ends.go
@@ -9,7 +9,7 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// unansweredError is the end of an order that was written and not answered.
+// unansweredError returns the outcome of an order that was sent and not answered.
 func unansweredError(ctx context.Context, leaf string, err error) *outcome.Error {
 	reason := pb.Reason_REASON_UPSTREAM_ERROR
 	if ctx.Err() != nil {
@@ -18,8 +18,8 @@
 	return outcome.Unknown(reason, stepExecute, "the order was sent and not answered, it may have run").WithPeer(leaf).WithCause(err)
 }
 
-// notStartedError is the end of an order that no replica started. A refusal of this gather's own, such as
-// for its content, says itself what it is.
+// notStartedError returns the outcome of an order that no replica started. A refusal by this gather
+// itself, such as for the content of the order, keeps its own reason.
 func notStartedError(ce *upstream.CallError) *outcome.Error {
 	if own, ok := outcome.As(ce.Err); ok && own.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
 		return own.WithPeer(ce.Leaf)
--- a/internal/order/handler.go
+++ b/internal/order/handler.go
@@ -9,7 +9,7 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// PeerHandler serves what other gathers and entries ask about tickets.
+// PeerHandler serves requests of other gathers and of entries about tickets.
 type PeerHandler struct {
 	m *Manager
 }
@@ -30,7 +30,8 @@
 }
 
 // Resolve implements TicketPeerServiceHandler. Only the ticket's witness, in the incarnation that
-// the ticket names, seals: what it noted decides, and no order runs without its note.
+// the ticket names, seals the ticket: no order runs without a note of that witness, so its notes
+// decide.
 func (h PeerHandler) Resolve(_ context.Context, req *pb.ResolveRequest) (*pb.ResolveResponse, error) {
 	resp := h.m.archive.lookup(req.GetTicket(), req.GetCaller())
 	if !decided(resp) && req.GetWitnessIncarnation() == h.m.witness.incarnation {
@@ -42,8 +43,8 @@
 	return resp, nil
 }
 
-// Handover implements TicketPeerServiceHandler. A request without a total comes from a living
-// incarnation and holds outcomes as they arise.
+// Handover implements TicketPeerServiceHandler. A request without a total comes from a running
+// incarnation and holds outcomes of single orders.
 func (h PeerHandler) Handover(_ context.Context, req *pb.HandoverRequest) (*pb.HandoverResponse, error) {
 	for _, r := range req.GetRecords() {
 		h.m.witness.recordOutcome(r)
--- a/internal/order/handover.go
+++ b/internal/order/handover.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// handoverCopies is how many peers get the records.
+	// handoverCopies is the number of peers that receive the records.
 	handoverCopies = 3
-	// maxHandoverRecords is how many records go in one message.
+	// maxHandoverRecords is the maximum number of records in one message.
 	maxHandoverRecords = 500
-	// handoverTimeout bounds the handover as a whole.
+	// handoverTimeout bounds the whole handover.
 	handoverTimeout = 5 * time.Second
 )
 
-// handoverData is all that is handed over of one incarnation.
+// handoverData is what is handed over of one incarnation.
 type handoverData struct {
 	minter      identity
 	records     []*pb.TicketRecord
@@ -29,7 +29,7 @@
 	retention   time.Duration
 }
 
-// requests cuts the estate into messages; sealed_all goes in the last.
+// requests splits the data into messages. Only the last one carries sealed_all.
 func (d *handoverData) requests() []*pb.HandoverRequest {
 	var all []*pb.HandoverRequest
 	remaining := d.records
@@ -47,9 +47,9 @@
 	}
 }
 
-// Drain ends the orders of this incarnation: it issues no more tickets, waits a little for tickets
-// not used yet, seals the rest, waits for running orders and hands all records to peers. Where ctx
-// ends first, orders still running are handed over as intents. It may be called once.
+// Drain ends the orders of this incarnation. It stops issuing tickets, waits up to DrainGracePeriod
+// for tickets not yet used, seals the rest, waits for running orders and hands all records to
+// peers. If ctx ends first, orders still running are handed over as intents. It may be called once.
 func (m *Manager) Drain(ctx context.Context) {
 	m.draining.Store(true)
 	graceCtx, cancel := context.WithTimeout(ctx, m.cfg.DrainGracePeriod)
@@ -60,7 +60,8 @@
 	m.handOver(context.WithoutCancel(ctx))
 }
 
-// handOver sends what this gather holds to peers: its own records and those handed to it before.
+// handOver sends the records that this gather holds to peers: its own and those handed to it
+// before.
 func (m *Manager) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -71,11 +72,11 @@
 	}
 	copies := m.handOverOne(ctx, own)
 	wg.Wait()
-	m.log.Info("orders handed over", zap.Int("records", len(own.records)), zap.Int("copies", copies))
+	m.log.Info("order records handed over to peers", zap.Int("records", len(own.records)), zap.Int("copies", copies))
 }
 
-// handOverOne gives the estate to the first peers, by rank, that take it whole, and returns to how
-// many.
+// handOverOne sends the data to the highest-ranked peers that accept all of it, and returns their
+// number.
 func (m *Manager) handOverOne(ctx context.Context, data *handoverData) int {
 	copies := 0
 	for _, vm := range handoverTargets(m.source.Current(), data.minter) {
@@ -103,14 +104,14 @@
 	return true
 }
 
-// seal stops any order from starting.
+// seal prevents any further order from starting.
 func (t *table) seal() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sealed = true
 }
 
-// wait returns when the counts are as wanted or ctx ends.
+// wait blocks until the counts meet the condition or ctx ends.
 func (t *table) wait(ctx context.Context, condition func(counts) bool) {
 	for {
 		t.mu.Lock()
@@ -127,8 +128,8 @@
 	}
 }
 
-// handoverData returns all records of this incarnation; running orders are in it as intents. Tickets
-// without a record are sealed where the table is.
+// handoverData returns all records of this incarnation, with running orders as intents. If the
+// table is sealed, tickets without a record are sealed, too.
 func (t *table) handoverData() *handoverData {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/order/history_test.go
+++ b/internal/order/history_test.go
@@ -29,20 +29,21 @@
 	historyPayloads = 2
 )
 
-// sendInput is one send of a ticket; resolve tells that the resolver was asked without the gather.
+// sendInput is one send of a ticket. resolve is true if the resolver is asked instead of the
+// gather.
 type sendInput struct {
 	ticket  int
 	payload string
 	resolve bool
 }
 
-// register is what a ticket allows: first the order that took it, then the one final outcome.
+// register is the model of a ticket: the order that claimed it, then the one final outcome.
 type register struct {
 	payload string
 	final   string
 }
 
-// What a send got, as the model sees it.
+// The answers to a send that the model distinguishes.
 const (
 	gotAnswered = "answered"
 	gotNotRun   = "not_run"
@@ -52,7 +53,7 @@
 	gotNothing  = "unreachable"
 )
 
-// ticketModel is a ticket as a register that is written once.
+// ticketModel models a ticket as a write-once register.
 var ticketModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, historyTickets)
@@ -87,7 +88,7 @@
 		return sameOrder, next
 	case gotNotRun:
 		next.final = gotNotRun
-		// A sealed ticket never ran whichever order asks.
+		// A sealed ticket never ran, whichever order asks.
 		return r.final == "" && sameOrder || r.final == gotNotRun, next
 	default:
 		next.final = got
@@ -96,8 +97,8 @@
 	}
 }
 
-// TestHistoriesOfConcurrentSends checks that concurrent sends of the same tickets, through the
-// gather and around it, see each ticket as a register that is written once.
+// TestHistoriesOfConcurrentSends checks that concurrent sends of the same tickets, to the gather
+// and to the resolver, are linearizable with each ticket as a write-once register.
 func TestHistoriesOfConcurrentSends(t *testing.T) {
 	for n := range uint64(histories) {
 		seed := *historySeed + n
@@ -106,7 +107,7 @@
 				is := is.New(t)
 				m, ops := recordHistory(seed)
 				is.Equal(len(ops), historySenders*sendsPerSender)
-				is.True(porcupine.CheckOperations(ticketModel, ops)) // each ticket is a register written once
+				is.True(porcupine.CheckOperations(ticketModel, ops)) // each ticket is a write-once register
 				for _, i := range m.tickets {
 					is.True(m.runsOf(i.text) <= 1)
 				}
@@ -115,7 +116,8 @@
 	}
 }
 
-// recordHistory runs senders at once against one gather, with faults drawn from the seed.
+// recordHistory runs concurrent senders against one gather, with faults drawn from the seed, and
+// returns the operations.
 func recordHistory(seed uint64) (*machine, []porcupine.Operation) {
 	m := newMachine()
 	defer m.shutDown()
@@ -143,7 +145,7 @@
 				got := m.sendFor(in, time.Duration(20+random.IntN(200))*time.Millisecond)
 				op := porcupine.Operation{ClientId: sender, Input: in, Call: call, Output: got, Return: clock.Add(1)}
 				if got == gotNothing && !in.resolve {
-					op.Return = math.MaxInt64 // it may still arrive, or never
+					op.Return = math.MaxInt64 // the request may arrive later, or never
 				}
 				mu.Lock()
 				ops = append(ops, op)
@@ -155,7 +157,7 @@
 	return m, ops
 }
 
-// armRandom arms a fault of the network or a leaf, no kill or freeze.
+// armRandom arms a fault of the network or of a leaf, but neither a kill nor a freeze.
 func (m *machine) armRandom(random *rand.Rand) {
 	steps := []string{atNote, atOrder, atExecute, atExecute, atHandover, ""}
 	m.arm(steps[random.IntN(len(steps))], fault{
@@ -179,7 +181,8 @@
 	return gotOf(err, true)
 }
 
-// gotOf names what a send got. A resolver that can't tell says nothing; a lost answer neither.
+// gotOf classifies the answer to a send. A lost answer and an undecided answer of the resolver
+// carry no information.
 func gotOf(err error, fromGather bool) string {
 	outcomeErr, ok := outcome.As(err)
 	switch {
--- a/internal/order/intent.go
+++ b/internal/order/intent.go
@@ -14,12 +14,13 @@
 
 const stepIntent = "order.intent"
 
-// checkBeforeWrite tells whether the order may be written to a leaf now; nil means yes. It is asked again
-// right before each write. An answer of the witness counts only while the process was not paused
-// since the question, for others may have decided meanwhile.
+// checkBeforeWrite decides whether the order may be written to a leaf now. It returns nil if it
+// may, otherwise the final record of the order. It runs again right before each write. An answer of
+// the witness is valid only if the process has not been paused since the request, because others
+// may have decided on the ticket during a pause.
 //
-// A process can still be paused between this and the write. Then the order is written late, which
-// is safe: its intent is noted, so nobody was or will be told that it never runs.
+// The process can still be paused between this check and the write. The order is then written late,
+// which is safe: its intent is noted, so nobody has been or will be informed that it never runs.
 func (a *attempt) checkBeforeWrite(ctx context.Context) *pb.TicketRecord {
 	for a.t.HasWitness() && !a.noteIsCurrent() {
 		if stop := a.noteIntent(ctx); stop != nil {
@@ -35,16 +36,17 @@
 	return nil
 }
 
-// noteIsCurrent tells whether the witness noted the intent and the process was not paused since it was
-// asked.
+// noteIsCurrent reports whether the witness has noted the intent and the process has not been
+// paused since the request.
 func (a *attempt) noteIsCurrent() bool {
 	return a.mayBeNoted && !a.m.pauses.LastPause(a.m.now()).After(a.askedAt)
 }
 
-// noteIntent asks the witness, also where the order's time is over: after a pause the witness may
-// hold a final record, which then counts. Where it can't be asked the order is refused for good: sending it
-// without would break the witness's "never run", and a new ticket with another witness is one round
-// trip away.
+// noteIntent notes the intent at the witness, and returns the final record of the order if it must
+// not be sent. It asks even after the deadline of the order, because after a pause the witness may
+// hold a final record, which then takes precedence. If the witness can't be reached, the order is
+// refused for good: sending it without a note would break the witness's "never run", and a new
+// ticket with another witness costs one round trip.
 func (a *attempt) noteIntent(ctx context.Context) *pb.TicketRecord {
 	stop, err := a.askWitness(ctx)
 	if err != nil {
@@ -53,11 +55,11 @@
 	return stop
 }
 
-// errWitnessEnded says that the ticket's witness isn't known, or has started anew.
-var errWitnessEnded = errors.New("the witness has ended")
+// errWitnessEnded reports that the ticket's witness is unknown or has restarted.
+var errWitnessEnded = errors.New("witness is not in the view or has restarted")
 
-// askWitness notes the intent at the witness, and returns the record that it holds already, if any. Its
-// answer counts only where it has one: an error says that it couldn't be asked.
+// askWitness notes the intent at the witness and returns the final record that the witness already
+// holds, if any. An error means that the witness gave no answer.
 func (a *attempt) askWitness(ctx context.Context) (*pb.TicketRecord, error) {
 	vm := findVM(a.m.source.Current(), a.t.WitnessVM)
 	if vm == nil || gatherOf(vm).GetIncarnation() != a.t.WitnessIncarnation {
@@ -81,15 +83,16 @@
 	return resp.GetRecord(), nil
 }
 
-// refuseOrder ends an order that is not tried. The witness is asked first, for after a pause of this process it
-// may have sealed the ticket, and both are to give one reason; where it has no record it is told this one.
+// refuseOrder records the refusal of an order that is not sent. It asks the witness first, because
+// the witness may have sealed the ticket during a pause of this process, and both must give the
+// same reason. A witness without a record is notified of this one.
 func (m *Manager) refuseOrder(t *ticket.Ticket, e *entry, outcomeErr *outcome.Error) {
 	a := &attempt{m: m, t: t, e: e}
 	record := a.finalRecord(outcomeErr)
 	if t.HasWitness() {
 		switch held, err := a.askWitness(context.Background()); {
 		case err != nil:
-			m.log.Info("order refused without its witness", zap.Uint64("ticket", t.Sequence), zap.String("witness", t.WitnessVM),
+			m.log.Info("order refused; witness did not answer", zap.Uint64("ticket", t.Sequence), zap.String("witness", t.WitnessVM),
 				zap.String("reason", outcome.ReasonName(outcomeErr.Reason)), zap.Error(err))
 		case held != nil:
 			record = held
@@ -98,7 +101,8 @@
 	m.finishAttempt(a, record)
 }
 
-// finishAttempt makes the record of an attempt final, and tells the witness where that knows of the order.
+// finishAttempt makes the record of an attempt final, and notifies the witness if it may have noted
+// the order.
 func (m *Manager) finishAttempt(a *attempt, r *pb.TicketRecord) {
 	m.finish(a.t, a.e, r)
 	if a.mayBeNoted {
--- a/internal/order/issue.go
+++ b/internal/order/issue.go
@@ -65,8 +65,8 @@
 	return t, nil
 }
 
-// waitForWitness picks the witness of a new ticket, nil where there is none. Shortly after the start it
-// waits for one, if there are other VMs at all.
+// waitForWitness picks the witness of a new ticket, or returns nil if there is none. Until
+// WitnessWait after the start it waits for a witness if the view holds other VMs.
 func (m *Manager) waitForWitness(ctx context.Context) *pb.Vm {
 	for {
 		changed, view := m.source.Changed(), m.source.Current()
@@ -85,7 +85,8 @@
 	}
 }
 
-// orderKind finds the kind in the bundle in force; it must be one of orders.
+// orderKind returns the kind from the bundle in force. It is an error if the kind is not an order
+// kind.
 func orderKind(view *feed.View, service, kind, step string) (*bundle.Kind, *outcome.Error) {
 	if view.Bundle == nil {
 		return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, step, "no bundle in force yet")
--- a/internal/order/late_test.go
+++ b/internal/order/late_test.go
@@ -10,7 +10,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// An order that was given up at its deadline would end unknown, though the leaf still tells.
+// Guards against an order that ends unknown at its deadline although the leaf answers or refuses
+// within the grace period after it.
 func TestAnswerWithinTheGracePeriodIsRecorded(t *testing.T) {
 	deadline := pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE
 	for _, tt := range []struct {
@@ -37,7 +38,8 @@
 	}
 }
 
-// A cut between gather and witness when the order ends must not make it unknown later.
+// Guards against an outcome that stays unknown because gather and witness were partitioned when the
+// order ended.
 func TestOutcomeReachesTheWitnessAfterAPartition(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
@@ -52,8 +54,8 @@
 	})
 }
 
-// A gather that other VMs can't reach may be on the other side of a cut: only its replacement or
-// the word of its own VM make its orders unknown for good.
+// A gather that other VMs can't reach may run on the other side of a network partition. Its orders
+// become unknown for good only when it is replaced or its own VM reports its end.
 func TestUnreachableGatherIsNotTreatedAsEnded(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		i := m.ticket()
@@ -65,12 +67,12 @@
 		is.Equal(m.resolveTicket(i), "unknown unreachable")
 		is.Equal(<-got, "answered")
 		synctest.Wait()
-		is.Equal(m.resolveTicket(i), "answered") // the witness was told
+		is.Equal(m.resolveTicket(i), "answered") // the witness has the outcome
 	})
 }
 
-// A ticket without a witness makes its order unknown when the gather dies, and when a fleet starts
-// as a whole the first gathers that are ready know of no other one yet.
+// An order whose ticket has no witness becomes unknown when the gather dies. When a whole fleet
+// starts, the gathers that are ready first know of no other gather yet, so they wait for a witness.
 func TestFirstTicketWaitsForAWitness(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		n := m.node("vm-1")
@@ -87,7 +89,7 @@
 		for _, vm := range []string{"vm-2", "vm-3", "vm-4"} {
 			m.setViewState(vm, pb.VmState_VM_STATE_SUSPECT)
 		}
-		time.Sleep(time.Second - time.Since(start)) // the first ticket gives up waiting
+		time.Sleep(time.Second - time.Since(start)) // the wait for a witness times out
 		synctest.Wait()
 		is.Equal(len(m.tickets), 2)
 		is.True(!m.ticket().ticket.HasWitness()) // and later ones don't wait
--- a/internal/order/metrics.go
+++ b/internal/order/metrics.go
@@ -12,16 +12,16 @@
 
 var outcomeLabels = []string{"service", "kind", "outcome", "reason"}
 
-// metrics counts sends, final records and tickets. Service and kind are labels only once they are
-// known to be the bundle's.
+// metrics counts sends, final records and tickets. Service and kind are used as label values only
+// once they are known to be in the bundle.
 type metrics struct {
 	tickets *prometheus.CounterVec
 	sends   *prometheus.CounterVec
 	records *prometheus.CounterVec
-	// notes and resolves count what this gather was asked as a witness or peer, spreads and
-	// handovers what it sent to others.
+	// notes and resolves count the requests that this gather served as a witness or peer. spreads
+	// and handovers count what it sent to others.
 	notes, resolves, spreads, handovers *prometheus.CounterVec
-	// finalRecords and unknown count final records for the share of unknown ones.
+	// finalRecords and unknownRecords give the share of final records that are unknown.
 	finalRecords, unknownRecords atomic.Uint64
 }
 
@@ -59,7 +59,7 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{"result"})
 }
 
-// countNote counts an answer of this gather as a witness.
+// countNote counts an answer that this gather gave as a witness.
 func (x *metrics) countNote(resp *pb.NoteIntentResponse, outcomeErr *outcome.Error) {
 	result := "noted"
 	switch {
@@ -96,7 +96,7 @@
 	}
 }
 
-// countSend counts one send; t is nil where the ticket could not be used.
+// countSend counts one send. t is nil if the ticket could not be used.
 func (x *metrics) countSend(t *ticket.Ticket, resp *pb.OrderResponse, err error) {
 	var service, kind string
 	if t != nil {
--- a/internal/order/model_test.go
+++ b/internal/order/model_test.go
@@ -17,10 +17,10 @@
 	"github.com/burdockplank/burdockplank/internal/ticket"
 )
 
-// defaultSeed makes each run the same; -rapid.seed sets another.
+// defaultSeed makes runs reproducible. The flag -rapid.seed sets another seed.
 const defaultSeed = "20261"
 
-// shrinkTime is fake time for making a failure small.
+// shrinkTime bounds, in fake time, the search for a smaller failing case.
 const shrinkTime = "2000h"
 
 func TestMain(m *testing.M) {
@@ -34,14 +34,14 @@
 	os.Exit(m.Run())
 }
 
-// setDefault sets a flag that the command line left as it was.
+// setDefault sets a flag that the command line did not set.
 func setDefault(name, value string) {
 	if f := flag.Lookup(name); f.Value.String() == f.DefValue {
 		_ = f.Value.Set(value)
 	}
 }
 
-// machine drives a world by drawn actions.
+// machine drives a world by randomly drawn actions.
 type machine struct {
 	*world
 	entry   *Resolver
@@ -62,7 +62,7 @@
 	return rapid.SampledFrom([]string{"vm-1", "vm-2", "vm-3", "vm-4"}).Draw(t, "vm")
 }
 
-// issue takes a ticket from a gather; refusals are of no interest here.
+// issue requests a ticket from a gather. Refusals are ignored.
 func (m *machine) issue(t *rapid.T) {
 	m.issueAt(drawVM(t))
 	synctest.Wait()
@@ -94,7 +94,8 @@
 	return rapid.SampledFrom(m.tickets).Draw(t, "ticket")
 }
 
-// send sends an order as an entry does: to the ticket's gather, else through the resolver.
+// send sends an order as an entry does: to the ticket's gather, and through the resolver if that
+// gather does not answer.
 func (m *machine) send(t *rapid.T) { m.sendOf(t, m.drawTicket(t)) }
 
 func (m *machine) sendOf(t *rapid.T, i *issuedTicket) {
@@ -126,14 +127,16 @@
 	m.recordAnswer(i, resp, err, mustBeFinal)
 }
 
-// resolveOnly asks the resolver while the gather may be alive, as an entry cut off from it does.
+// resolveOnly asks the resolver while the gather may be running, as an entry does that is
+// partitioned from the gather.
 func (m *machine) resolveOnly(t *rapid.T) {
 	i := m.drawTicket(t)
 	go m.resolve(i, nil)
 	synctest.Wait()
 }
 
-// ended tells whether the minter was killed, without a handover that may still be under way.
+// ended reports whether the minter was killed without a drain, after which no handover can be in
+// progress.
 func (m *machine) ended(i *issuedTicket) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -145,7 +148,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if outcomeErr != nil && outcomeErr.Reason == pb.Reason_REASON_TICKET_REUSED {
-		return // this is about another order than the ticket's
+		return // the answer concerns an order other than the ticket's
 	}
 	i.answers = append(i.answers, answer{outcomeErr: outcomeErr, result: resp.GetResult(), mustBeFinal: mustBeFinal})
 }
@@ -202,13 +205,13 @@
 	synctest.Wait()
 }
 
-// advancePastRetention lets tickets expire and notes be forgotten.
+// advancePastRetention advances time until tickets expire and notes are evicted.
 func (m *machine) advancePastRetention(*rapid.T) {
 	time.Sleep(8 * time.Second)
 	synctest.Wait()
 }
 
-// sendIntoFault issues a ticket and sends its order into a fault.
+// sendIntoFault issues a ticket and sends its order after arming a fault.
 func (m *machine) sendIntoFault(t *rapid.T) {
 	m.issue(t)
 	m.armFault(t)
@@ -252,18 +255,19 @@
 	return all
 }
 
-// check holds the promise against what the leaves ran and callers were told.
+// check compares the guarantees of the package with what the leaves ran and what callers were
+// answered.
 func (m *machine) check(t *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, i := range m.tickets {
 		if violation := i.violation(m.runs[i.text]); violation != "" {
-			t.Fatalf("ticket %s ran %d times, told %v: %s", i.ticket.Identity(), m.runs[i.text], i.answers, violation)
+			t.Fatalf("ticket %s ran %d times, answers %v: %s", i.ticket.Identity(), m.runs[i.text], i.answers, violation)
 		}
 	}
 }
 
-// settleAndEnd resends all tickets once everything works again, checks, and ends the world.
+// settleAndEnd resends all tickets after all faults have been removed, and checks the guarantees.
 func (m *machine) settleAndEnd(t *rapid.T) {
 	m.heal(nil)
 	for id := range testZones {
@@ -296,13 +300,14 @@
 	time.Sleep(time.Minute)
 }
 
-// noDeadline hides the deadline of a test, which can't be asked for on fake time. The library then
-// stops after 24 hours of fake time, some 700 checks.
+// noDeadline hides the deadline of the test from rapid, because it can't be read under fake time.
+// rapid then stops after 24 hours of fake time, which is some 700 checks.
 type noDeadline struct{ rapid.TB }
 
-// TestAtMostOnceUnderFaults proves the promise of this package: each order runs at most once,
-// not_run is never followed or preceded by a run, answered means exactly one run, and a final
-// outcome does not change; under kills, freezes, cuts, lost and late messages and false views.
+// TestAtMostOnceUnderFaults checks the guarantees of this package under kills, freezes, network
+// partitions, lost and late messages and wrong views. Each order runs at most once. An order that
+// ended not_run never runs, before or after. An answered order ran exactly once. A final outcome
+// does not change.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(t *rapid.T) {
--- a/internal/order/net_test.go
+++ b/internal/order/net_test.go
@@ -13,7 +13,7 @@
 
 var errLost = errors.New("lost")
 
-// arm makes faults strike the next calls of the step, in place of those armed before.
+// arm makes the faults affect the next calls of the step. It replaces faults armed before.
 func (w *world) arm(step string, f ...fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,8 +45,9 @@
 	return w.partitioned[linkOf(from, to)]
 }
 
-// call carries one message to the gather of a VM and its answer back; from is nil for the entry. A
-// lost message shows at the end of ctx. A request may arrive long after its sender gave up.
+// call carries one request to the gather of a VM and returns its answer. from is nil for the entry.
+// The sender notices a lost message only at the end of ctx. A request may arrive long after its
+// sender gave up.
 func call[T any](w *world, ctx context.Context, from *node, to, step string, handle func(*node) (T, error)) (T, error) {
 	type result struct {
 		v   T
@@ -82,7 +83,7 @@
 	return r.v, r.err
 }
 
-// netPeers is Peers over the fake network.
+// netPeers implements Peers over the fake network.
 type netPeers struct {
 	w    *world
 	from *node
@@ -115,7 +116,7 @@
 	})
 }
 
-// Execute implements upstream.Caller. What is written may run at any time after.
+// Execute implements upstream.Caller. An order that has been written may run at any later time.
 func (n *node) Execute(ctx context.Context, leaf string, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
 	f := n.w.takeFault(atExecute)
 	n.w.applyEvent(n, f.before)
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,7 +1,8 @@
 // Package order runs non-idempotent orders at most once without shared state. A ticket is pinned to
-// the gather incarnation that minted it. Only that incarnation runs the ticket's order, with one
-// attempt after the first byte is written, and a second gather, the witness, notes the intent
-// before. Each ticket ends in one final record, which every later send gets.
+// the gather incarnation that minted it, and only that incarnation runs the ticket's order. Once
+// the first byte is written, the order is not sent again. A second gather, the witness, notes the
+// intent before the order is sent. Each ticket ends in one final record, which every later send
+// receives.
 package order
 
 import (
@@ -18,46 +19,49 @@
 )
 
 // MaxTTL is the longest lifetime of a ticket that any gather may set. Witnesses and peers keep
-// what they know for longer than this, counted from when they received it.
+// their notes and records longer than this, counted from receipt.
 const MaxTTL = 2 * time.Minute
 
-// Config bounds times and memory of orders. Defaults are in DefaultConfig.
+// Config holds the time and memory limits of orders. DefaultConfig returns the defaults.
 type Config struct {
-	// TTL is how long a ticket may be used for its first send, at most MaxTTL.
+	// TTL is the time within which the first send of a ticket must arrive, at most MaxTTL.
 	TTL time.Duration
-	// RecordRetention is how long the record of a ticket is kept after its expiry.
+	// RecordRetention is how long the record of a ticket is kept after the ticket's expiry.
 	RecordRetention time.Duration
-	// MaxTickets is how many tickets are held; each issued one has a place until its record is
-	// dropped, so that a record never lacks a place.
+	// MaxTickets is the maximum number of tickets held. An issued ticket occupies its entry until
+	// its record is dropped, so there is always room for its record.
 	MaxTickets int
-	// MaxCallerTickets is how many of them one caller may hold.
+	// MaxCallerTickets is the maximum number of tickets held for one caller.
 	MaxCallerTickets int
-	// MaxResultBytes is how many bytes of results are held before no more tickets are issued.
+	// MaxResultBytes is the total size of held results, in bytes, from which no more tickets are
+	// issued.
 	MaxResultBytes int
-	// NoteTimeout bounds the round trip to the witness before the first byte.
+	// NoteTimeout bounds the round trip to the witness before the first byte of the order is sent.
 	NoteTimeout time.Duration
-	// SlotTimeout is how long an order waits for a free slot at a leaf, and PickEvery how often it
-	// looks.
+	// SlotTimeout is how long an order waits for a free slot at a leaf, and SlotPollInterval the
+	// time between two attempts to get one.
 	SlotTimeout, SlotPollInterval time.Duration
-	// LateAnswerGracePeriod is how long after an order's deadline the leaf's answer is still waited for.
+	// LateAnswerGracePeriod is how long the leaf's answer is awaited after the order's deadline.
 	LateAnswerGracePeriod time.Duration
-	// WitnessWait is how long after its start a gather waits for a witness before it issues a ticket
-	// without one: the gathers of a fleet that starts as a whole take a moment to hear of each other.
+	// WitnessWait is how long after its start a gather waits for a witness before it issues a
+	// ticket without one. When a whole fleet starts, its gathers need a moment to discover each
+	// other.
 	WitnessWait time.Duration
 	// WitnessCooldown is how long a witness that failed is not picked for new tickets.
 	WitnessCooldown time.Duration
-	// RetryAfter is when a caller should come back for an order that is still running, or after a
-	// refusal that may pass soon.
+	// RetryAfter is the retry delay sent to a caller whose order is still running, or was refused
+	// for a cause that may be transient.
 	RetryAfter time.Duration
-	// MaxNotes is how many tickets of other gathers are held as their witness.
+	// MaxNotes is the maximum number of tickets of other gathers held as their witness.
 	MaxNotes int
-	// MaxArchivedRecords is how many records of retired incarnations are held.
+	// MaxArchivedRecords is the maximum number of records of retired incarnations held.
 	MaxArchivedRecords int
 	// PeerRetention is how long a witness or peer keeps what it received.
 	PeerRetention time.Duration
-	// DrainGracePeriod is how long a gather that leaves waits for tickets not used yet.
+	// DrainGracePeriod is how long a draining gather waits for tickets not yet used.
 	DrainGracePeriod time.Duration
-	// PeerTimeout bounds one call that spreads, hands over or resolves.
+	// PeerTimeout bounds one call to a peer: a round of spreading, a handover message or a resolve
+	// request.
 	PeerTimeout time.Duration
 }
 
@@ -84,18 +88,18 @@
 	}
 }
 
-// Pauses tells when the process last woke from a pause; *process.PauseDetector implements it.
+// Pauses reports when the process last resumed from a pause. *process.PauseDetector implements it.
 type Pauses interface {
 	LastPause(now time.Time) time.Time
 }
 
-// Options are what a Manager works with.
+// Options holds the settings and dependencies of a Manager.
 type Options struct {
 	Config      Config
 	VM          string
 	Incarnation uint64
 	Source      feed.Source
-	// Replicas returns the chooser of replicas of a service.
+	// Replicas returns the replica balancer of a service.
 	Replicas func(service string) balance.Replicas
 	Leaves   upstream.Caller
 	Peers    Peers
@@ -107,8 +111,8 @@
 	Random balance.Random
 }
 
-// Manager owns the tickets of one gather incarnation and everything that runs for them. It is safe
-// for concurrent use.
+// Manager owns the tickets of one gather incarnation and runs their orders. It is safe for
+// concurrent use.
 type Manager struct {
 	cfg      Config
 	vm       string
@@ -129,9 +133,9 @@
 	archive *archive
 	// resolver answers for tickets of earlier incarnations of this VM's gather.
 	resolver *Resolver
-	// pendingOutcomes are on their way to witnesses.
+	// pendingOutcomes are final records that have yet to be sent to their witnesses.
 	pendingOutcomes chan pendingOutcome
-	// draining is set once this gather leaves; no ticket is issued any more.
+	// draining is set when this gather starts to drain. No ticket is issued from then on.
 	draining atomic.Bool
 }
 
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -15,7 +15,8 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// inWorld runs a test on fake time against four gathers; the tickets are vm-1's, its witness vm-2.
+// inWorld runs a test under fake time against four gathers. Tickets are issued by vm-1, with vm-2
+// as their witness.
 func inWorld(t *testing.T, test func(*is.I, *machine)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -25,14 +26,14 @@
 	})
 }
 
-// ticket issues a ticket of vm-1.
+// ticket returns a new ticket of vm-1.
 func (m *machine) ticket() *issuedTicket {
 	m.issueAt("vm-1")
 	synctest.Wait()
 	return m.tickets[len(m.tickets)-1]
 }
 
-// sendOrder sends the order to vm-1 with plenty of time and tells the end as "kind reason".
+// sendOrder sends the order to vm-1 with ample time and returns the outcome as "kind reason".
 func (m *machine) sendOrder(i *issuedTicket, payload string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -83,7 +84,7 @@
 			is.Equal(name+": "+outcomeText(err), name+": "+c.want)
 		}
 		is.Equal(m.runsOf(i.text), 0)
-		is.Equal(m.sendOrder(i, "p"), "answered") // none of them took the ticket
+		is.Equal(m.sendOrder(i, "p"), "answered") // none of them claimed the ticket
 		is.Equal(m.sendOrder(i, "q"), "not_run ticket_reused")
 		is.Equal(m.sendOrder(i, "p"), "answered")
 		is.Equal(m.runsOf(i.text), 1)
@@ -112,7 +113,7 @@
 		{name: "answers another order", faults: []fault{{mismatch: true}}, want: "unknown answer_mismatch", runs: 1},
 		{name: "all at their limit", node: func(n *node) { n.full = true }, want: "not_run overload"},
 		{name: "paused since it was placed", node: func(n *node) {
-			n.full = true // it waits for a slot meanwhile
+			n.full = true // the order waits for a slot during the pause
 			time.AfterFunc(time.Microsecond, func() { n.recordPause(time.Now()) })
 		}, want: "not_run paused"},
 		{name: "all leaving", node: func(n *node) {
@@ -131,15 +132,15 @@
 				m.arm(atExecute)
 				is.Equal(m.sendOrder(i, "p"), c.want) // final
 				time.Sleep(time.Second)
-				is.Equal(m.resolveTicket(i), c.want) // spread to the witness
+				is.Equal(m.resolveTicket(i), c.want) // the witness has the outcome
 				is.Equal(m.runsOf(i.text), c.runs)
 			})
 		})
 	}
 }
 
-// TestTimeKeptForTheWayBack guards against answers of orders that come after the caller's time: of long times more is
-// kept, as for searches.
+// TestTimeKeptForTheWayBack guards against answers to orders that arrive after the caller's
+// deadline: when much time remains, more of it is reserved, as for searches.
 func TestTimeKeptForTheWayBack(t *testing.T) {
 	is := is.New(t)
 	for remaining, want := range map[time.Duration]time.Duration{
@@ -168,7 +169,7 @@
 		cancelGone()
 		_, err = m.node("vm-1").m.Order(cancelled, orderRequest(i.text, "p"))
 		is.Equal(outcomeText(err), "unknown cancelled")
-		is.Equal(m.sendOrder(i, "p"), "answered") // the order went on without its callers
+		is.Equal(m.sendOrder(i, "p"), "answered") // the order continued without its callers
 	})
 }
 
@@ -183,10 +184,10 @@
 		m.thaw(m.node("vm-1"))
 		is.Equal(<-got, "not_run ticket_expired") // after the pause, before the first byte
 		is.Equal(m.sendOrder(unused, "p"), "not_run ticket_expired")
-		is.Equal(len(m.node("vm-2").m.witness.notes), 2) // the witness was not asked in vain
+		is.Equal(len(m.node("vm-2").m.witness.notes), 2) // the witness was not asked for the expired ticket
 		is.Equal(m.sendOrder(used, "p"), "answered")
 		time.Sleep(m.cfg.RecordRetention)
-		m.ticket() // drops what is old
+		m.ticket() // evicts old entries
 		is.Equal(m.sendOrder(used, "p"), "unknown ticket_expired")
 		is.Equal(m.runsOf(used.text), 1)
 	})
@@ -206,10 +207,10 @@
 		synctest.Wait()
 		is.Equal(m.resolveTicket(noted), "unknown unreachable") // the intent is noted, nothing is sealed
 		m.setViewState("vm-1", pb.VmState_VM_STATE_GONE)
-		is.Equal(m.resolveTicket(noted), "unknown unreachable") // it may be on the other side of a cut
+		is.Equal(m.resolveTicket(noted), "unknown unreachable") // it may run on the other side of a partition
 		m.setViewGatherEnded("vm-1")
 		is.Equal(m.resolveTicket(noted), "unknown incarnation_gone")
-		m.node("vm-2").m.witness.recordOutcome(&pb.TicketRecord{ // late news changes nothing
+		m.node("vm-2").m.witness.recordOutcome(&pb.TicketRecord{ // a late outcome changes nothing
 			Ticket: n.m.table.ticketID(noted.ticket.Sequence), State: pb.TicketState_TICKET_STATE_DONE, Caller: "desk",
 			OrderDigest: Digest(orderRequest("", "p").GetOrder()), Outcome: &pb.Outcome{Kind: pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE},
 		})
@@ -225,7 +226,7 @@
 		stolen := *done.ticket
 		stolen.Caller = "portal"
 		_, err := m.entry.Resolve(context.Background(), &stolen, "portal")
-		is.Equal(outcomeText(err), "unknown incarnation_gone") // nothing of another caller's order
+		is.Equal(outcomeText(err), "unknown incarnation_gone") // reveals nothing of another caller's order
 	})
 }
 
@@ -267,7 +268,7 @@
 		m.kill(n)
 		m.start("vm-1", "az-1")
 		m.publishActualState()
-		for _, vm := range []string{"vm-2", "vm-3", "vm-4"} { // witness and all who were handed the records
+		for _, vm := range []string{"vm-2", "vm-3", "vm-4"} { // the witness and all receivers of the handover
 			m.drainAndKill(m.node(vm), time.Second)
 			synctest.Wait()
 			m.publishActualState()
@@ -299,7 +300,7 @@
 		is.Equal(stateOf(9, "desk"), "not_known") // the first part may hold its record
 		is.True(a.accept(parts[0]) == nil)
 		is.Equal(stateOf(9, "desk"), "sealed")
-		is.Equal(stateOf(5, "desk"), "not_known") // dropped for age before the handover
+		is.Equal(stateOf(5, "desk"), "not_known") // evicted before the handover
 		is.Equal(stateOf(10, "desk"), "done")
 		is.Equal(stateOf(10, "portal"), "not_known")
 	})
--- a/internal/order/peers.go
+++ b/internal/order/peers.go
@@ -13,15 +13,15 @@
 	"github.com/burdockplank/burdockplank/internal/feed"
 )
 
-// maxPeerClients is how many clients are kept before the cache starts anew.
+// maxPeerClients is the maximum number of cached clients. A full cache is cleared.
 const maxPeerClients = 2048
 
-// Peers reaches the TicketPeerService of other gathers.
+// Peers returns clients for the TicketPeerService of other gathers.
 type Peers interface {
 	Peer(vm *pb.Vm) burdockv1connect.TicketPeerServiceClient
 }
 
-// HTTPPeers makes clients over one HTTP client. It is safe for concurrent use.
+// HTTPPeers implements Peers over one HTTP client. It is safe for concurrent use.
 type HTTPPeers struct {
 	client *http.Client
 
@@ -30,7 +30,7 @@
 	byAddress map[string]burdockv1connect.TicketPeerServiceClient
 }
 
-// NewHTTPPeers returns Peers over the client, which is bound to the VM's own address.
+// NewHTTPPeers returns Peers that use the client, which is bound to the VM's own address.
 func NewHTTPPeers(client *http.Client) *HTTPPeers {
 	return &HTTPPeers{client: client, byAddress: make(map[string]burdockv1connect.TicketPeerServiceClient)}
 }
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// findVM returns the VM of the id in the view, or nil.
+// findVM returns the VM with the id in the view, or nil.
 func findVM(v *feed.View, id string) *pb.Vm {
 	for _, vm := range v.VMs {
 		if vm.GetId() == id {
@@ -71,33 +71,34 @@
 	return nil
 }
 
-// readyGather tells whether the VM is live and its gather takes new work.
+// readyGather reports whether the VM is live and its gather accepts new work.
 func readyGather(vm *pb.Vm) bool {
 	return vm.GetState() == pb.VmState_VM_STATE_LIVE &&
 		gatherOf(vm).GetState() == pb.ProcessState_PROCESS_STATE_READY
 }
 
-// incarnationEnded tells whether the view shows that an incarnation of the VM's gather has ended: another one
-// took its place, or the VM says so. That other VMs can't reach the VM doesn't show it.
+// incarnationEnded reports whether the view shows that an incarnation of the VM's gather has ended:
+// another incarnation has replaced it, or the VM reports its end. That other VMs can't reach the VM
+// is no sign of it.
 func incarnationEnded(vm *pb.Vm, incarnation uint64) bool {
 	p := gatherOf(vm)
 	return p != nil && (p.GetIncarnation() != incarnation || p.GetState() == pb.ProcessState_PROCESS_STATE_GONE)
 }
 
-// gatherGone tells whether the VM or its gather has ended by the view.
+// gatherGone reports whether the VM or its gather has ended according to the view.
 func gatherGone(vm *pb.Vm) bool {
 	return vm.GetState() == pb.VmState_VM_STATE_GONE ||
 		gatherOf(vm).GetState() == pb.ProcessState_PROCESS_STATE_GONE
 }
 
-// witnessSelector picks the witness of each new ticket and avoids those that failed lately.
+// witnessSelector picks the witness of each new ticket and avoids VMs that failed recently.
 type witnessSelector struct {
 	cooldown time.Duration
 	now      balance.Clock
 	random   balance.Random
 
 	mu sync.Mutex
-	// failedAt holds when a VM failed as a witness; guarded by mu.
+	// failedAt holds the time at which a VM last failed as a witness. It is guarded by mu.
 	failedAt map[string]time.Time
 }
 
@@ -105,8 +106,8 @@
 	return &witnessSelector{cooldown: avoid, now: now, random: random, failedAt: make(map[string]time.Time)}
 }
 
-// Pick returns a ready gather of another VM, one of the own availability zone where there is any,
-// or nil.
+// Pick returns a random ready gather of another VM, or nil if there is none. It prefers gathers of
+// its own availability zone.
 func (w *witnessSelector) Pick(v *feed.View) *pb.Vm {
 	sameZone, otherZones := w.candidates(v)
 	if len(sameZone) == 0 {
@@ -118,8 +119,8 @@
 	return sameZone[int(w.random()*float64(len(sameZone)))]
 }
 
-// candidates returns the gathers that can be a witness now, those of the own availability zone and
-// the others.
+// candidates returns the gathers that can be a witness now, in its own availability zone and in the
+// others.
 func (w *witnessSelector) candidates(v *feed.View) (sameZone, otherZones []*pb.Vm) {
 	for _, vm := range v.VMs {
 		switch {
@@ -133,14 +134,14 @@
 	return sameZone, otherZones
 }
 
-// MarkFailed notes that the VM failed as a witness.
+// MarkFailed records that the VM failed as a witness.
 func (w *witnessSelector) MarkFailed(vm string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failedAt[vm] = w.now()
 }
 
-// coolingDown tells whether the VM failed lately; it drops what is old.
+// coolingDown reports whether the VM failed within the cooldown. It drops an older failure.
 func (w *witnessSelector) coolingDown(vm string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/order/place.go
+++ b/internal/order/place.go
@@ -15,8 +15,8 @@
 
 const stepPlace = "order.place"
 
-// runOrder works on the one order of a ticket until its record is final. It goes on when its caller goes
-// away, within the kind's timeout, so that a resend gets the outcome.
+// runOrder works on the one order of a ticket until its record is final. It continues within the
+// kind's timeout when its caller disconnects, so that a resend gets the outcome.
 func (m *Manager) runOrder(t *ticket.Ticket, e *entry, order *pb.OrderRequest, requester *pb.Identity) {
 	p, outcomeErr := m.findPlacement(order)
 	if outcomeErr != nil {
@@ -31,16 +31,16 @@
 	m.finishAttempt(a, a.run(ctx))
 }
 
-// placement is where an order may run: the replicas of the group that its key falls on.
+// placement says where an order may run: on the replicas of the shard that its key maps to.
 type placement struct {
 	kind   *bundle.Kind
 	leaves []string
 	bundle uint64
-	// plannedAt is a time before the view was taken that it goes by.
+	// plannedAt is a time before the view of this placement was read.
 	plannedAt time.Time
 }
 
-// findPlacement finds the group of the order's key in the newest snapshot.
+// findPlacement returns the replicas of the order's shard in the newest snapshot.
 func (m *Manager) findPlacement(order *pb.OrderRequest) (*placement, *outcome.Error) {
 	plannedAt := m.now()
 	view := m.source.Current()
@@ -58,12 +58,13 @@
 	return &placement{kind: kind, leaves: leaves, bundle: view.Bundle.Version, plannedAt: plannedAt}, nil
 }
 
-// staleViewError refuses an order of which nothing was sent.
+// staleViewError returns the outcome of an order that was not sent because the view may be stale.
 func (m *Manager) staleViewError() *outcome.Error {
 	return outcome.NotRun(pb.Reason_REASON_PAUSED, stepPlace, "no fresh news of the fleet, take a new ticket").WithRetryAfter(m.cfg.RetryAfter)
 }
 
-// shardLeaves returns the leaves of the shard that xxhash64 of the key falls on, or nil.
+// shardLeaves returns the leaves of the shard that xxhash64 of the key maps to, or nil if the
+// service has no shard.
 func shardLeaves(view *feed.View, service, key string) []string {
 	svc := view.Bundle.Services[service]
 	if len(svc.Snapshots) == 0 || len(svc.Snapshots[0].Shards) == 0 {
--- a/internal/order/promise_test.go
+++ b/internal/order/promise_test.go
@@ -9,12 +9,12 @@
 	"github.com/burdockplank/burdockplank/internal/ticket"
 )
 
-// answer is what one send of a ticket was told.
+// answer is the answer to one send of a ticket.
 type answer struct {
 	outcomeErr *outcome.Error
 	result     string
-	// mustBeFinal is true where the minter had ended and everything believed was the case when the
-	// resolver was asked, so that even a final unknown may not change any more.
+	// mustBeFinal is true if the minter had ended and the view was accurate when the resolver was
+	// asked, so that even a final unknown may not change any more.
 	mustBeFinal bool
 }
 
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s %v after %v", outcome.KindName(a.outcomeErr.Kind), a.outcomeErr, a.outcomeErr.RetryAfter)
 }
 
-// issuedTicket is a ticket with all that was told of it, in order.
+// issuedTicket is a ticket with all answers to its sends, in order.
 type issuedTicket struct {
 	text    string
 	ticket  *ticket.Ticket
@@ -40,7 +40,7 @@
 	answers []answer
 }
 
-// violation says which part of the promise does not hold, or "".
+// violation returns which guarantee is broken, or "".
 func (i *issuedTicket) violation(runs int) string {
 	has := func(k pb.OutcomeKind) bool {
 		return slices.ContainsFunc(i.answers, func(a answer) bool { return a.kind() == k })
@@ -58,7 +58,7 @@
 	return i.changedAnswer()
 }
 
-// changedAnswer tells whether an outcome changed after it was final.
+// changedAnswer returns how an answer is wrong or changed after it was final, or "".
 func (i *issuedTicket) changedAnswer() string {
 	final := false
 	for _, a := range i.answers {
--- a/internal/order/rank.go
+++ b/internal/order/rank.go
@@ -10,12 +10,14 @@
 	"github.com/burdockplank/burdockplank/internal/feed"
 )
 
-// maxAskedPerZone is how many gathers of each availability zone are asked about a retired incarnation.
-// One of each zone is handed the records first; the others stand for changes of the list since.
+// maxAskedPerZone is the number of gathers in each availability zone that are asked about a retired
+// incarnation. Handovers go to the first gather of each zone first; the others cover changes of the
+// list since then.
 const maxAskedPerZone = 3
 
-// rankByZone returns the VMs of the view with a gather that is not gone, without the minter, by
-// availability zone and in rendezvous order for the incarnation. VMs with equal views rank equally.
+// rankByZone returns the VMs of the view with a gather that has not ended, without the minter, by
+// availability zone and in rendezvous order for the incarnation. Equal views give equal ranks on
+// all VMs.
 func rankByZone(v *feed.View, minter identity) map[string][]*pb.Vm {
 	zones := make(map[string][]*pb.Vm)
 	for _, vm := range v.VMs {
@@ -31,8 +33,9 @@
 	return zones
 }
 
-// handoverTargets returns whom to hand records to: ready gathers, the first of the own availability
-// zone, then the first of each other, then the second of each, and so on.
+// handoverTargets returns the ready gathers that can take over records, in order of preference: the
+// first of its own availability zone, the first of each other zone, the second of each zone, and so
+// on.
 func handoverTargets(v *feed.View, minter identity) []*pb.Vm {
 	zones := rankByZone(v, minter)
 	names := zoneNames(zones, v.Zone)
@@ -54,7 +57,7 @@
 	}
 }
 
-// zoneNames returns the zones in order of their names, the own one first.
+// zoneNames returns the zones sorted by name, with its own zone first.
 func zoneNames(zones map[string][]*pb.Vm, own string) []string {
 	var names []string
 	for z := range zones {
@@ -66,7 +69,7 @@
 	return append([]string{own}, names...)
 }
 
-// resolveTargets returns whom to ask about a retired incarnation.
+// resolveTargets returns the VMs to ask about a retired incarnation.
 func resolveTargets(v *feed.View, minter identity) []*pb.Vm {
 	var targets []*pb.Vm
 	for _, vms := range rankByZone(v, minter) {
@@ -86,7 +89,7 @@
 	return h.Sum64()
 }
 
-// compareScore puts the higher score first.
+// compareScore sorts higher scores first.
 func compareScore(a, b uint64) int {
 	switch {
 	case a > b:
--- a/internal/order/record.go
+++ b/internal/order/record.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// Digest returns the digest that tells the orders of one ticket apart: xxhash64 over service, kind,
-// key and payload, each prefixed by its length; never 0.
+// Digest returns the digest that distinguishes the orders of one ticket: xxhash64 over service,
+// kind, key and payload, each prefixed by its length. It is never 0.
 func Digest(o *pb.OrderRequest) uint64 {
 	h := xxhash.New()
 	var length [8]byte
@@ -23,7 +23,7 @@
 	return max(h.Sum64(), 1)
 }
 
-// answeredRecord is the final record of an order that a leaf executed.
+// answeredRecord returns the final record of an order that a leaf executed.
 func answeredRecord(id *pb.TicketId, e *entry, resp *pb.OrderResponse) *pb.TicketRecord {
 	r := finalRecord(id, e, nil)
 	r.Response = resp
@@ -31,7 +31,8 @@
 	return r
 }
 
-// finalRecord is the final record of an order that ended with the error.
+// finalRecord returns the final record of a ticket, with the outcome of outcomeErr unless that is
+// nil.
 func finalRecord(id *pb.TicketId, e *entry, outcomeErr *outcome.Error) *pb.TicketRecord {
 	r := &pb.TicketRecord{
 		Ticket: id, State: pb.TicketState_TICKET_STATE_DONE,
@@ -43,7 +44,8 @@
 	return r
 }
 
-// Replay turns a final record into what a send of the ticket gets.
+// Replay returns the response or error that a send receives for a final record. Errors are
+// *outcome.Error.
 func Replay(r *pb.TicketRecord, requestID string, replayed bool) (*pb.OrderResponse, error) {
 	if outcomeErr := outcome.FromProto(r.GetOutcome()); outcomeErr != nil {
 		return nil, outcomeErr
--- a/internal/order/resolver.go
+++ b/internal/order/resolver.go
@@ -13,28 +13,28 @@
 
 const stepResolve = "order.resolve"
 
-// Resolver finds out what became of a ticket whose gather can't be asked. It is safe for concurrent
-// use.
+// Resolver determines the outcome of a ticket whose gather can't be reached. It is safe for
+// concurrent use.
 type Resolver struct {
 	cfg    Config
 	source feed.Source
 	peers  Peers
 }
 
-// NewResolver returns a resolver over the view.
+// NewResolver returns a Resolver that reads the view of source.
 func NewResolver(cfg Config, source feed.Source, peers Peers) *Resolver {
 	return &Resolver{cfg: cfg, source: source, peers: peers}
 }
 
-// Resolve returns the recorded answer of the ticket's order, or how it ended as an *outcome.Error:
-// not_run where it surely never runs, unknown with a time to come back where more may be known
-// later, unknown without where nothing will.
+// Resolve returns the recorded answer of the ticket's order, or its outcome as an *outcome.Error:
+// not_run if the order certainly never runs, unknown with a retry delay if more may be known later,
+// and unknown without one if not.
 func (r *Resolver) Resolve(ctx context.Context, t *ticket.Ticket, caller string) (*pb.OrderResponse, error) {
 	return r.ResolveOrder(ctx, t, caller, nil, "")
 }
 
-// ResolveOrder is Resolve for one send: another order than the ticket's gets not_run, and the
-// answer names the request. Without an order the orders are not compared.
+// ResolveOrder is Resolve for one send: if order differs from the ticket's order the outcome is
+// not_run, and the answer carries requestID. If order is nil, the orders are not compared.
 func (r *Resolver) ResolveOrder(ctx context.Context, t *ticket.Ticket, caller string, order *pb.OrderRequest, requestID string) (*pb.OrderResponse, error) {
 	if t.Caller != caller || (order != nil && (t.Service != order.GetService() || t.Kind != order.GetKind())) {
 		return nil, invalidTicketError()
@@ -58,19 +58,19 @@
 	return Replay(rec, requestID, true)
 }
 
-// query is one search for the fate of a ticket.
+// query determines the outcome of one ticket.
 type query struct {
 	r    *Resolver
 	view *feed.View
 	t    *ticket.Ticket
-	// minterEnded is true where the minting incarnation has ended, missed where a witness or peer that may
-	// know more could not be asked.
+	// minterEnded is true if the minting incarnation has ended. incomplete is true if a witness or
+	// peer that may know more could not be asked.
 	minterEnded bool
 	incomplete  bool
 }
 
-// find asks the witness first, then the peers that may have been handed the records. Only then is
-// an intent without outcome closed at the witness.
+// find asks the witness first, then the peers that may hold the records of a handover. Only after
+// both does it close an intent without an outcome at the witness.
 func (q *query) find(ctx context.Context) *pb.ResolveResponse {
 	noted := q.askWitness(ctx, false)
 	if decided(noted) {
@@ -89,14 +89,14 @@
 	return handed
 }
 
-// askWitness asks the witness in the incarnation that the ticket names.
+// askWitness asks the witness, if it still runs in the incarnation that the ticket names.
 func (q *query) askWitness(ctx context.Context, minterEnded bool) *pb.ResolveResponse {
 	vm := findVM(q.view, q.t.WitnessVM)
 	if !q.t.HasWitness() || vm == nil || incarnationEnded(vm, q.t.WitnessIncarnation) {
 		return notKnown()
 	}
 	if vm.GetState() == pb.VmState_VM_STATE_GONE {
-		q.incomplete = true // on the other side of a cut, perhaps
+		q.incomplete = true // the witness may run on the other side of a network partition
 		return notKnown()
 	}
 	req := q.request()
@@ -107,7 +107,8 @@
 	return resp
 }
 
-// askPeers asks all peers at once and returns the first deciding answer.
+// askPeers asks all peers concurrently and returns the first answer that decides, else an intent if
+// a peer has one.
 func (q *query) askPeers(ctx context.Context) *pb.ResolveResponse {
 	targets := resolveTargets(q.view, identity{q.t.VM, q.t.Incarnation})
 	answers := make(chan *pb.ResolveResponse, len(targets))
@@ -128,7 +129,7 @@
 	return best
 }
 
-// resolveAt returns nil where the peer can't be reached.
+// resolveAt returns nil if the peer can't be reached.
 func (q *query) resolveAt(ctx context.Context, vm *pb.Vm, req *pb.ResolveRequest) *pb.ResolveResponse {
 	ctx, cancel := context.WithTimeout(ctx, q.r.cfg.PeerTimeout)
 	defer cancel()
@@ -146,7 +147,8 @@
 	}
 }
 
-// undecidedError is unknown: for good where neither gather nor witness will ever tell.
+// undecidedError returns an unknown outcome. It is final if neither the gather nor a witness or
+// peer can ever know more.
 func (q *query) undecidedError(s pb.TicketState) *outcome.Error {
 	if !q.minterEnded || q.incomplete {
 		return outcome.Unknown(pb.Reason_REASON_UNREACHABLE, stepResolve,
@@ -163,9 +165,10 @@
 	return r.GetState() == pb.TicketState_TICKET_STATE_DONE || r.GetState() == pb.TicketState_TICKET_STATE_SEALED
 }
 
-// minterEnded tells whether the view shows that the minting incarnation has ended. A VM that is on
-// no list any more counts as gone, for addresses and VMs are replaced at any time. One that is
-// listed and can't be reached may be on the other side of a cut, and answer after it.
+// minterEnded reports whether the view shows that the minting incarnation has ended. A VM that is
+// no longer listed counts as ended, because addresses and VMs are replaced at any time. A listed VM
+// that can't be reached may run on the other side of a network partition and answer once the
+// partition heals.
 func minterEnded(v *feed.View, t *ticket.Ticket) bool {
 	vm := findVM(v, t.VM)
 	if vm == nil {
--- a/internal/order/send.go
+++ b/internal/order/send.go
@@ -13,14 +13,17 @@
 const (
 	stepTicket = "order.ticket"
 	stepWait   = "order.wait"
-	// minAnswerReserve is what is kept for the way back of an answer, but no more than answerMost of the time left. Of
-	// long times answerShare is kept, as for searches, since the way takes longer where VMs are busy.
+	// An answer needs time to travel back to the caller. minAnswerReserve is reserved for it, but
+	// at most 1/maxAnswerReserveDivisor of the remaining time. When much time remains,
+	// 1/answerReserveDivisor of it is reserved, as for searches, since the way back takes longer
+	// where VMs are busy.
 	minAnswerReserve        = 20 * time.Millisecond
 	maxAnswerReserveDivisor = 10
 	answerReserveDivisor    = 32
 )
 
-// Order runs the order of a ticket, or gives the outcome that it had. Errors are *outcome.Error.
+// Order runs the order of a ticket, or returns the outcome that it already has. Errors are
+// *outcome.Error.
 func (m *Manager) Order(ctx context.Context, req *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
 	order, requester := req.GetOrder(), req.GetIdentity()
 	t, outcomeErr := m.checkTicket(order, requester.GetCaller())
@@ -39,9 +42,10 @@
 	return &pb.GatherOrderResponse{Identity: requester, Order: resp}, nil
 }
 
-// checkTicket checks that the ticket is this gather's and for this caller, service and kind. It says the
-// same for all mismatches, so that nothing is learned about another caller's ticket. The ticket is
-// returned only where its MAC is right, and with an error where it is of an earlier incarnation.
+// checkTicket checks that this gather minted the ticket for this caller, service and kind. It
+// returns the same error for all mismatches, so that a caller learns nothing about another caller's
+// ticket. It returns a ticket without an error if the MAC is right, and a ticket with an error, its
+// MAC unchecked, if another incarnation of this VM's gather minted it.
 func (m *Manager) checkTicket(order *pb.OrderRequest, caller string) (*ticket.Ticket, *outcome.Error) {
 	if order.GetTicket() == "" {
 		return nil, outcome.NotRun(pb.Reason_REASON_NO_TICKET, stepTicket, "an order needs a ticket")
@@ -65,8 +69,8 @@
 	return t, nil
 }
 
-// resolveEarlier finds out about a ticket of an earlier incarnation of this VM's gather, for an entry
-// that does not know yet that the gather was started anew.
+// resolveEarlier resolves a ticket of an earlier incarnation of this VM's gather, for an entry that
+// does not know yet that the gather has restarted.
 func (m *Manager) resolveEarlier(ctx context.Context, t *ticket.Ticket, order *pb.OrderRequest, requester *pb.Identity) (*pb.GatherOrderResponse, error) {
 	resp, err := m.resolver.ResolveOrder(ctx, t, requester.GetCaller(), order, requester.GetRequestId())
 	m.metrics.countSend(nil, resp, err)
@@ -97,8 +101,8 @@
 	return m.await(ctx, e, requester.GetRequestId(), v == verdictJoin)
 }
 
-// await returns the final record of the entry, or that it is still running once the time of this
-// send is nearly up.
+// await returns the answer from the final record of the entry. If there is no record shortly before
+// the end of ctx, it returns that the order is still running.
 func (m *Manager) await(ctx context.Context, e *entry, requestID string, replayed bool) (*pb.OrderResponse, error) {
 	ctx, cancel := withAnswerReserve(ctx)
 	defer cancel()
@@ -123,7 +127,7 @@
 	return context.WithDeadline(ctx, deadline.Add(-answerReserve(time.Until(deadline))))
 }
 
-// answerReserve returns how much of the time left is kept for the way back.
+// answerReserve returns how much of the remaining time is reserved for the answer to travel back.
 func answerReserve(remaining time.Duration) time.Duration {
 	return min(max(minAnswerReserve, remaining/answerReserveDivisor), remaining/maxAnswerReserveDivisor)
 }
--- a/internal/order/spread.go
+++ b/internal/order/spread.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// maxSpreadQueue is how many outcomes wait to be spread, for the first time or again; a lost one
-	// only makes an answer unknown.
+	// maxSpreadQueue is the maximum number of outcomes that wait to be sent to their witnesses,
+	// for the first time or again. Losing one can only make an answer unknown.
 	maxSpreadQueue = 4096
-	// maxSpreadBatch is how many outcomes go in one round.
+	// maxSpreadBatch is the maximum number of outcomes sent in one round.
 	maxSpreadBatch = 256
-	// spreadRetryInterval is the time between two tries at a witness that could not be reached.
+	// spreadRetryInterval is the time between two attempts to reach a witness.
 	spreadRetryInterval = 500 * time.Millisecond
 )
 
-// pendingOutcome is an outcome on its way to the witness of its ticket.
+// pendingOutcome is a final record that has yet to reach the witness of its ticket.
 type pendingOutcome struct {
 	witness identity
 	record  *pb.TicketRecord
-	// retryUntil is the time since boot from which it isn't worth another try.
+	// retryUntil is the time since boot after which sending is not retried.
 	retryUntil time.Duration
 }
 
-// spread queues the outcome of a noted order for its witness.
+// spread queues the outcome of an order for the witness that noted it. It drops the outcome if the
+// queue is full.
 func (m *Manager) spread(w identity, r *pb.TicketRecord) {
 	select {
 	case m.pendingOutcomes <- pendingOutcome{w, r, m.table.clock.Since() + m.cfg.RecordRetention}:
@@ -36,8 +37,8 @@
 	}
 }
 
-// Run spreads outcomes to witnesses until ctx ends, one round at a time. What a witness could not
-// be told is tried again, while the witness runs, for as long as the record itself is kept.
+// Run sends outcomes to witnesses until ctx ends, one round at a time. It retries outcomes that a
+// witness did not receive, as long as that witness runs and the record itself is kept.
 func (m *Manager) Run(ctx context.Context) error {
 	var unsent []pendingOutcome
 	for {
@@ -62,7 +63,7 @@
 	}
 }
 
-// collectBatch returns the first and what else is queued.
+// collectBatch returns first and what else is queued, at most maxSpreadBatch outcomes.
 func (m *Manager) collectBatch(first pendingOutcome) []pendingOutcome {
 	all := []pendingOutcome{first}
 	for len(all) < maxSpreadBatch {
@@ -76,7 +77,7 @@
 	return all
 }
 
-// spreadRound sends the outcomes, one message to each witness, and returns those to try again.
+// spreadRound sends the outcomes, one message to each witness, and returns those to retry.
 func (m *Manager) spreadRound(ctx context.Context, batch []pendingOutcome) []pendingOutcome {
 	groups := make(map[identity][]pendingOutcome)
 	for _, o := range batch {
@@ -104,7 +105,8 @@
 	return retry
 }
 
-// spreadTo tells one witness, and returns what it could not be told though it may still run.
+// spreadTo sends outcomes to one witness. If the call fails and the witness may still run, it
+// returns them all.
 func (m *Manager) spreadTo(ctx context.Context, view *feed.View, w identity, group []pendingOutcome) []pendingOutcome {
 	count := func(result string) { m.metrics.spreads.WithLabelValues(result).Add(float64(len(group))) }
 	vm := findVM(view, w.vm)
--- a/internal/order/table.go
+++ b/internal/order/table.go
@@ -7,17 +7,17 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// identity names a gather incarnation.
+// identity identifies a gather incarnation.
 type identity struct {
 	vm          string
 	incarnation uint64
 }
 
-// state is how far the order of a ticket has come. It only moves forward.
+// state is the progress of a ticket's order. It only moves forward.
 type state int
 
 const (
-	// stateMinted: no order came with the ticket yet.
+	// stateMinted: no order has arrived with the ticket yet.
 	stateMinted state = iota
 	// stateRunning: one goroutine works on the order.
 	stateRunning
@@ -25,22 +25,24 @@
 	stateDone
 )
 
-// entry is a ticket of this incarnation. All fields but id and expires are guarded by table.mu.
+// entry is a ticket of this incarnation. sequence, expires and caller do not change. The other
+// fields are guarded by table.mu; digest and done are set once, by the first send.
 type entry struct {
 	sequence uint64
-	// expires is the time since boot up to which the order may start.
+	// expires is the time since boot before which the order must start.
 	expires time.Duration
 	state   state
 	caller  string
-	// digest is of the one order of the ticket; 0 until it came.
+	// digest identifies the one order of the ticket. It is 0 until that order arrives.
 	digest uint64
 	// done is closed when the record is final; nil before the first send.
 	done   chan struct{}
 	record *pb.TicketRecord
 }
 
-// table holds the tickets of this incarnation, oldest first, until a while after their expiry. The
-// presence of a minted entry is what allows an order to run, so no clock can make one run twice.
+// table holds the tickets of this incarnation, oldest first, until RecordRetention after their
+// expiry. An order may run only if a minted entry exists, so no clock error can make an order run
+// twice.
 type table struct {
 	cfg   Config
 	clock *bootClock
@@ -54,11 +56,11 @@
 	resultBytes int
 	// forgottenTo is the highest sequence number whose entry was dropped.
 	forgottenTo uint64
-	// sealed is true from when no order may start any more.
+	// sealed is true once no further order may start.
 	sealed  bool
 	running int
 	minted  int
-	// changed is closed and replaced when running or minted falls.
+	// changed is closed and replaced when running or minted decreases.
 	changed chan struct{}
 }
 
@@ -69,8 +71,8 @@
 	}
 }
 
-// limitReached returns why no more tickets of the caller can be held, after dropping what is old;
-// unspecified where one can.
+// limitReached evicts old entries, then returns the reason why no more tickets of the caller can be
+// held, or unspecified if there is room.
 func (t *table) limitReached(caller string) pb.Reason {
 	now := t.clock.Since()
 	t.mu.Lock()
@@ -85,7 +87,7 @@
 	return pb.Reason_REASON_UNSPECIFIED
 }
 
-// add makes the place of a new ticket; false where the table was sealed meanwhile.
+// add creates the entry of a new ticket. It returns false if the table has been sealed.
 func (t *table) add(sequence uint64, caller string, expires time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,7 +102,8 @@
 	return true
 }
 
-// evictExpired drops entries that expired long ago. Needs mu.
+// evictExpired drops entries in the order of minting, up to the first one that is running or
+// expired less than RecordRetention ago. The caller must hold mu.
 func (t *table) evictExpired(now time.Duration) {
 	n := 0
 	for _, e := range t.queue {
@@ -120,7 +123,7 @@
 	}
 }
 
-// drop takes an entry off the counts and the map. Needs mu.
+// drop removes an entry from the map and the counts. The caller must hold mu.
 func (t *table) drop(e *entry) {
 	t.resultBytes -= len(e.record.GetResponse().GetResult())
 	t.forgottenTo = max(t.forgottenTo, e.sequence)
@@ -130,24 +133,24 @@
 	}
 }
 
-// verdict is what a send of a ticket has to do.
+// verdict says how a send of a ticket proceeds.
 type verdict int
 
 const (
-	// verdictForgotten: the ticket's record was dropped for age.
+	// verdictEvicted: the ticket's record has been evicted.
 	verdictEvicted verdict = iota
-	// verdictReused: the ticket's order is another one.
+	// verdictReused: the ticket belongs to another order.
 	verdictReused
 	// verdictStart: this send starts the order.
 	verdictStart
 	// verdictJoin: the order is running or done.
 	verdictJoin
-	// verdictExpired and verdictSealed: this send may not start, and a record says so from now on.
+	// verdictExpired and verdictSealed: this send may not start the order, and must record that.
 	verdictExpired
 	verdictSealed
 )
 
-// begin takes the ticket for an order; exactly one send of all gets verdictStart.
+// begin claims the ticket for an order. At most one send of a ticket gets verdictStart.
 func (t *table) begin(sequence, digest uint64) (*entry, verdict) {
 	now := t.clock.Since()
 	t.mu.Lock()
@@ -184,7 +187,7 @@
 	t.notifyChanged()
 }
 
-// expired tells whether an entry may not start any more.
+// expired reports whether it is too late for an entry to start.
 func (t *table) expired(e *entry) bool { return t.clock.Since() >= e.expires }
 
 // recordOf returns the record of a done entry.
@@ -194,18 +197,18 @@
 	return e.record
 }
 
-// notifyChanged wakes those who wait for quiet. Needs mu.
+// notifyChanged wakes the goroutines that wait for changed. The caller must hold mu.
 func (t *table) notifyChanged() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// ticketID returns the ticket's name in the fleet.
+// ticketID returns the fleet-wide id of a ticket of this incarnation.
 func (t *table) ticketID(sequence uint64) *pb.TicketId {
 	return &pb.TicketId{Vm: t.self.vm, Incarnation: t.self.incarnation, Sequence: sequence}
 }
 
-// counts are the numbers of tickets held by their state.
+// counts holds the number of tickets by state and the size of their results.
 type counts struct {
 	Held        int    `json:"held"`
 	Minted      int    `json:"minted"`
@@ -221,7 +224,7 @@
 	return t.countsLocked()
 }
 
-// countsLocked is counts for those who hold mu.
+// countsLocked returns the counts. The caller must hold mu.
 func (t *table) countsLocked() counts {
 	return counts{
 		Held: len(t.entries), Minted: t.minted, Running: t.running,
--- a/internal/order/witness.go
+++ b/internal/order/witness.go
@@ -8,13 +8,13 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// maxWatermarks is how many minting incarnations a witness remembers horizons of. They are 32 bytes
-// or so each and kept as long as the process lives.
+// maxWatermarks is the maximum number of minting incarnations for which a witness keeps a
+// watermark. A watermark takes about 32 bytes and is kept for the lifetime of the process.
 const maxWatermarks = 65_536
 
 const stepWitness = "order.witness"
 
-// ticketKey names a ticket in maps.
+// ticketKey identifies a ticket in maps.
 type ticketKey struct {
 	minter   identity
 	sequence uint64
@@ -24,8 +24,8 @@
 	return ticketKey{identity{id.GetVm(), id.GetIncarnation()}, id.GetSequence()}
 }
 
-// note is what a witness knows of a ticket. Its state goes from intent to done, or is sealed from
-// the start and stays so.
+// note is what a witness knows of a ticket. Its state changes from intent to done, or is sealed
+// from the start and stays so.
 type note struct {
 	key    ticketKey
 	state  pb.TicketState
@@ -36,9 +36,10 @@
 	evictAt time.Duration
 }
 
-// witness notes intents for other gathers and seals tickets. It compares no clock with another VM:
-// what it drops for age raises the horizon of the minting incarnation, and for tickets up to the
-// horizon it neither takes an intent nor says "never run".
+// witness notes intents for other gathers and seals tickets. It never compares its clock with that
+// of another VM: evicting a note raises the watermark of the minting incarnation to the note's
+// sequence number, and for tickets up to the watermark the witness neither accepts an intent nor
+// reports "never run".
 type witness struct {
 	incarnation uint64
 	maxNotes    int
@@ -46,7 +47,8 @@
 	clock       *bootClock
 
 	mu sync.Mutex
-	// All below is guarded by mu. queue holds the notes by age.
+	// All below is guarded by mu. queue holds the notes by age. watermark is the highest evicted
+	// sequence number by minting incarnation.
 	notes     map[ticketKey]*note
 	queue     []*note
 	watermark map[identity]uint64
@@ -59,7 +61,10 @@
 	}
 }
 
-// noteIntent allows the order to be sent from now on. Once it did, the ticket is never sealed.
+// noteIntent notes the intent, which allows the order to be sent from now on. Once it has done so,
+// the ticket is never sealed. A repeated request gets the state of the existing note. It refuses a
+// request for another incarnation of this witness, for an order other than the noted one, and for a
+// new note if there is no room.
 func (w *witness) noteIntent(req *pb.NoteIntentRequest) (*pb.NoteIntentResponse, *outcome.Error) {
 	if req.GetWitnessIncarnation() != w.incarnation {
 		return nil, outcome.NotRun(pb.Reason_REASON_INCARNATION_GONE, stepWitness, "the witness has restarted")
@@ -85,7 +90,8 @@
 	return &pb.NoteIntentResponse{}, nil
 }
 
-// answerRepeatedIntent answers a repeated intent: lost answers and pauses of the gather cause them.
+// answerRepeatedIntent answers a repeated intent, which lost answers and pauses of the gather
+// cause. The caller must hold mu.
 func (w *witness) answerRepeatedIntent(n *note, digest uint64) (*pb.NoteIntentResponse, *outcome.Error) {
 	switch {
 	case n.state == pb.TicketState_TICKET_STATE_SEALED:
@@ -97,7 +103,7 @@
 	}
 }
 
-// resolve says what is known of a ticket, and seals it where no intent is noted.
+// resolve returns what is known of a ticket, and seals the ticket if no intent is noted.
 func (w *witness) resolve(req *pb.ResolveRequest) *pb.ResolveResponse {
 	key := keyOf(req.GetTicket())
 	now := w.clock.Since()
@@ -117,7 +123,7 @@
 	return &pb.ResolveResponse{State: n.state, Record: n.record}
 }
 
-// seal makes "never run" certain. Needs mu.
+// seal guarantees that the ticket never runs. The caller must hold mu.
 func (w *witness) seal(key ticketKey, caller string, now time.Duration) *pb.ResolveResponse {
 	if key.sequence <= w.watermark[key.minter] || !w.hasRoom(key.minter) {
 		return notKnown()
@@ -126,7 +132,8 @@
 	return &pb.ResolveResponse{State: pb.TicketState_TICKET_STATE_SEALED}
 }
 
-// closeAsUnknown records the outcome as unknown for good, since nobody is left who could tell it.
+// closeAsUnknown makes the outcome unknown for good, because no process that knows it is left. The
+// caller must hold the witness's mu.
 func (n *note) closeAsUnknown(id *pb.TicketId) {
 	n.state = pb.TicketState_TICKET_STATE_DONE
 	outcomeErr := outcome.Unknown(pb.Reason_REASON_INCARNATION_GONE, stepWitness, "the gather ended with the order under way, it may have run")
@@ -135,7 +142,7 @@
 	}
 }
 
-// recordOutcome takes the final record of a noted order. A record that is there already stays.
+// recordOutcome stores the final record of a noted order. It does not replace a final record.
 func (w *witness) recordOutcome(r *pb.TicketRecord) {
 	if r.GetState() != pb.TicketState_TICKET_STATE_DONE {
 		return
@@ -149,13 +156,14 @@
 	n.state, n.record = pb.TicketState_TICKET_STATE_DONE, r
 }
 
-// hasRoom tells whether a note of the minter can be held, and its horizon later. Needs mu.
+// hasRoom reports whether a note of the minter, and later its watermark, can be held. The caller
+// must hold mu.
 func (w *witness) hasRoom(minter identity) bool {
 	_, known := w.watermark[minter]
 	return len(w.notes) < w.maxNotes && (known || len(w.watermark) < maxWatermarks)
 }
 
-// add holds a note. Needs mu.
+// add stores a note. The caller must hold mu.
 func (w *witness) add(n *note) {
 	w.notes[n.key] = n
 	w.queue = append(w.queue, n)
@@ -164,7 +172,7 @@
 	}
 }
 
-// evictExpired drops old notes and raises the horizons. Needs mu.
+// evictExpired drops expired notes and raises the watermarks. The caller must hold mu.
 func (w *witness) evictExpired(now time.Duration) {
 	n := 0
 	for n < len(w.queue) && w.queue[n].evictAt <= now {
@@ -177,7 +185,7 @@
 	w.queue = w.queue[n:]
 }
 
-// notesByState returns how many notes are held by state.
+// notesByState returns the number of notes by state.
 func (w *witness) notesByState() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/order/witness_test.go
+++ b/internal/order/witness_test.go
@@ -37,11 +37,11 @@
 		is.Equal(resolve(10), "intent")
 		is.Equal(resolve(8), "sealed")
 		is.Equal(note(8), "sealed")
-		is.Equal(note(12), "overload") // no room: neither a note nor a seal
+		is.Equal(note(12), "overload") // no room for a note or a seal
 		is.Equal(resolve(12), "not_known")
 		time.Sleep(m.cfg.PeerRetention)
 		is.Equal(resolve(10), "not_known") // it may have run
-		is.Equal(note(8), "sealed")        // it may have been told "never runs"
+		is.Equal(note(8), "sealed")        // a caller may have been answered "never runs"
 		is.Equal(note(9), "sealed")
 		is.Equal(resolve(9), "not_known")
 		is.Equal(note(12), "noted")
@@ -64,7 +64,8 @@
 	})
 }
 
-// TestPeersOverTheNetwork takes a note and a refusal over a real connection.
+// TestPeersOverTheNetwork sends an intent that is refused and one that is noted over a real
+// connection.
 func TestPeersOverTheNetwork(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
@@ -91,8 +92,9 @@
 	}
 }
 
-// A gather that wakes with an order in its hands and no fresh news of the fleet refuses it before it asks the
-// witness, which may have sealed the ticket meanwhile: both tell one reason.
+// A gather that resumes from a pause with an order in flight and no fresh view of the fleet refuses
+// the order. The witness may have sealed the ticket during the pause, so the gather asks it before
+// recording the refusal: both must give the same reason.
 func TestRefusalAfterAPauseGivesTheWitnessesReason(t *testing.T) {
 	inWorld(t, func(is *is.I, m *machine) {
 		n := m.node("vm-1")
@@ -102,7 +104,7 @@
 		is.Equal(m.sendOrder(sealed, "p"), "not_run sealed")
 		is.Equal(m.sendOrder(free, "p"), "not_run paused")
 		time.Sleep(time.Second)
-		m.setViewGatherEnded("vm-1") // only the witness is asked from now on
+		m.setViewGatherEnded("vm-1") // from now on only the witness is asked
 		is.Equal(m.resolveTicket(free), "not_run paused")
 		is.Equal(m.runsOf(sealed.text)+m.runsOf(free.text), 0)
 	})
--- a/internal/order/world_test.go
+++ b/internal/order/world_test.go
@@ -18,7 +18,7 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// The steps at which a fault may be armed. A fault strikes the next call of its step.
+// The steps at which a fault may be armed. A fault affects the next call of its step.
 const (
 	atNote     = "note"
 	atHandover = "handover"
@@ -27,13 +27,14 @@
 	atExecute  = "execute"
 )
 
-// fault is what befalls one call.
+// fault is what goes wrong in one call.
 type fault struct {
 	dropRequest, dropResponse bool
 	delay                     time.Duration
-	// before and after strike the sender, before it sends and after it has the answer.
+	// before and after happen to the sender, before it sends and after it has the answer.
 	before, after nodeEvent
-	// notWritten, broken and refusal are ways a call to a leaf fails; a broken one runs all the same.
+	// notWritten, broken and refusal are ways in which a call to a leaf fails. The order of a
+	// broken call runs all the same.
 	notWritten, broken bool
 	refusal            pb.LeafRefusalReason
 	// mismatch makes the leaf answer another order.
@@ -48,8 +49,8 @@
 	eventKill
 )
 
-// world is some gathers, the leaves and the network between them, on fake time. An order is told
-// apart by its ticket at the leaves.
+// world simulates several gathers, the leaves and the network between them under fake time. The
+// leaves identify an order by its ticket.
 type world struct {
 	cfg Config
 
@@ -59,7 +60,8 @@
 	lastIncarnation uint64
 	partitioned     map[[2]string]bool
 	armed           map[string][]fault
-	// viewVMs is the view that all processes have; it changes by news and rumours only.
+	// viewVMs is the view that all processes have. It changes only through publishActualState,
+	// setViewState and setViewGatherEnded.
 	viewVMs map[string]*pb.Vm
 	runs    map[string]int
 }
@@ -71,17 +73,19 @@
 	incarnation uint64
 	m           *Manager
 	cancel      context.CancelFunc
-	// All below is guarded by w.mu. thawed is nil while the node runs, frozeAt when it froze, lag how
-	// far its clocks are behind.
+	// All below is guarded by w.mu. thawed is nil while the node runs, frozenSince is when it was
+	// frozen, and clockLag is how far its clocks are behind.
 	dead, draining bool
 	thawed         chan struct{}
 	frozenSince    time.Time
 	clockLag       time.Duration
-	// lastPause is when the node last saw a pause of its own end.
+	// lastPause is when the node last observed the end of a pause of its own.
 	lastPause time.Time
-	// stale is true while the node has no fresh news of the fleet; set before it runs orders.
+	// stale is true while the node has no fresh view of the fleet. It is set before the node runs
+	// orders.
 	stale bool
-	// full and leaving are what leaves look like to the node; set before it runs orders.
+	// full and leaving are the state of the leaves as the node sees it. They are set before the
+	// node runs orders.
 	full    bool
 	leaving map[string]bool
 	balance.Replicas
@@ -130,7 +134,8 @@
 	}
 }
 
-// thawUnnoticed wakes a node whose clocks stood still while it was frozen, so that it sees no pause.
+// thawUnnoticed resumes a node whose clocks stood still while it was frozen, so that it does not
+// observe a pause.
 func (w *world) thawUnnoticed(n *node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,7 +145,7 @@
 	n.wake()
 }
 
-// now is the node's clock.
+// now returns the time by the node's clock.
 func (n *node) now() time.Time {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
@@ -156,7 +161,7 @@
 	n.wake()
 }
 
-// wake needs w.mu.
+// wake ends a freeze. The caller must hold w.mu.
 func (n *node) wake() {
 	if n.thawed != nil {
 		close(n.thawed)
@@ -172,7 +177,7 @@
 	w.thaw(n)
 }
 
-// drainAndKill drains the node within the limit and ends its process.
+// drainAndKill drains the node within the limit and then ends its process.
 func (w *world) drainAndKill(n *node, limit time.Duration) {
 	w.mu.Lock()
 	n.draining = true
@@ -195,7 +200,8 @@
 	}
 }
 
-// waitAlive waits while the node is frozen and tells whether it lives. Each step of a node passes here.
+// waitAlive blocks while the node is frozen and reports whether the node is alive. Each step of a
+// node calls it.
 func (n *node) waitAlive() bool {
 	if n == nil {
 		return true
@@ -233,17 +239,18 @@
 func (c fakeCall) Suspect() bool       { return false }
 func (c fakeCall) Done(balance.Result) {}
 
-// AllowRetry has no budget.
+// AllowRetry denies all retries, as an empty retry budget does.
 func (n *node) AllowRetry(float64) bool { return false }
 
-// LastPause implements Pauses.
-// sawPause lets the node see a pause of its own that ended at t; its leaves have room since.
+// recordPause lets the node observe a pause of its own that ended at t. From then on its leaves
+// have free slots.
 func (n *node) recordPause(t time.Time) {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	n.lastPause, n.full = t, false
 }
 
+// LastPause implements Pauses.
 func (n *node) LastPause(time.Time) time.Time {
 	n.waitAlive()
 	n.w.mu.Lock()
@@ -283,11 +290,11 @@
 	return v
 }
 
-// actualVM is what is the case with the VM. Needs mu.
+// actualVM returns the actual state of the node's VM. The caller must hold w.mu.
 func (w *world) actualVM(n *node) *pb.Vm {
 	vm := gatherVM(n.id, n.zone, n.incarnation)
 	switch {
-	case n.dead: // the sync of the VM tells
+	case n.dead: // the sync process of the VM reports it
 		vm.Processes[0].State = pb.ProcessState_PROCESS_STATE_GONE
 	case n.draining:
 		vm.Processes[0].State = pb.ProcessState_PROCESS_STATE_DRAINING
@@ -295,7 +302,7 @@
 	return vm
 }
 
-// publishActualState makes everyone believe what is the case.
+// publishActualState sets the view of all processes to the actual state.
 func (w *world) publishActualState() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -304,7 +311,8 @@
 	}
 }
 
-// setViewState makes everyone believe a state of a VM, true or not.
+// setViewState sets the state of a VM in the view of all processes, whether or not it is the actual
+// one.
 func (w *world) setViewState(id string, s pb.VmState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -312,7 +320,8 @@
 	w.viewVMs[id] = &pb.Vm{Id: old.Id, Zone: old.Zone, State: s, Processes: old.Processes}
 }
 
-// setViewGatherEnded makes everyone believe that the gather of a VM has ended, true or not.
+// setViewGatherEnded shows the gather of a VM as ended in the view of all processes, whether or not
+// it has.
 func (w *world) setViewGatherEnded(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -322,7 +331,7 @@
 	w.viewVMs[id] = ended
 }
 
-// viewIsAccurate tells whether all that is believed is the case.
+// viewIsAccurate reports whether the view equals the actual state.
 func (w *world) viewIsAccurate() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
