--- a/internal/ticket/minter.go
+++ b/internal/ticket/minter.go
@@ -54,7 +54,7 @@
 		return nil, false
 	}
 	t := &Ticket{
-		VM: m.vm, Incarnation: m.incarnation, Sequence: uint64(n)<<countShift | randomLow(),
+		VM: m.vm, Incarnation: m.incarnation, Sequence: uint64(n)<<countShift | randomLowBits(),
 		WitnessVM: g.WitnessVM, WitnessIncarnation: g.WitnessIncarnation,
 		Expires: g.Expires.UTC().Truncate(time.Millisecond),
 		Caller:  g.Caller, Service: g.Service, Kind: g.Kind,
@@ -77,7 +77,7 @@
 	return h.Sum(nil)[:MACSize]
 }
 
-func randomLow() uint64 {
+func randomLowBits() uint64 {
 	var b [4]byte
 	_, _ = rand.Read(b[:])
 	return uint64(binary.BigEndian.Uint32(b[:]))
--- a/internal/ticket/text.go
+++ b/internal/ticket/text.go
@@ -13,15 +13,15 @@
 const (
 	// prefix names the version of the text form; a new layout takes a new prefix.
 	prefix = "bp1."
-	// MaxText is the longest text taken, in bytes.
-	MaxText = 512
+	// MaxTextBytes is the longest text taken, in bytes.
+	MaxTextBytes = 512
 	// MACSize is the length of a MAC in bytes.
 	MACSize = 16
-	// maxName is the longest VM, caller, service or kind, in bytes.
-	maxName = 63
-	// minExpires and maxExpires bound the expiry, in Unix milliseconds: the years 2000 to 2200.
-	minExpires = 946_684_800_000
-	maxExpires = 7_258_118_400_000
+	// maxNameBytes is the longest VM, caller, service or kind, in bytes.
+	maxNameBytes = 63
+	// minExpiresMillis and maxExpires bound the expiry, in Unix milliseconds: the years 2000 to 2200.
+	minExpiresMillis = 946_684_800_000
+	maxExpiresMillis = 7_258_118_400_000
 )
 
 // encoding is base64 for URLs, without padding; Strict refuses stray trailing bits.
@@ -54,7 +54,7 @@
 // body encodes all fields but the MAC. Names are prefixed by a length byte, numbers are fixed
 // width, so each ticket has one encoding only.
 func (t *Ticket) body() []byte {
-	b := make([]byte, 0, MaxText/2)
+	b := make([]byte, 0, MaxTextBytes/2)
 	b = appendName(b, t.VM)
 	b = binary.BigEndian.AppendUint64(b, t.Incarnation)
 	b = binary.BigEndian.AppendUint64(b, t.Sequence)
@@ -76,7 +76,7 @@
 // Parse reads a ticket's text. It is strict: any text it takes is the very text that the ticket
 // gives back. The error is a *ParseError. The MAC is not checked.
 func Parse(text string) (*Ticket, error) {
-	if len(text) > MaxText {
+	if len(text) > MaxTextBytes {
 		return nil, &ParseError{"text", "too long"}
 	}
 	rest, ok := strings.CutPrefix(text, prefix)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, &ParseError{"text", "not base64"}
 	}
-	r := &reader{rest: raw}
+	r := &reader{remaining: raw}
 	t := r.ticket()
 	if r.err != nil {
 		return nil, r.err
@@ -100,8 +100,8 @@
 
 // reader takes fields off rest; after the first error it gives zero values.
 type reader struct {
-	rest []byte
-	err  *ParseError
+	remaining []byte
+	err       *ParseError
 }
 
 func (r *reader) ticket() *Ticket {
@@ -119,7 +119,7 @@
 		t.WitnessIncarnation = r.positive("witness_incarnation")
 	}
 	t.MAC = r.take("mac", MACSize)
-	if len(r.rest) != 0 {
+	if len(r.remaining) != 0 {
 		r.fail("text", "bytes after the end")
 	}
 	return t
@@ -132,12 +132,12 @@
 }
 
 func (r *reader) take(field string, n int) []byte {
-	if r.err != nil || len(r.rest) < n {
+	if r.err != nil || len(r.remaining) < n {
 		r.fail(field, "cut short")
 		return nil
 	}
-	b := r.rest[:n]
-	r.rest = r.rest[n:]
+	b := r.remaining[:n]
+	r.remaining = r.remaining[n:]
 	return b
 }
 
@@ -146,7 +146,7 @@
 	if length == nil {
 		return ""
 	}
-	if length[0] > maxName {
+	if length[0] > maxNameBytes {
 		r.fail(field, "too long")
 		return ""
 	}
@@ -179,7 +179,7 @@
 
 func (r *reader) expires() time.Time {
 	ms := r.positive("expires")
-	if ms < minExpires || ms > maxExpires {
+	if ms < minExpiresMillis || ms > maxExpiresMillis {
 		r.fail("expires", "out of range")
 		return time.Time{}
 	}
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -27,12 +27,12 @@
 	is := is.New(t)
 	m := NewMinter("vm-1", 7)
 	longest := Grant{
-		WitnessVM: strings.Repeat("w", maxName), WitnessIncarnation: 1, Expires: time.UnixMilli(maxExpires),
-		Caller: strings.Repeat("c", maxName), Service: strings.Repeat("s", maxName), Kind: strings.Repeat("k", maxName),
+		WitnessVM: strings.Repeat("w", maxNameBytes), WitnessIncarnation: 1, Expires: time.UnixMilli(maxExpiresMillis),
+		Caller: strings.Repeat("c", maxNameBytes), Service: strings.Repeat("s", maxNameBytes), Kind: strings.Repeat("k", maxNameBytes),
 	}
-	bare := grant()
-	bare.WitnessVM, bare.WitnessIncarnation = "", 0
-	for _, g := range []Grant{grant(), longest, bare} {
+	withoutWitness := grant()
+	withoutWitness.WitnessVM, withoutWitness.WitnessIncarnation = "", 0
+	for _, g := range []Grant{grant(), longest, withoutWitness} {
 		want := mint(t, m, g)
 		text := want.Text()
 		got, err := Parse(text)
@@ -41,11 +41,11 @@
 		is.Equal(got.Text(), text)
 		is.True(m.Check(got))
 	}
-	full := mint(t, NewMinter(strings.Repeat("v", maxName), 7), longest)
-	is.True(len(full.Text()) <= MaxText) // the longest names still fit
+	full := mint(t, NewMinter(strings.Repeat("v", maxNameBytes), 7), longest)
+	is.True(len(full.Text()) <= MaxTextBytes) // the longest names still fit
 }
 
-func TestSequenceRises(t *testing.T) {
+func TestSequenceNumbersIncrease(t *testing.T) {
 	is := is.New(t)
 	m := NewMinter("vm-1", 7)
 	a, b := mint(t, m, grant()), mint(t, m, grant())
@@ -55,7 +55,7 @@
 	is.True(!ok) // numbers are used up, none is given twice
 }
 
-func TestCheckRefusesEveryChange(t *testing.T) {
+func TestCheckDetectsEveryChange(t *testing.T) {
 	m := NewMinter("vm-1", 7)
 	changes := map[string]func(*Ticket){
 		"vm":          func(t *Ticket) { t.VM = "vm-3" },
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidText(t *testing.T) {
 	good := mint(t, NewMinter("vm-1", 7), grant())
 	edit := func(change func(*Ticket)) string {
 		c := *good
@@ -88,18 +88,18 @@
 	cases := map[string]struct{ text, field string }{
 		"empty":           {"", "text"},
 		"other version":   {"bp2." + good.Text()[4:], "text"},
-		"too long":        {prefix + strings.Repeat("A", MaxText), "text"},
+		"too long":        {prefix + strings.Repeat("A", MaxTextBytes), "text"},
 		"not base64":      {prefix + "!!", "text"},
 		"line break":      {good.Text() + "\n", "text"},
 		"cut short":       {good.Text()[:20], "incarnation"},
 		"bytes after":     {prefix + encoding.EncodeToString(append(append(good.body(), good.MAC...), 0)), "text"},
 		"empty caller":    {edit(func(t *Ticket) { t.Caller = "" }), "caller"},
 		"upper case":      {edit(func(t *Ticket) { t.Service = "Teachers" }), "service"},
-		"long kind":       {edit(func(t *Ticket) { t.Kind = strings.Repeat("k", maxName+1) }), "kind"},
+		"long kind":       {edit(func(t *Ticket) { t.Kind = strings.Repeat("k", maxNameBytes+1) }), "kind"},
 		"no incarnation":  {edit(func(t *Ticket) { t.Incarnation = 0 }), "incarnation"},
 		"no sequence":     {edit(func(t *Ticket) { t.Sequence = 0 }), "sequence"},
 		"long ago":        {edit(func(t *Ticket) { t.Expires = time.UnixMilli(1) }), "expires"},
-		"far off":         {edit(func(t *Ticket) { t.Expires = time.UnixMilli(maxExpires + 1) }), "expires"},
+		"far off":         {edit(func(t *Ticket) { t.Expires = time.UnixMilli(maxExpiresMillis + 1) }), "expires"},
 		"witness of zero": {edit(func(t *Ticket) { t.WitnessIncarnation = 0 }), "witness_incarnation"},
 		"short mac":       {edit(func(t *Ticket) { t.MAC = t.MAC[:8] }), "mac"},
 	}
@@ -116,9 +116,9 @@
 
 func FuzzParse(f *testing.F) {
 	good, _ := NewMinter("vm-1", 7).Mint(grant())
-	bare, _ := NewMinter("vm-1", 7).Mint(Grant{Expires: grant().Expires, Caller: "a", Service: "b", Kind: "c"})
+	withoutWitness, _ := NewMinter("vm-1", 7).Mint(Grant{Expires: grant().Expires, Caller: "a", Service: "b", Kind: "c"})
 	f.Add(good.Text())
-	f.Add(bare.Text())
+	f.Add(withoutWitness.Text())
 	f.Add(prefix)
 	f.Add(good.Text() + "\n")
 	f.Fuzz(func(t *testing.T, text string) {
