--- a/internal/ticket/minter.go
+++ b/internal/ticket/minter.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// macDomain keeps the MAC of a ticket apart from any other use of a key.
+	// macDomain separates the MAC of a ticket from any other use of a key.
 	macDomain = "burdockplank ticket v1\n"
 	keySize   = 32
-	// countShift leaves the low half of a sequence number to chance: the high half counts up, so
-	// that later tickets have higher numbers, the low half makes the next one hard to guess.
+	// countShift is the position of the counter in a sequence number. The high half counts up, so
+	// that later tickets have higher numbers. The low half is random, which makes the next number
+	// hard to guess.
 	countShift = 32
 )
 
-// Grant is what a minted ticket is for.
+// Grant holds the fields of a ticket to be minted.
 type Grant struct {
-	// WitnessVM and WitnessIncarnation are empty where no witness is at hand.
+	// WitnessVM and WitnessIncarnation are empty if no witness is available.
 	WitnessVM          string
 	WitnessIncarnation uint64
 	Expires            time.Time
@@ -29,8 +30,8 @@
 	Kind               string
 }
 
-// Minter mints and checks the tickets of one incarnation. Its key is drawn at boot, kept in memory
-// only and never sent. It is safe for concurrent use.
+// Minter mints and checks the tickets of one incarnation. Its key is generated at start, kept in
+// memory only and never sent. It is safe for concurrent use.
 type Minter struct {
 	vm          string
 	incarnation uint64
@@ -38,15 +39,15 @@
 	count       atomic.Uint32
 }
 
-// NewMinter returns a minter with a new key for the incarnation of the VM's gather.
+// NewMinter returns a Minter with a new key for the incarnation of the VM's gather.
 func NewMinter(vm string, incarnation uint64) *Minter {
 	m := &Minter{vm: vm, incarnation: incarnation}
 	_, _ = rand.Read(m.key[:])
 	return m
 }
 
-// Mint returns a new ticket. Sequence numbers rise with each; it returns false where the numbers
-// of this incarnation are used up.
+// Mint returns a new ticket. Each ticket has a higher sequence number than the one before. Mint
+// returns false once the numbers of this incarnation are used up.
 func (m *Minter) Mint(g Grant) (*Ticket, bool) {
 	n := m.count.Add(1)
 	if n == 0 {
@@ -63,7 +64,7 @@
 	return t, true
 }
 
-// Check tells whether this minter minted exactly this ticket. The MACs are compared in constant
+// Check reports whether this minter minted exactly this ticket. It compares the MACs in constant
 // time.
 func (m *Minter) Check(t *Ticket) bool {
 	own := t.VM == m.vm && t.Incarnation == m.incarnation
--- a/internal/ticket/text.go
+++ b/internal/ticket/text.go
@@ -11,23 +11,26 @@
 )
 
 const (
-	// prefix names the version of the text form; a new layout takes a new prefix.
+	// prefix identifies the version of the text form. A new layout needs a new prefix.
 	prefix = "bp1."
-	// MaxTextBytes is the longest text taken, in bytes.
+	// MaxTextBytes is the length of the longest accepted text.
 	MaxTextBytes = 512
 	// MACSize is the length of a MAC in bytes.
 	MACSize = 16
-	// maxNameBytes is the longest VM, caller, service or kind, in bytes.
+	// maxNameBytes is the length of the longest VM, caller, service or kind.
 	maxNameBytes = 63
-	// minExpiresMillis and maxExpires bound the expiry, in Unix milliseconds: the years 2000 to 2200.
+	// minExpiresMillis and maxExpiresMillis bound the expiry, in Unix milliseconds: the years 2000
+	// to 2200.
 	minExpiresMillis = 946_684_800_000
 	maxExpiresMillis = 7_258_118_400_000
 )
 
-// encoding is base64 for URLs, without padding; Strict refuses stray trailing bits.
+// encoding is unpadded URL-safe base64. Strict rejects non-zero trailing padding bits, so that each
+// ticket has one text only.
 var encoding = base64.RawURLEncoding.Strict()
 
-// ParseError says which part of a ticket's text can't be used. It never holds the text.
+// ParseError names the field of a ticket's text that is invalid, and why. It never contains the
+// text.
 type ParseError struct {
 	Field  string
 	Reason string
@@ -38,21 +41,21 @@
 	return fmt.Sprintf("ticket: %s: %s", e.Field, e.Reason)
 }
 
-// Text returns the URL-safe text of the ticket, at most MaxText bytes.
+// Text returns the URL-safe text of the ticket, at most MaxTextBytes long.
 func (t *Ticket) Text() string {
 	return prefix + encoding.EncodeToString(append(t.body(), t.MAC...))
 }
 
-// Identity names the ticket across the fleet for logs and dumps; it holds no MAC.
+// Identity returns the fleet-wide id of the ticket for logs and dumps. It contains no MAC.
 func (t *Ticket) Identity() string {
 	return fmt.Sprintf("%s/%016x/%016x", t.VM, t.Incarnation, t.Sequence)
 }
 
-// HasWitness tells whether a witness must note the intent of the order.
+// HasWitness reports whether a witness must note the intent of the order.
 func (t *Ticket) HasWitness() bool { return t.WitnessVM != "" }
 
-// body encodes all fields but the MAC. Names are prefixed by a length byte, numbers are fixed
-// width, so each ticket has one encoding only.
+// body encodes all fields but the MAC. Names are prefixed by a length byte and numbers have a fixed
+// width, so that each ticket has exactly one encoding.
 func (t *Ticket) body() []byte {
 	b := make([]byte, 0, MaxTextBytes/2)
 	b = appendName(b, t.VM)
@@ -73,8 +76,8 @@
 	return append(append(b, byte(len(s))), s...)
 }
 
-// Parse reads a ticket's text. It is strict: any text it takes is the very text that the ticket
-// gives back. The error is a *ParseError. The MAC is not checked.
+// Parse decodes the text of a ticket. It is strict: Text of the returned ticket equals the accepted
+// text. The error is a *ParseError. The MAC is not checked.
 func Parse(text string) (*Ticket, error) {
 	if len(text) > MaxTextBytes {
 		return nil, &ParseError{"text", "too long"}
@@ -98,7 +101,7 @@
 	return t, nil
 }
 
-// reader takes fields off rest; after the first error it gives zero values.
+// reader decodes fields from remaining. After the first error it returns zero values.
 type reader struct {
 	remaining []byte
 	err       *ParseError
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -52,7 +52,7 @@
 	is.True(a.Sequence < b.Sequence)
 	m.count.Store(^uint32(0))
 	_, ok := m.Mint(grant())
-	is.True(!ok) // numbers are used up, none is given twice
+	is.True(!ok) // the numbers are used up, and none is issued twice
 }
 
 func TestCheckDetectsEveryChange(t *testing.T) {
