--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -13,16 +13,16 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-func TestErrorSurvivesTheWire(t *testing.T) {
+func TestErrorRoundTripsThroughConnect(t *testing.T) {
 	is := is.New(t)
-	e := NotRun(pb.Reason_REASON_QUEUE_FULL, "entry.admission", "%d waiting", 7).WithPeer("vm-1").WithRetryAfter(1500 * time.Millisecond)
-	ce := ToConnect(e, "req-1")
+	want := NotRun(pb.Reason_REASON_QUEUE_FULL, "entry.admission", "%d waiting", 7).WithPeer("vm-1").WithRetryAfter(1500 * time.Millisecond)
+	ce := ToConnect(want, "req-1")
 	is.Equal(ce.Code(), connect.CodeResourceExhausted)
 	is.Equal(ce.Meta().Get(HeaderRetryAfter), "2")
 	is.Equal(ce.Meta().Get(HeaderRetryAfterMillis), "1500")
-	back, ok := FromConnect(fmt.Errorf("call: %w", ce))
+	got, ok := FromConnect(fmt.Errorf("call: %w", ce))
 	is.True(ok)
-	is.Equal(*back, *e)
+	is.Equal(*got, *want)
 }
 
 func TestClassify(t *testing.T) {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestEveryReasonHasACode(t *testing.T) {
+func TestNoReasonMapsToCodeUnknown(t *testing.T) {
 	for v := range pb.Reason_name {
 		is := is.New(t)
 		is.True(NotRun(pb.Reason(v), "s", "").Code() != connect.CodeUnknown) // unknown is for orders that may have run
