--- a/internal/outcome/names.go
+++ b/internal/outcome/names.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// trimLower turns an enum name such as REASON_QUEUE_FULL into queue_full.
+// trimLower converts an enum name such as REASON_QUEUE_FULL to queue_full.
 func trimLower(s, prefix string) string {
 	return strings.ToLower(strings.TrimPrefix(s, prefix))
 }
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome holds the typed ends of a request: the error that names kind, reason, step and
-// peer, and its two-way mapping to connect errors with an Outcome detail.
+// Package outcome defines the typed errors with which a request ends. An Error names the kind,
+// reason, step and peer. The package maps it to connect errors with an Outcome detail and back.
 package outcome
 
 import (
@@ -17,38 +17,39 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// HeaderRetryAfter is the standard header that says in whole seconds when to come back.
+// HeaderRetryAfter is the standard header with the retry delay in whole seconds.
 const HeaderRetryAfter = "Retry-After"
 
-// HeaderRetryAfterMillis gives the same in milliseconds for callers that can use it.
+// HeaderRetryAfterMillis is the header with the same delay in milliseconds, for callers that
+// support it.
 const HeaderRetryAfterMillis = "Burdock-Retry-After-Ms"
 
 // Error is a final outcome other than answered. It is immutable once returned.
 type Error struct {
 	Kind   pb.OutcomeKind
 	Reason pb.Reason
-	// Step is the part of the path at which it arose, such as "entry.admission".
+	// Step is the step of request handling at which the error arose, such as "entry.admission".
 	Step string
-	// Peer is the VM or upstream involved, empty where there is none.
+	// Peer is the VM or upstream involved, or empty if there is none.
 	Peer string
-	// RetryAfter says when to come back; 0 where coming back makes no sense.
+	// RetryAfter is the delay after which the caller may retry. It is 0 if a retry is pointless.
 	RetryAfter time.Duration
 	Message    string
 
 	cause error
 }
 
-// NotRun says that no byte of the request went to an upstream.
+// NotRun returns an Error that says that no byte of the request was sent to an upstream.
 func NotRun(reason pb.Reason, step, format string, args ...any) *Error {
 	return newError(pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, reason, step, format, args)
 }
 
-// Failed says that a search ran without a usable answer.
+// Failed returns an Error that says that a search ran without a usable answer.
 func Failed(reason pb.Reason, step, format string, args ...any) *Error {
 	return newError(pb.OutcomeKind_OUTCOME_KIND_FAILED, reason, step, format, args)
 }
 
-// Unknown says that an order may have run and will not be run again.
+// Unknown returns an Error that says that an order may have run and will not be run again.
 func Unknown(reason pb.Reason, step, format string, args ...any) *Error {
 	return newError(pb.OutcomeKind_OUTCOME_KIND_UNKNOWN, reason, step, format, args)
 }
@@ -64,7 +65,7 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy that says when to come back.
+// WithRetryAfter returns a copy with the retry delay.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -96,7 +97,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Proto returns the outcome as it travels.
+// Proto returns the error as an Outcome message.
 func (e *Error) Proto(requestID string) *pb.Outcome {
 	o := &pb.Outcome{
 		Kind: e.Kind, Reason: e.Reason, Step: e.Step, Peer: e.Peer,
@@ -108,7 +109,7 @@
 	return o
 }
 
-// FromProto returns the error for an outcome, or nil for an answered one.
+// FromProto returns the Error for an outcome, or nil for an answered one.
 func FromProto(o *pb.Outcome) *Error {
 	switch o.GetKind() {
 	case pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE, pb.OutcomeKind_OUTCOME_KIND_ANSWERED_PARTIAL:
@@ -120,14 +121,14 @@
 	}
 }
 
-// As finds an Error in err's chain.
+// As returns the first Error in err's chain, and whether there is one.
 func As(err error) (*Error, bool) {
 	var e *Error
 	ok := errors.As(err, &e)
 	return e, ok
 }
 
-// codes maps reasons to connect codes; plain HTTP callers see the matching status.
+// codes maps reasons to connect codes. Plain HTTP callers receive the matching status.
 var codes = map[pb.Reason]connect.Code{
 	pb.Reason_REASON_INVALID_REQUEST:  connect.CodeInvalidArgument,
 	pb.Reason_REASON_UNAUTHENTICATED:  connect.CodeUnauthenticated,
@@ -149,7 +150,7 @@
 	pb.Reason_REASON_INTERNAL:         connect.CodeInternal,
 }
 
-// Code returns the connect code of the error.
+// Code returns the connect code of the error. It is unknown only for an order that may have run.
 func (e *Error) Code() connect.Code {
 	if e.Kind == pb.OutcomeKind_OUTCOME_KIND_UNKNOWN {
 		return connect.CodeUnknown
@@ -160,8 +161,8 @@
 	return connect.CodeUnavailable
 }
 
-// Classify turns any error into an Error: a context's end becomes a deadline or cancellation, all
-// else an internal one, of the given kind and step.
+// Classify returns the Error in err's chain, or a new one of the given kind and step that wraps
+// err. The reason of a new one is deadline or cancelled if a context ended, otherwise internal.
 func Classify(err error, kind pb.OutcomeKind, step string) *Error {
 	if e, ok := As(err); ok {
 		return e
@@ -176,7 +177,7 @@
 	return newError(kind, reason, step, "", nil).WithCause(err)
 }
 
-// ToConnect returns the connect error that carries e as a detail and says when to come back.
+// ToConnect returns the connect error that carries e as a detail and the retry delay as headers.
 func ToConnect(e *Error, requestID string) *connect.Error {
 	ce := connect.NewError(e.Code(), errors.New(e.Error()))
 	if d, err := connect.NewErrorDetail(e.Proto(requestID)); err == nil {
@@ -186,7 +187,7 @@
 	return ce
 }
 
-// SetRetryAfter writes both retry headers; it writes nothing for 0.
+// SetRetryAfter sets both retry headers. It sets none unless d is positive.
 func SetRetryAfter(h http.Header, d time.Duration) {
 	if d <= 0 {
 		return
@@ -195,7 +196,7 @@
 	h.Set(HeaderRetryAfterMillis, strconv.FormatInt(d.Milliseconds(), 10))
 }
 
-// FromConnect returns the Error carried in a connect error's detail, and whether there was one.
+// FromConnect returns the Error carried in a connect error's detail, and whether there is one.
 func FromConnect(err error) (*Error, bool) {
 	o, ok := Detail(err)
 	if !ok {
@@ -204,8 +205,8 @@
 	return FromProto(o), true
 }
 
-// Detail returns the Outcome carried in a connect error's detail, and whether there was one. It has
-// the request id, which an Error has not.
+// Detail returns the Outcome carried in a connect error's detail, and whether there is one. Unlike
+// an Error, it contains the request id.
 func Detail(err error) (*pb.Outcome, bool) {
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
@@ -223,8 +224,8 @@
 	return nil, false
 }
 
-// ReasonName is the short lower-case name used in messages and metric labels.
+// ReasonName returns the short lower-case name used in messages and metric labels.
 func ReasonName(r pb.Reason) string { return trimLower(r.String(), "REASON_") }
 
-// KindName is the short lower-case name used in messages and metric labels.
+// KindName returns the short lower-case name used in messages and metric labels.
 func KindName(k pb.OutcomeKind) string { return trimLower(k.String(), "OUTCOME_KIND_") }
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -44,6 +44,6 @@
 func TestNoReasonMapsToCodeUnknown(t *testing.T) {
 	for v := range pb.Reason_name {
 		is := is.New(t)
-		is.True(NotRun(pb.Reason(v), "s", "").Code() != connect.CodeUnknown) // unknown is for orders that may have run
+		is.True(NotRun(pb.Reason(v), "s", "").Code() != connect.CodeUnknown) // CodeUnknown is reserved for orders that may have run
 	}
 }
