--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -28,31 +28,31 @@
 // Authenticate returns the caller named by the header "Authorization: Bearer TOKEN". The error says
 // the same for a missing and for a wrong token, and repeats nothing of the request.
 func Authenticate(callers Callers, h http.Header) (*bundle.Caller, *outcome.Error) {
-	token, ok := bearer(h)
+	token, ok := bearerToken(h)
 	if !ok {
-		return nil, refuse()
+		return nil, unauthenticatedError()
 	}
 	c := callers.CallerByToken(bundle.Digest(sha256.Sum256([]byte(token))))
 	if c == nil {
-		return nil, refuse()
+		return nil, unauthenticatedError()
 	}
 	return c, nil
 }
 
-// bearer returns the token of the one Authorization header; two of them are ambiguous.
-func bearer(h http.Header) (string, bool) {
+// bearerToken returns the token of the one Authorization header; two of them are ambiguous.
+func bearerToken(h http.Header) (string, bool) {
 	values := h.Values("Authorization")
 	if len(values) != 1 {
 		return "", false
 	}
-	kind, token, ok := strings.Cut(values[0], " ")
-	if !ok || !strings.EqualFold(kind, scheme) {
+	gotScheme, token, ok := strings.Cut(values[0], " ")
+	if !ok || !strings.EqualFold(gotScheme, scheme) {
 		return "", false
 	}
 	token = strings.TrimSpace(token)
 	return token, token != "" && len(token) <= maxTokenBytes
 }
 
-func refuse() *outcome.Error {
+func unauthenticatedError() *outcome.Error {
 	return outcome.NotRun(pb.Reason_REASON_UNAUTHENTICATED, step, "a valid bearer token is needed")
 }
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -45,7 +45,7 @@
 			}
 			is.Equal(c, nil)
 			is.Equal(err.Reason, pb.Reason_REASON_UNAUTHENTICATED)
-			is.Equal(err.Message, refuse().Message) // the same for all, nothing of the request
+			is.Equal(err.Message, unauthenticatedError().Message) // the same for all, nothing of the request
 		})
 	}
 }
