--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,5 +1,5 @@
-// Package auth finds the caller that a request's bearer token belongs to. The bundle holds only the
-// SHA-256 of each token, so a dump or a bundle gives no token away.
+// Package auth identifies the caller to which a request's bearer token belongs. The bundle holds
+// only the SHA-256 digest of each token, so neither a dump nor a bundle reveals a token.
 package auth
 
 import (
@@ -14,19 +14,19 @@
 
 const (
 	step = "entry.auth"
-	// scheme is compared without regard to case, as RFC 9110 wants.
+	// scheme is compared case-insensitively, as RFC 9110 requires.
 	scheme = "bearer"
-	// maxTokenBytes bounds what is hashed for a stranger.
+	// maxTokenBytes bounds the input that is hashed for an unauthenticated request.
 	maxTokenBytes = 512
 )
 
-// Callers finds a caller by the SHA-256 of its token; *bundle.Bundle implements it.
+// Callers looks up a caller by the SHA-256 digest of its token. *bundle.Bundle implements it.
 type Callers interface {
 	CallerByToken(tokenSHA256 bundle.Digest) *bundle.Caller
 }
 
-// Authenticate returns the caller named by the header "Authorization: Bearer TOKEN". The error says
-// the same for a missing and for a wrong token, and repeats nothing of the request.
+// Authenticate returns the caller whose token is in the header "Authorization: Bearer TOKEN". The
+// error is the same for a missing and for a wrong token, and contains nothing of the request.
 func Authenticate(callers Callers, h http.Header) (*bundle.Caller, *outcome.Error) {
 	token, ok := bearerToken(h)
 	if !ok {
@@ -39,7 +39,8 @@
 	return c, nil
 }
 
-// bearerToken returns the token of the one Authorization header; two of them are ambiguous.
+// bearerToken returns the token of the Authorization header. It rejects a request with more than
+// one such header as ambiguous.
 func bearerToken(h http.Header) (string, bool) {
 	values := h.Values("Authorization")
 	if len(values) != 1 {
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -12,7 +12,7 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// callers maps digests of tokens to callers.
+// callers implements Callers by a map from the digests of tokens.
 type callers map[bundle.Digest]*bundle.Caller
 
 func (c callers) CallerByToken(d bundle.Digest) *bundle.Caller { return c[d] }
@@ -45,7 +45,7 @@
 			}
 			is.Equal(c, nil)
 			is.Equal(err.Reason, pb.Reason_REASON_UNAUTHENTICATED)
-			is.Equal(err.Message, unauthenticatedError().Message) // the same for all, nothing of the request
+			is.Equal(err.Message, unauthenticatedError().Message) // the same message for all, with nothing of the request
 		})
 	}
 }
