--- a/internal/order/handler.go
+++ b/internal/order/handler.go
@@ -9,7 +9,7 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// PeerHandler serves what other gathers and entries ask about tickets.
+// PeerHandler serves requests of other gathers and of entries about tickets.
 type PeerHandler struct {
 	m *Manager
 }
@@ -21,16 +21,17 @@
 
 // NoteIntent implements TicketPeerServiceHandler.
 func (h PeerHandler) NoteIntent(_ context.Context, req *pb.NoteIntentRequest) (*pb.NoteIntentResponse, error) {
-	resp, end := h.m.witness.noteIntent(req)
-	h.m.metrics.noted(resp, end)
-	if end != nil {
-		return nil, outcome.ToConnect(end, "")
+	resp, outcomeErr := h.m.witness.noteIntent(req)
+	h.m.metrics.countNote(resp, outcomeErr)
+	if outcomeErr != nil {
+		return nil, outcome.ToConnect(outcomeErr, "")
 	}
 	return resp, nil
 }
 
 // Resolve implements TicketPeerServiceHandler. Only the ticket's witness, in the incarnation that
-// the ticket names, seals: what it noted decides, and no order runs without its note.
+// the ticket names, seals the ticket: no order runs without a note of that witness, so its notes
+// decide.
 func (h PeerHandler) Resolve(_ context.Context, req *pb.ResolveRequest) (*pb.ResolveResponse, error) {
 	resp := h.m.archive.lookup(req.GetTicket(), req.GetCaller())
 	if !decided(resp) && req.GetWitnessIncarnation() == h.m.witness.incarnation {
@@ -38,21 +39,21 @@
 			resp = noted
 		}
 	}
-	h.m.metrics.resolved(resp.GetState())
+	h.m.metrics.countResolve(resp.GetState())
 	return resp, nil
 }
 
-// Handover implements TicketPeerServiceHandler. A request without a total comes from a living
-// incarnation and holds outcomes as they arise.
+// Handover implements TicketPeerServiceHandler. A request without a total comes from a running
+// incarnation and holds outcomes of single orders.
 func (h PeerHandler) Handover(_ context.Context, req *pb.HandoverRequest) (*pb.HandoverResponse, error) {
 	for _, r := range req.GetRecords() {
-		h.m.witness.settle(r)
+		h.m.witness.recordOutcome(r)
 	}
 	if req.GetRecordsTotal() == 0 && !req.GetSealedAll() {
 		return &pb.HandoverResponse{}, nil
 	}
-	if end := h.m.archive.accept(req); end != nil {
-		return nil, outcome.ToConnect(end, "")
+	if outcomeErr := h.m.archive.accept(req); outcomeErr != nil {
+		return nil, outcome.ToConnect(outcomeErr, "")
 	}
 	return &pb.HandoverResponse{}, nil
 }
--- a/internal/quarantine/orders.go
+++ b/internal/quarantine/orders.go
@@ -36,7 +36,7 @@
 	digest := OrderDigest(req.GetService(), req.GetKind(), req.GetKey(), req.GetPayload())
 	status, retryAfter := c.registry.Status(Key{Digest: digest, FullDigest: digest})
 	if status >= Doubted {
-		e := outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the order's content was in flight at several upstream crashes").After(retryAfter)
+		e := outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the order's content was in flight at several upstream crashes").WithRetryAfter(retryAfter)
 		return nil, &upstream.CallError{Leaf: leaf, Err: e}
 	}
 	if status != Proven && c.registry.Withheld(leaf, digest) || !c.registry.TryAcquire(leaf, status == Suspect) {
--- a/internal/search/engine.go
+++ b/internal/search/engine.go
@@ -109,7 +109,7 @@
 		return e.answer(ctx, q)
 	}
 	if !q.state.limiter.enter(ctx, q.kind.Weight, q.queueWait()) {
-		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "too many searches run").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_OVERLOAD, Step, "too many searches run").WithRetryAfter(e.settings.RetryAfter.D())
 	}
 	started := time.Now()
 	defer func() {
@@ -135,7 +135,7 @@
 	plannedAt := time.Now()
 	b := e.source.Current().Bundle
 	if b == nil {
-		return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "no bundle in force yet").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "no bundle in force yet").WithRetryAfter(e.settings.RetryAfter.D())
 	}
 	s := b.Services[req.GetService()]
 	if s == nil {
@@ -194,7 +194,7 @@
 func (e *Engine) answer(ctx context.Context, q *query) (*pb.SearchResponse, error) {
 	p := choosePlan(q.service, e.fleet())
 	if p == nil {
-		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard can be asked").After(e.settings.RetryAfter.D())
+		return nil, outcome.NotRun(pb.Reason_REASON_NO_UPSTREAM, Step, "no shard can be asked").WithRetryAfter(e.settings.RetryAfter.D())
 	}
 	sent := false
 	for reruns := 0; ; reruns++ {
--- a/internal/search/trial.go
+++ b/internal/search/trial.go
@@ -70,7 +70,7 @@
 func (f *firstRun) mayAdvance() bool {
 	switch status, after := f.r.e.guard.Status(f.r.key); status {
 	case quarantine.Quarantined:
-		f.r.refusal = quarantineRefusal(after).At(f.peer)
+		f.r.refusal = quarantineRefusal(after).WithPeer(f.peer)
 		return false
 	case quarantine.Proven:
 		f.r.startFanOut()
@@ -244,7 +244,7 @@
 	if !blocked {
 		after = max(after, f.r.e.guard.WithholdPeriod())
 	}
-	f.r.refusal = outcome.NotRun(reason, Step, "no leaf answered the first run of the request").At(f.peer).After(after)
+	f.r.refusal = outcome.NotRun(reason, Step, "no leaf answered the first run of the request").WithPeer(f.peer).WithRetryAfter(after)
 }
 
 // due passes the time of the next hedge to addDue.
@@ -256,5 +256,5 @@
 
 // quarantineRefusal returns the refusal of a request that crashed leaves.
 func quarantineRefusal(after time.Duration) *outcome.Error {
-	return outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the request was in flight at several upstream crashes").After(after)
+	return outcome.NotRun(pb.Reason_REASON_QUARANTINED, Step, "the request was in flight at several upstream crashes").WithRetryAfter(after)
 }
