--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -8,8 +8,8 @@
 
 // Result says what a merge changed.
 type Result struct {
-	// News are the VMs of which something is new that the hash of the roster shows.
-	News []string
+	// Updated are the VMs of which something is new that the hash of the roster shows.
+	Updated []string
 	// Judged are the VMs newly judged suspect or gone, and those of which that was withdrawn: the
 	// hash doesn't show it.
 	Judged []string
@@ -20,14 +20,14 @@
 }
 
 // Any tells whether there is anything new.
-func (r Result) Any() bool { return len(r.News)+len(r.Judged) > 0 }
+func (r Result) Any() bool { return len(r.Updated)+len(r.Judged) > 0 }
 
 // note adds a VM of which something other than the heartbeat is new.
 func (r *Result) note(id string, judged bool) {
 	if judged {
 		r.Judged = append(r.Judged, id)
 	} else {
-		r.News = append(r.News, id)
+		r.Updated = append(r.Updated, id)
 	}
 }
 
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// ForTravel returns a record as it is sent: a judgement without what the receiver knows anyway.
-func ForTravel(r *pb.Vm) *pb.Vm {
+// WireForm returns a record as it is sent: a judgement without what the receiver knows anyway.
+func WireForm(r *pb.Vm) *pb.Vm {
 	if judged(r) {
 		return judgement(r, r.GetState())
 	}
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -24,9 +24,9 @@
 // Roster is the other VMs that can be contacted, those of the list and those that spoke, at one
 // moment. It is immutable.
 type Roster struct {
-	// Own and Other are the VMs of the own and of other zones that are not judged gone.
-	Own, Other []Peer
-	Gone       []Peer
+	// OwnZone and Other are the VMs of the own and of other zones that are not judged gone.
+	OwnZone, OtherZones []Peer
+	Gone                []Peer
 	// Zones are the availability zones of Own and Other, each once.
 	Zones []string
 	// Hash is equal for tables that hold the same VMs in the same versions. Heartbeats, suspicions
@@ -36,8 +36,8 @@
 	byID map[string]Peer
 }
 
-// Present returns how many VMs are not judged gone.
-func (r *Roster) Present() int { return len(r.Own) + len(r.Other) }
+// PresentCount returns how many VMs are not judged gone.
+func (r *Roster) PresentCount() int { return len(r.OwnZone) + len(r.OtherZones) }
 
 // Peer returns a VM by its id and whether it is known.
 func (r *Roster) Peer(id string) (Peer, bool) {
@@ -75,18 +75,18 @@
 		case p.Gone:
 			r.Gone = append(r.Gone, p)
 		case p.Zone == zone:
-			r.Own = append(r.Own, p)
+			r.OwnZone = append(r.OwnZone, p)
 		default:
-			r.Other = append(r.Other, p)
+			r.OtherZones = append(r.OtherZones, p)
 		}
 	}
-	for _, peers := range [][]Peer{r.Own, r.Other, r.Gone} {
+	for _, peers := range [][]Peer{r.OwnZone, r.OtherZones, r.Gone} {
 		slices.SortFunc(peers, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	if len(r.Own) > 0 {
+	if len(r.OwnZone) > 0 {
 		r.Zones = append(r.Zones, zone)
 	}
-	for _, p := range r.Other {
+	for _, p := range r.OtherZones {
 		if !slices.Contains(r.Zones, p.Zone) {
 			r.Zones = append(r.Zones, p.Zone)
 		}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// SuspectFor is how long a suspected VM has to raise its heartbeat before it counts as gone.
-	SuspectFor = 3 * time.Second
-	// ForgetAfter is how long a VM that is gone and not on the list is remembered.
-	ForgetAfter = 10 * time.Minute
+	// SuspicionTimeout is how long a suspected VM has to raise its heartbeat before it counts as gone.
+	SuspicionTimeout = 3 * time.Second
+	// GoneRetention is how long a VM that is gone and not on the list is remembered.
+	GoneRetention = 10 * time.Minute
 )
 
 // Table is one VM's knowledge of all. It is safe for concurrent use.
@@ -66,15 +66,15 @@
 	}
 }
 
-// Beat raises the VM's own heartbeat.
-func (t *Table) Beat(now time.Time) {
+// RaiseHeartbeat raises the VM's own heartbeat.
+func (t *Table) RaiseHeartbeat(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.raise(now, func(*pb.Vm) {})
 }
 
-// SetOwn changes the VM's own processes and whether it leaves, and tells whether that is news.
-func (t *Table) SetOwn(processes []*pb.Process, leaves bool, now time.Time) bool {
+// SetOwnState changes the VM's own processes and whether it leaves, and tells whether that is news.
+func (t *Table) SetOwnState(processes []*pb.Process, leaves bool, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state := live
@@ -128,9 +128,9 @@
 	return t.conflicts
 }
 
-// Heard notes a packet that came from the VM itself, with its incarnation, heartbeat and version.
+// ObserveHeartbeat notes a packet that came from the VM itself, with its incarnation, heartbeat and version.
 // known is false where its whole record is needed, because another version of it is held.
-func (t *Table) Heard(from *pb.Vm, now time.Time) (known bool) {
+func (t *Table) ObserveHeartbeat(from *pb.Vm, now time.Time) (known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[from.GetId()]
@@ -178,11 +178,11 @@
 	for id, e := range t.entries {
 		age := now.Sub(e.since)
 		switch state := e.record.GetState(); {
-		case state == suspect && age >= SuspectFor:
+		case state == suspect && age >= SuspicionTimeout:
 			e.record, e.since = withIdentity(judgement(e.record, gone), e.record), now
 			goneNow = append(goneNow, id)
 			t.roster = nil
-		case state == gone && age >= ForgetAfter && t.listed[id] == nil:
+		case state == gone && age >= GoneRetention && t.listed[id] == nil:
 			delete(t.entries, id)
 			t.roster = nil
 		}
@@ -190,9 +190,9 @@
 	return goneNow
 }
 
-// Paused starts the time of all suspicions anew: silence while this process did not run says
+// RestartSuspicionTimers starts the time of all suspicions anew: silence while this process did not run says
 // nothing of others.
-func (t *Table) Paused(now time.Time) {
+func (t *Table) RestartSuspicionTimers(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -73,8 +73,8 @@
 	is.True(!tab.Suspect("x", 3, start)) // no news twice
 	tab.Merge([]*pb.Vm{vm("x", 5, 3, live)}, start)
 	is.Equal(stateOf(tab, "x"), suspect)
-	is.Equal(len(tab.Tick(start.Add(SuspectFor-1))), 0)
-	is.Equal(tab.Tick(start.Add(SuspectFor)), []string{"x"})
+	is.Equal(len(tab.Tick(start.Add(SuspicionTimeout-1))), 0)
+	is.Equal(tab.Tick(start.Add(SuspicionTimeout)), []string{"x"})
 	tab.Merge([]*pb.Vm{vm("x", 5, 3, suspect)}, start)
 	is.Equal(tab.Record("x").GetState(), gone)
 	res := tab.Merge([]*pb.Vm{vm("x", 5, 4, live)}, start)
@@ -106,7 +106,7 @@
 func TestOutdatedWordOfThisVMIsAnsweredNotRefuted(t *testing.T) {
 	is := is.New(t)
 	tab := newTable()
-	tab.SetOwn([]*pb.Process{{Role: pb.ProcessRole_PROCESS_ROLE_ENTRY, Incarnation: 3}}, false, start)
+	tab.SetOwnState([]*pb.Process{{Role: pb.ProcessRole_PROCESS_ROLE_ENTRY, Incarnation: 3}}, false, start)
 	res := tab.Merge([]*pb.Vm{{Id: "self"}}, start) // a VM that knows only the id
 	is.Equal(res, Result{Outdated: []string{"self"}})
 }
@@ -115,16 +115,16 @@
 	is := is.New(t)
 	tab := newTable()
 	tab.Merge([]*pb.Vm{vm("x", 5, 3, live)}, start)
-	known := tab.Heard(&pb.Vm{Id: "x", Incarnation: 5, Heartbeat: 7, Version: 3}, start)
+	known := tab.ObserveHeartbeat(&pb.Vm{Id: "x", Incarnation: 5, Heartbeat: 7, Version: 3}, start)
 	is.True(known)
 	is.Equal(tab.Record("x").GetHeartbeat(), uint64(7))
-	known = tab.Heard(&pb.Vm{Id: "x", Incarnation: 5, Heartbeat: 9, Version: 4}, start)
+	known = tab.ObserveHeartbeat(&pb.Vm{Id: "x", Incarnation: 5, Heartbeat: 9, Version: 4}, start)
 	is.True(!known) // its new word must not be hidden under a higher heartbeat
 	is.Equal(tab.Record("x").GetHeartbeat(), uint64(7))
-	known = tab.Heard(&pb.Vm{Id: "x", Incarnation: 6, Heartbeat: 9, Version: 3}, start)
+	known = tab.ObserveHeartbeat(&pb.Vm{Id: "x", Incarnation: 6, Heartbeat: 9, Version: 3}, start)
 	is.True(!known) // another incarnation
 	tab.Suspect("x", 7, start)
-	known = tab.Heard(&pb.Vm{Id: "x", Incarnation: 5, Heartbeat: 9, Version: 3}, start)
+	known = tab.ObserveHeartbeat(&pb.Vm{Id: "x", Incarnation: 5, Heartbeat: 9, Version: 3}, start)
 	is.True(!known) // the suspicion hides whether it leaves
 }
 
@@ -132,17 +132,17 @@
 	is := is.New(t)
 	tab := newTable()
 	entry := &pb.Process{Role: pb.ProcessRole_PROCESS_ROLE_ENTRY, Incarnation: 3, BundleVersion: 1}
-	is.True(tab.SetOwn([]*pb.Process{entry}, false, start))
+	is.True(tab.SetOwnState([]*pb.Process{entry}, false, start))
 	newer := proto.Clone(entry).(*pb.Process)
 	newer.BundleVersion = 2
-	is.True(!tab.SetOwn([]*pb.Process{newer}, false, start)) // else each bundle would be news of all VMs
-	is.True(tab.SetOwn([]*pb.Process{newer}, true, start))
+	is.True(!tab.SetOwnState([]*pb.Process{newer}, false, start)) // else each bundle would be news of all VMs
+	is.True(tab.SetOwnState([]*pb.Process{newer}, true, start))
 	is.Equal(tab.Self().GetState(), leaving)
 	beat := vm("x", 5, 3, live)
-	is.Equal(tab.Merge([]*pb.Vm{beat}, start).News, []string{"x"})
+	is.Equal(tab.Merge([]*pb.Vm{beat}, start).Updated, []string{"x"})
 	beat = proto.Clone(beat).(*pb.Vm)
 	beat.Heartbeat = 8
-	is.Equal(len(tab.Merge([]*pb.Vm{beat}, start).News), 0)
+	is.Equal(len(tab.Merge([]*pb.Vm{beat}, start).Updated), 0)
 }
 
 func TestJudgementOfAnUnknownVMIsIgnored(t *testing.T) {
@@ -153,7 +153,7 @@
 	tab.SetList([]*pb.Vm{vm("x", 0, 0, live)})
 	is.Equal(stateOf(tab, "x"), suspect) // listed, but nobody heard of it
 	is.True(tab.Suspect("x", 0, start))
-	tab.Tick(start.Add(SuspectFor))
+	tab.Tick(start.Add(SuspicionTimeout))
 	is.Equal(stateOf(tab, "x"), gone)
 	p, _ := tab.Roster().Peer("x")
 	is.Equal(p.Address, "127.0.0.1:7402") // still reached by the list's address
@@ -165,10 +165,10 @@
 	tab.Merge([]*pb.Vm{vm("x", 5, 3, live)}, start)
 	tab.Suspect("x", 3, start)
 	woke := start.Add(time.Minute)
-	tab.Paused(woke)
+	tab.RestartSuspicionTimers(woke)
 	is.Equal(len(tab.Tick(woke)), 0)
-	is.Equal(len(tab.Tick(woke.Add(SuspectFor))), 1)
-	tab.Tick(woke.Add(SuspectFor + ForgetAfter))
+	is.Equal(len(tab.Tick(woke.Add(SuspicionTimeout))), 1)
+	tab.Tick(woke.Add(SuspicionTimeout + GoneRetention))
 	is.Equal(tab.Record("x"), nil)
 }
 
@@ -179,7 +179,7 @@
 	state := rapid.SampledFrom([]pb.VmState{live, live, suspect, gone}).Draw(t, "state")
 	r := vm(id, rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 4).Draw(t, "heartbeat"), state)
 	if judged(r) {
-		return ForTravel(r)
+		return WireForm(r)
 	}
 	return r
 }
@@ -188,7 +188,7 @@
 func orders(t *Table) (out []string) {
 	for _, id := range []string{"a", "b"} {
 		if r := t.Record(id); r != nil {
-			out = append(out, ForTravel(r).String())
+			out = append(out, WireForm(r).String())
 		}
 	}
 	return out
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -87,14 +87,14 @@
 	return ids
 }
 
-// Whole returns the records of VMs as they are sent.
-func (t *Table) Whole(ids []string) []*pb.Vm {
+// Records returns the records of VMs as they are sent.
+func (t *Table) Records(ids []string) []*pb.Vm {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.Vm
 	for _, id := range ids {
 		if e := t.entries[id]; e != nil {
-			out = append(out, ForTravel(e.record))
+			out = append(out, WireForm(e.record))
 		}
 	}
 	return out
@@ -115,7 +115,7 @@
 		lacks := their == nil && e.record.GetState() != gone
 		newer := their != nil && order(e.record, their) > 0 && newsworthy(their, e.record)
 		if e.record.GetHeartbeat() > 0 && (lacks || newer) {
-			out = append(out, ForTravel(e.record))
+			out = append(out, WireForm(e.record))
 		}
 	}
 	return out
--- a/internal/spread/catchup.go
+++ b/internal/spread/catchup.go
@@ -40,23 +40,23 @@
 	m.cfg.Changed.Fire()
 }
 
-// Paused follows a pause of the process: what it knew and what waits in its buffers may be old.
-func (m *Manager) Paused(now time.Time) {
+// HandlePause follows a pause of the process: what it knew and what waits in its buffers may be old.
+func (m *Manager) HandlePause(now time.Time) {
 	m.mu.Lock()
 	m.caughtUp = false
 	m.pauses++
 	m.probes.drop()
 	clear(m.differ)
 	m.mu.Unlock()
-	m.cfg.Members.Paused(now)
+	m.cfg.Members.RestartSuspicionTimers(now)
 	m.metrics.pauses.Inc()
 	m.cfg.Changed.Fire()
 }
 
-// AskPeers asks a few random peers, or the seeds where none is known, for all they hold. asked is
+// QueryPeers asks a few random peers, or the seeds where none is known, for all they hold. asked is
 // how many were asked, answered how many answered with all of it. It doesn't wait long for more
 // once one answered.
-func (m *Manager) AskPeers(ctx context.Context) (asked, answered int) {
+func (m *Manager) QueryPeers(ctx context.Context) (asked, answered int) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	addresses := m.addressesToAsk()
@@ -98,8 +98,8 @@
 	return out
 }
 
-// NoteContact notes that this VM reached the platform.
-func (m *Manager) NoteContact(now time.Time) { m.noteContact(now) }
+// RecordPlatformContact notes that this VM reached the platform.
+func (m *Manager) RecordPlatformContact(now time.Time) { m.noteContact(now) }
 
 func (m *Manager) noteContact(at time.Time) {
 	m.mu.Lock()
@@ -124,20 +124,20 @@
 	return m.highest
 }
 
-// SetOwn spreads the states of the VM's own processes, and whether the VM leaves.
-func (m *Manager) SetOwn(processes []*pb.Process, leaves bool, now time.Time) {
-	if !m.cfg.Members.SetOwn(processes, leaves, now) {
+// SetOwnState spreads the states of the VM's own processes, and whether the VM leaves.
+func (m *Manager) SetOwnState(processes []*pb.Process, leaves bool, now time.Time) {
+	if !m.cfg.Members.SetOwnState(processes, leaves, now) {
 		return
 	}
 	m.mu.Lock()
-	m.news.addVMs(membership.Result{News: []string{m.cfg.Self}})
+	m.news.addVMs(membership.Result{Updated: []string{m.cfg.Self}})
 	m.mu.Unlock()
 	m.cfg.Changed.Fire()
 	m.Push()
 }
 
-// TakeEvidence takes what a process of this VM saw, and spreads what is new.
-func (m *Manager) TakeEvidence(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
+// MergeEvidence takes what a process of this VM saw, and spreads what is new.
+func (m *Manager) MergeEvidence(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
 	m.mergeWhole(nil, departures, crashes, now)
 }
 
--- a/internal/spread/dump.go
+++ b/internal/spread/dump.go
@@ -5,8 +5,8 @@
 // Dump is the state of the spread as operators see it.
 type Dump struct {
 	CaughtUp bool `json:"caught_up"`
-	// News still to be passed on.
-	News int `json:"news"`
+	// Updates still to be passed on.
+	Updates int `json:"news"`
 	// OpenProbes are contacts without an answer so far.
 	OpenProbes int `json:"open_probes"`
 	// Peers that are not judged gone.
@@ -19,10 +19,10 @@
 
 // Dump implements operator.Dumper.
 func (m *Manager) Dump() any {
-	d := Dump{Peers: m.cfg.Members.Roster().Present(), Conflicts: m.cfg.Members.Conflicts()}
+	d := Dump{Peers: m.cfg.Members.Roster().PresentCount(), Conflicts: m.cfg.Members.Conflicts()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d.CaughtUp, d.News, d.OpenProbes = m.caughtUp, len(m.news.items), len(m.probes.open)
+	d.CaughtUp, d.Updates, d.OpenProbes = m.caughtUp, len(m.news.items), len(m.probes.open)
 	if since := m.differ.since(); !since.IsZero() {
 		d.DifferingSeconds = time.Since(since).Seconds()
 	}
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -68,7 +68,7 @@
 		return nil
 	}
 	_, err = peer.Exchange(ctx, &pb.ExchangeRequest{
-		From: m.cfg.Self, Fleet: m.cfg.Fleet, Vms: m.cfg.Members.Whole(resp.GetWanted()),
+		From: m.cfg.Self, Fleet: m.cfg.Fleet, Vms: m.cfg.Members.Records(resp.GetWanted()),
 	})
 	return err
 }
--- a/internal/spread/fetch.go
+++ b/internal/spread/fetch.go
@@ -60,7 +60,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	from := Origin{From: address, Asked: begun}
+	from := Origin{From: address, RequestedAt: begun}
 	if err := m.fetchBundle(ctx, peer, resp.GetManifest(), from); err != nil {
 		return eris.Wrapf(err, "sync.spread: bundle of %s", address)
 	}
@@ -86,20 +86,20 @@
 	if err != nil {
 		return err
 	}
-	return m.TakeBundle(signed, sections, from)
+	return m.ApplyBundle(signed, sections, from)
 }
 
 // Origin is where a bundle came from.
 type Origin struct {
 	// From is the address of the peer, or "platform".
 	From string
-	// Asked is when its manifest was asked for, or came where it was watched for.
-	Asked time.Time
+	// RequestedAt is when its manifest was asked for, or came where it was watched for.
+	RequestedAt time.Time
 }
 
-// TakeBundle puts a bundle in force, if it is higher, from the sections fetched and those held. It is passed on
+// ApplyBundle puts a bundle in force, if it is higher, from the sections fetched and those held. It is passed on
 // before the check whether it can work, which each VM does for itself.
-func (m *Manager) TakeBundle(signed *pb.SignedManifest, sections [][]byte, from Origin) error {
+func (m *Manager) ApplyBundle(signed *pb.SignedManifest, sections [][]byte, from Origin) error {
 	offer, err := m.cfg.Content.OfferBundle(signed, sections)
 	if offer == nil {
 		return err
@@ -107,7 +107,7 @@
 	m.Push()
 	begun := time.Now()
 	m.cfg.Log.Info("bundle offered", zap.Uint64("version", offer.Version), zap.Int("bytes", len(offer.Text)),
-		zap.String("from", from.From), zap.Int("sections", len(sections)), zap.Duration("read", begun.Sub(from.Asked)))
+		zap.String("from", from.From), zap.Int("sections", len(sections)), zap.Duration("read", begun.Sub(from.RequestedAt)))
 	changed, err := m.cfg.Content.ApplyOffer(offer)
 	var refused *bundle.RefusedError
 	if errors.As(err, &refused) {
--- a/internal/spread/handle.go
+++ b/internal/spread/handle.go
@@ -36,7 +36,7 @@
 		m.noteContact(now.Add(-age.AsDuration() - hopAllowance))
 	}
 	merged := m.cfg.Members.Merge(d.GetNews(), now)
-	known := m.cfg.Members.Heard(&pb.Vm{
+	known := m.cfg.Members.ObserveHeartbeat(&pb.Vm{
 		Id: d.GetFrom(), Incarnation: d.GetIncarnation(), Heartbeat: d.GetHeartbeat(), Version: d.GetVersion(),
 	}, now)
 	evidence := m.cfg.Evidence.Merge(d.GetDepartures(), d.GetCrashes(), now)
@@ -64,7 +64,7 @@
 	from, known := m.cfg.Members.Roster().Peer(d.GetFrom())
 	if d.GetProbe() == m.cfg.Self {
 		// The sender was asked to see whether this VM is there: show it by a higher heartbeat.
-		m.cfg.Members.Beat(now)
+		m.cfg.Members.RaiseHeartbeat(now)
 	}
 	if !known {
 		return
--- a/internal/spread/manager.go
+++ b/internal/spread/manager.go
@@ -168,7 +168,7 @@
 
 // beat raises the heartbeat and lets time pass over what is known of others.
 func (m *Manager) beat(now time.Time) {
-	m.cfg.Members.Beat(now)
+	m.cfg.Members.RaiseHeartbeat(now)
 	if !m.CaughtUp() {
 		return
 	}
@@ -183,7 +183,7 @@
 // contactOne sends a digest to one random peer that is not gone and expects an answer.
 func (m *Manager) contactOne(now time.Time) {
 	roster := m.cfg.Members.Roster()
-	if roster.Present() == 0 {
+	if roster.PresentCount() == 0 {
 		return
 	}
 	peer := pick(roster)
--- a/internal/spread/news.go
+++ b/internal/spread/news.go
@@ -36,7 +36,7 @@
 
 // quotaFor returns the quota in a fleet as the roster shows it.
 func quotaFor(r *membership.Roster) quota {
-	return quota{sends: sendsFor(r.Present()), zones: r.Zones}
+	return quota{sends: sendsFor(r.PresentCount()), zones: r.Zones}
 }
 
 // newsKey names an item of news; one field is set.
@@ -139,7 +139,7 @@
 
 // addVMs makes what a merge brought new.
 func (n *news) addVMs(r membership.Result) {
-	for _, id := range r.News {
+	for _, id := range r.Updated {
 		n.add(newsKey{vm: id}, true)
 	}
 	for _, id := range r.Judged {
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MaxPacket is the longest packet sent, so that it fits any path without fragments.
-	MaxPacket = 1150
+	// MaxPacketBytes is the longest packet sent, so that it fits any path without fragments.
+	MaxPacketBytes = 1150
 	// digestPrefix is how much of a bundle's digest a packet carries.
 	digestPrefix = 8
 	// hopAllowance is added to an age that came from another VM, for the way: without it an age
@@ -65,7 +65,7 @@
 	}
 	for _, id := range msg.about {
 		if r := m.cfg.Members.Record(id); r != nil {
-			d.News = append(d.News, membership.ForTravel(r))
+			d.News = append(d.News, membership.WireForm(r))
 		} else {
 			d.News = append(d.News, &pb.Vm{Id: id})
 		}
@@ -77,7 +77,7 @@
 // addNews fills a packet with what has been sent least.
 func (m *Manager) addNews(d *pb.Digest, zone string, now time.Time) {
 	q := quotaFor(m.cfg.Members.Roster())
-	left := MaxPacket - proto.Size(d)
+	left := MaxPacketBytes - proto.Size(d)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.news.each(func(it *newsItem) (keep, goOn bool) {
@@ -106,7 +106,7 @@
 		if r == nil {
 			return 0, nil
 		}
-		r = membership.ForTravel(r)
+		r = membership.WireForm(r)
 		return itemSize(r), func() { d.News = append(d.News, r) }
 	case key.crash.Leaf != "":
 		c := m.cfg.Evidence.Crash(key.crash, now)
--- a/internal/spread/pick.go
+++ b/internal/spread/pick.go
@@ -8,15 +8,15 @@
 
 // pick chooses a VM that is not judged gone at random, mostly from the own zone. There must be one.
 func pick(r *membership.Roster) membership.Peer {
-	if len(r.Other) == 0 || len(r.Own) > 0 && rand.Float64() < ownZoneShare {
-		return r.Own[rand.N(len(r.Own))]
+	if len(r.OtherZones) == 0 || len(r.OwnZone) > 0 && rand.Float64() < ownZoneShare {
+		return r.OwnZone[rand.N(len(r.OwnZone))]
 	}
-	return r.Other[rand.N(len(r.Other))]
+	return r.OtherZones[rand.N(len(r.OtherZones))]
 }
 
 // pickSome chooses up to n distinct VMs as pick does, and not the one of the id but.
 func pickSome(r *membership.Roster, n int, but string) []membership.Peer {
-	left := r.Present()
+	left := r.PresentCount()
 	if _, ok := r.Peer(but); ok {
 		left--
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -92,11 +92,11 @@
 	for i := range uint64(50) {
 		crashes = append(crashes, &pb.Crash{RequestDigest: i, Leaf: "a-leaf-with-a-long-name-0-a", Incarnation: 1 << 60})
 	}
-	m.TakeEvidence(nil, crashes, start)
+	m.MergeEvidence(nil, crashes, start)
 	seen := make(map[string]bool)
 	for i := range 40 {
 		m.send(membership.Peer{}, message{replyWanted: true, about: []string{"unknown"}}, start.Add(time.Duration(i)*time.Minute))
-		is.True(len(out.packets[i]) <= MaxPacket+64)
+		is.True(len(out.packets[i]) <= MaxPacketBytes+64)
 		d := out.last(t)
 		for _, r := range d.GetNews() {
 			seen[r.GetId()] = true
@@ -119,7 +119,7 @@
 		total += len(p)
 	}
 	base := len(out.packets[len(out.packets)-1])
-	is.True(total < newsBurst+500*base+MaxPacket)
+	is.True(total < newsBurst+500*base+MaxPacketBytes)
 }
 
 func TestNewsStopsWhenPeersKnow(t *testing.T) {
@@ -195,7 +195,7 @@
 	m.handle([]byte("junk"), start)
 	asked := packetFrom("vm-000")
 	asked.ReplyWanted = true
-	m.Paused(start)
+	m.HandlePause(start)
 	m.take1(t, asked, start) // it may have waited through the pause
 	is.Equal(len(out.packets), 0)
 	m.SetCaughtUp(0) // of before the pause
@@ -226,7 +226,7 @@
 	crash := func(answered bool) []*pb.Crash {
 		return []*pb.Crash{{RequestDigest: 1, Leaf: "a", Incarnation: 1, Age: durationpb.New(0), Answered: answered}}
 	}
-	m.TakeEvidence(nil, crash(true), time.Now())
+	m.MergeEvidence(nil, crash(true), time.Now())
 	for _, held := range []bool{false, true} {
 		resp, err := m.Exchange(t.Context(), &pb.ExchangeRequest{Fleet: "test", AllEvidence: true, Crashes: crash(held)})
 		is.NoErr(err)
--- a/internal/syncd/catchup.go
+++ b/internal/syncd/catchup.go
@@ -67,7 +67,7 @@
 	late := time.NewTimer(platformTime)
 	defer late.Stop()
 	for {
-		asked, answered := m.spread.AskPeers(ctx)
+		asked, answered := m.spread.QueryPeers(ctx)
 		if answered > 0 || asked == 0 && len(answer) > 0 {
 			break
 		}
--- a/internal/syncd/faults_test.go
+++ b/internal/syncd/faults_test.go
@@ -287,7 +287,7 @@
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second) // what came with the start has spread
 		source := f.oneOf("az-3")
-		source.manager.spread.TakeEvidence(
+		source.manager.spread.MergeEvidence(
 			[]*pb.Departure{{Leaf: "leaf-1", Incarnation: 9, Source: pb.DepartureSource_DEPARTURE_SOURCE_GOAWAY, Vm: source.id, Age: durationpb.New(0)}},
 			[]*pb.Crash{{RequestDigest: 5, Leaf: "leaf-2", Incarnation: 3}}, time.Now())
 		took := f.waitFor(3*time.Second, "departure and crash everywhere", func() bool {
--- a/internal/syncd/feed.go
+++ b/internal/syncd/feed.go
@@ -125,7 +125,7 @@
 	f.m.checkPause(now)
 	f.m.processes.report(req.GetProcess(), now)
 	f.m.publishOwn(now)
-	f.m.spread.TakeEvidence(req.GetDepartures(), req.GetCrashes(), now)
+	f.m.spread.MergeEvidence(req.GetDepartures(), req.GetCrashes(), now)
 	return &pb.ReportResponse{}, nil
 }
 
--- a/internal/syncd/fleet_test.go
+++ b/internal/syncd/fleet_test.go
@@ -111,7 +111,7 @@
 		{KeyID: bundle.KeyID(public), PublicKey: base64.StdEncoding.EncodeToString(public)}}}
 	nd.manager = New(Config{
 		Settings: s, Incarnation: rand.Uint64(), Platform: &nodePlatform{f.platform, nd}, Transport: nd,
-		Dial: nd.dial, Bundles: func(b content.Bundles) content.Bundles { return slowBundles{b, f} }, Log: zap.NewNop(),
+		Dial: nd.dial, WrapBundles: func(b content.Bundles) content.Bundles { return slowBundles{b, f} }, Log: zap.NewNop(),
 	})
 	return nd
 }
--- a/internal/syncd/manager.go
+++ b/internal/syncd/manager.go
@@ -33,11 +33,11 @@
 	Platform    Platform
 	Transport   spread.Transport
 	Dial        spread.Dial
-	// Bundles, where it is set, comes between the sync and its store of bundles; tests let the check of a bundle
+	// WrapBundles, where it is set, comes between the sync and its store of bundles; tests let the check of a bundle
 	// take a time.
-	Bundles  func(content.Bundles) content.Bundles
-	Log      *zap.Logger
-	Registry prometheus.Registerer
+	WrapBundles func(content.Bundles) content.Bundles
+	Log         *zap.Logger
+	Registry    prometheus.Registerer
 }
 
 // Manager owns the duties of a sync.
@@ -95,10 +95,10 @@
 
 // through returns the store as the sync reaches it.
 func (c Config) through(s *bundle.Store) content.Bundles {
-	if c.Bundles == nil {
+	if c.WrapBundles == nil {
 		return s
 	}
-	return c.Bundles(s)
+	return c.WrapBundles(s)
 }
 
 // Spread returns the duty that other syncs speak to.
@@ -151,7 +151,7 @@
 // paused follows a pause of the process that ended now. It is called with pauses held.
 func (m *Manager) paused(now time.Time) {
 	m.processes.paused(now)
-	m.spread.Paused(now)
+	m.spread.HandlePause(now)
 	m.askAgain()
 	m.cfg.Log.Warn("process was paused")
 }
@@ -171,7 +171,7 @@
 	m.mu.Unlock()
 	list := append(m.processes.list(now), m.ownProcess(draining))
 	leaves := draining && !m.processes.any(now, pb.ProcessState_PROCESS_STATE_READY)
-	m.spread.SetOwn(list, leaves, now)
+	m.spread.SetOwnState(list, leaves, now)
 }
 
 // ownProcess describes the sync itself.
--- a/internal/syncd/reader.go
+++ b/internal/syncd/reader.go
@@ -142,7 +142,7 @@
 
 // contact notes that the platform answered.
 func (r *reader) contact(now time.Time) {
-	r.m.spread.NoteContact(now)
+	r.m.spread.RecordPlatformContact(now)
 	state := r.state(now)
 	if state.Rank < readers.PerZone {
 		return
@@ -198,7 +198,7 @@
 		}
 		sections = append(sections, v.Body)
 	}
-	return r.m.spread.TakeBundle(signed, sections, spread.Origin{From: "platform", Asked: came})
+	return r.m.spread.ApplyBundle(signed, sections, spread.Origin{From: "platform", RequestedAt: came})
 }
 
 // watchList waits for a change of the list and takes it.
@@ -237,7 +237,7 @@
 	if !platform.Answered(err) {
 		return nil, false
 	}
-	r.m.spread.NoteContact(time.Now())
+	r.m.spread.RecordPlatformContact(time.Now())
 	if list.Changed {
 		r.takeList(list.Body)
 	}
