--- a/internal/spread/catchup.go
+++ b/internal/spread/catchup.go
@@ -11,11 +11,11 @@
 // catchUpPeers is how many peers are asked at once to catch up.
 const catchUpPeers = 4
 
-// askTimeout is how long a peer that is asked has for its first answer.
-const askTimeout = 700 * time.Millisecond
+// catchUpPeerTimeout is how long a peer that is asked has for its first answer.
+const catchUpPeerTimeout = 700 * time.Millisecond
 
-// catchUpGrace is how long further answers are waited for after the first.
-const catchUpGrace = 250 * time.Millisecond
+// catchUpGracePeriod is how long further answers are waited for after the first.
+const catchUpGracePeriod = 250 * time.Millisecond
 
 // CaughtUp tells whether peers or the platform were heard since the start and the newest pause.
 func (m *Manager) CaughtUp() bool {
@@ -45,8 +45,8 @@
 	m.mu.Lock()
 	m.caughtUp = false
 	m.pauses++
-	m.probes.drop()
-	clear(m.differ)
+	m.probes.reset()
+	clear(m.differences)
 	m.mu.Unlock()
 	m.cfg.Members.RestartSuspicionTimers(now)
 	m.metrics.pauses.Inc()
@@ -59,32 +59,32 @@
 func (m *Manager) QueryPeers(ctx context.Context) (asked, answered int) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	addresses := m.addressesToAsk()
+	addresses := m.catchUpAddresses()
 	results := make(chan bool, len(addresses))
 	for _, a := range addresses {
-		go func() { results <- m.ask(ctx, a) }()
+		go func() { results <- m.catchUpFrom(ctx, a) }()
 	}
 	for range addresses {
 		if <-results {
 			answered++
-			time.AfterFunc(catchUpGrace, cancel)
+			time.AfterFunc(catchUpGracePeriod, cancel)
 		}
 	}
 	return len(addresses), answered
 }
 
-// ask tells whether the peer gave all it holds. One that is out of reach shows soon, so that others
+// catchUpFrom tells whether the peer gave all it holds. One that is out of reach shows soon, so that others
 // can be asked in time.
-func (m *Manager) ask(ctx context.Context, address string) bool {
-	soon, cancel := context.WithTimeout(ctx, askTimeout)
+func (m *Manager) catchUpFrom(ctx context.Context, address string) bool {
+	peerCtx, cancel := context.WithTimeout(ctx, catchUpPeerTimeout)
 	defer cancel()
-	order := exchangeOrder{peer: membership.Peer{ID: address, Address: address}, vms: true, evidence: true}
-	return m.exchange(soon, order) == nil && m.fetch(ctx, address) == nil
+	task := exchangeTask{peer: membership.Peer{ID: address, Address: address}, vms: true, evidence: true}
+	return m.exchange(peerCtx, task) == nil && m.fetch(ctx, address) == nil
 }
 
-func (m *Manager) addressesToAsk() []string {
+func (m *Manager) catchUpAddresses() []string {
 	roster := m.cfg.Members.Roster()
-	peers := pickSome(roster, catchUpPeers, "")
+	peers := pickPeers(roster, catchUpPeers, "")
 	if len(peers) == 0 {
 		peers = roster.Gone[:min(len(roster.Gone), catchUpPeers)]
 	}
@@ -99,13 +99,13 @@
 }
 
 // RecordPlatformContact notes that this VM reached the platform.
-func (m *Manager) RecordPlatformContact(now time.Time) { m.noteContact(now) }
+func (m *Manager) RecordPlatformContact(now time.Time) { m.recordPlatformContact(now) }
 
-func (m *Manager) noteContact(at time.Time) {
+func (m *Manager) recordPlatformContact(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if at.After(m.contact) {
-		m.contact = at
+	if at.After(m.platformContact) {
+		m.platformContact = at
 	}
 }
 
@@ -114,14 +114,14 @@
 func (m *Manager) PlatformAge(now time.Time) (age time.Duration, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.contact), !m.contact.IsZero()
+	return now.Sub(m.platformContact), !m.platformContact.IsZero()
 }
 
 // HighestVersion returns the highest version of a bundle that a peer said it holds.
 func (m *Manager) HighestVersion() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.highest
+	return m.highestVersion
 }
 
 // SetOwnState spreads the states of the VM's own processes, and whether the VM leaves.
@@ -130,7 +130,7 @@
 		return
 	}
 	m.mu.Lock()
-	m.news.addVMs(membership.Result{Updated: []string{m.cfg.Self}})
+	m.updates.addVMs(membership.Result{Updated: []string{m.cfg.Self}})
 	m.mu.Unlock()
 	m.cfg.Changed.Fire()
 	m.Push()
@@ -138,12 +138,12 @@
 
 // MergeEvidence takes what a process of this VM saw, and spreads what is new.
 func (m *Manager) MergeEvidence(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
-	m.mergeWhole(nil, departures, crashes, now)
+	m.mergeExchanged(nil, departures, crashes, now)
 }
 
 // PushNow pushes news without regard to the bounded rate, at the end of the process.
 func (m *Manager) PushNow(now time.Time) {
-	for _, p := range pickSome(m.cfg.Members.Roster(), pushFanout, "") {
+	for _, p := range pickPeers(m.cfg.Members.Roster(), pushFanout, "") {
 		m.send(p, message{}, now)
 	}
 }
--- a/internal/spread/dump.go
+++ b/internal/spread/dump.go
@@ -22,8 +22,8 @@
 	d := Dump{Peers: m.cfg.Members.Roster().PresentCount(), Conflicts: m.cfg.Members.Conflicts()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d.CaughtUp, d.Updates, d.OpenProbes = m.caughtUp, len(m.news.items), len(m.probes.open)
-	if since := m.differ.since(); !since.IsZero() {
+	d.CaughtUp, d.Updates, d.OpenProbes = m.caughtUp, len(m.updates.items), len(m.probes.open)
+	if since := m.differences.since(); !since.IsZero() {
 		d.DifferingSeconds = time.Since(since).Seconds()
 	}
 	return d
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -15,8 +15,8 @@
 // exchangeTimeout bounds one exchange.
 const exchangeTimeout = 3 * time.Second
 
-// exchangeOrder is an exchange that is due: with whom, and of what.
-type exchangeOrder struct {
+// exchangeTask is an exchange that is due: with whom, and of what.
+type exchangeTask struct {
 	peer          membership.Peer
 	vms, evidence bool
 }
@@ -36,7 +36,7 @@
 }
 
 // exchange makes membership, evidence or both equal to a peer's.
-func (m *Manager) exchange(ctx context.Context, o exchangeOrder) error {
+func (m *Manager) exchange(ctx context.Context, o exchangeTask) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	err := m.exchangeWith(ctx, m.cfg.Dial(o.peer.Address), o)
@@ -50,7 +50,7 @@
 
 // exchangeWith sends a summary of membership and all evidence, takes what is newer there, and gives
 // the records that are newer here.
-func (m *Manager) exchangeWith(ctx context.Context, peer burdockv1connect.PeerServiceClient, o exchangeOrder) error {
+func (m *Manager) exchangeWith(ctx context.Context, peer burdockv1connect.PeerServiceClient, o exchangeTask) error {
 	now := time.Now()
 	req := &pb.ExchangeRequest{From: m.cfg.Self, Fleet: m.cfg.Fleet, Summary: o.vms, AllEvidence: o.evidence}
 	if o.vms {
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	m.mergeWhole(resp.GetVms(), resp.GetDepartures(), resp.GetCrashes(), time.Now())
+	m.mergeExchanged(resp.GetVms(), resp.GetDepartures(), resp.GetCrashes(), time.Now())
 	if len(resp.GetWanted()) == 0 {
 		return nil
 	}
@@ -73,22 +73,22 @@
 	return err
 }
 
-// mergeWhole takes what came by an exchange. It is passed on as news like any other.
-func (m *Manager) mergeWhole(vms []*pb.Vm, departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
+// mergeExchanged takes what came by an exchange. It is passed on as news like any other.
+func (m *Manager) mergeExchanged(vms []*pb.Vm, departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
 	merged := m.cfg.Members.Merge(vms, now)
-	brought := m.cfg.Evidence.Merge(departures, crashes, now)
+	added := m.cfg.Evidence.Merge(departures, crashes, now)
 	m.mu.Lock()
-	m.news.addVMs(merged)
-	m.news.addEvidence(brought)
+	m.updates.addVMs(merged)
+	m.updates.addEvidence(added)
 	m.mu.Unlock()
-	if merged.Any() || !brought.Empty() {
+	if merged.Any() || !added.Empty() {
 		m.cfg.Changed.Fire()
 		m.Push()
 	}
 }
 
-// lacking returns the evidence that the sender of req doesn't hold.
-func (m *Manager) lacking(req *pb.ExchangeRequest, now time.Time) (departures []*pb.Departure, crashes []*pb.Crash) {
+// missingEvidence returns the evidence that the sender of req doesn't hold.
+func (m *Manager) missingEvidence(req *pb.ExchangeRequest, now time.Time) (departures []*pb.Departure, crashes []*pb.Crash) {
 	heldDepartures := make(map[evidence.DepartureKey]bool)
 	for _, d := range req.GetDepartures() {
 		heldDepartures[evidence.KeyOfDeparture(d)] = true
--- a/internal/spread/fetch.go
+++ b/internal/spread/fetch.go
@@ -17,10 +17,10 @@
 	// manifestTimeout and sectionsTimeout bound one call to a peer.
 	manifestTimeout = 2 * time.Second
 	sectionsTimeout = 3 * time.Second
-	// sectionsPerCall bounds the digests of one call.
-	sectionsPerCall = 256
-	// refusedFor is how long a bundle that was not accepted is not fetched again.
-	refusedFor = 30 * time.Second
+	// maxSectionsPerCall bounds the digests of one call.
+	maxSectionsPerCall = 256
+	// refetchDelay is how long a bundle that was not accepted is not fetched again.
+	refetchDelay = 30 * time.Second
 )
 
 func refusedKeyOf(version uint64, digest []byte) refusedKey {
@@ -55,8 +55,8 @@
 		return eris.Wrapf(err, "sync.spread: manifest of %s", address)
 	}
 	select {
-	case m.fetching <- struct{}{}:
-		defer func() { <-m.fetching }()
+	case m.fetchSlot <- struct{}{}:
+		defer func() { <-m.fetchSlot }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -76,13 +76,13 @@
 	}
 	missing, wanted, err := m.cfg.Content.MissingBundle(signed)
 	if err != nil {
-		m.refuse(signed)
+		m.rememberRefused(signed)
 		return err
 	}
 	if !wanted {
 		return nil
 	}
-	sections, err := m.sections(ctx, peer, missing)
+	sections, err := m.fetchSections(ctx, peer, missing)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	changed, err := m.cfg.Content.ApplyOffer(offer)
 	var refused *bundle.RefusedError
 	if errors.As(err, &refused) {
-		m.refuse(signed)
+		m.rememberRefused(signed)
 	}
 	if changed {
 		m.cfg.Log.Info("bundle in force", zap.Uint64("version", offer.Version), zap.Int("bytes", len(offer.Text)),
@@ -120,15 +120,15 @@
 	return err
 }
 
-// refuse remembers a bundle that was not accepted, so that it isn't fetched with each packet.
-func (m *Manager) refuse(signed *pb.SignedManifest) {
+// rememberRefused remembers a bundle that was not accepted, so that it isn't fetched with each packet.
+func (m *Manager) rememberRefused(signed *pb.SignedManifest) {
 	m.metrics.fetches.WithLabelValues("bundle", "refused").Inc()
 	digest := bundle.ManifestDigest(signed.GetManifest())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	for k, at := range m.refused {
-		if now.Sub(at) >= refusedFor {
+		if now.Sub(at) >= refetchDelay {
 			delete(m.refused, k)
 		}
 	}
@@ -140,7 +140,7 @@
 	if !wanted {
 		return nil
 	}
-	sections, err := m.sections(ctx, peer, missing)
+	sections, err := m.fetchSections(ctx, peer, missing)
 	if err != nil {
 		return err
 	}
@@ -158,12 +158,12 @@
 	m.Push()
 }
 
-// sections fetches sections from a peer.
-func (m *Manager) sections(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
+// fetchSections fetches sections from a peer.
+func (m *Manager) fetchSections(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
 	var out [][]byte
 	for len(digests) > 0 {
-		n := min(len(digests), sectionsPerCall)
-		got, err := m.sectionsOnce(ctx, peer, digests[:n])
+		n := min(len(digests), maxSectionsPerCall)
+		got, err := m.fetchSectionBatch(ctx, peer, digests[:n])
 		if err != nil {
 			m.metrics.fetches.WithLabelValues("sections", "failed").Inc()
 			return nil, err
@@ -176,7 +176,7 @@
 	return out, nil
 }
 
-func (m *Manager) sectionsOnce(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
+func (m *Manager) fetchSectionBatch(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, sectionsTimeout)
 	defer cancel()
 	req := new(pb.SectionsRequest)
--- a/internal/spread/handle.go
+++ b/internal/spread/handle.go
@@ -8,8 +8,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// handle takes one packet.
-func (m *Manager) handle(packet []byte, now time.Time) {
+// handlePacket takes one packet.
+func (m *Manager) handlePacket(packet []byte, now time.Time) {
 	var d pb.Digest
 	if err := proto.Unmarshal(packet, &d); err != nil {
 		m.metrics.packets.WithLabelValues("unreadable").Inc()
@@ -25,15 +25,15 @@
 		return
 	}
 	m.metrics.packets.WithLabelValues("received").Inc()
-	answer := m.take(&d, now)
-	m.answer(&d, answer, now)
-	m.compare(&d, now)
+	include := m.mergePacket(&d, now)
+	m.reply(&d, include, now)
+	m.reconcile(&d, now)
 }
 
-// take merges what a packet carries and returns the VMs to name in the answer.
-func (m *Manager) take(d *pb.Digest, now time.Time) (about []string) {
+// mergePacket merges what a packet carries and returns the VMs to name in the answer.
+func (m *Manager) mergePacket(d *pb.Digest, now time.Time) (include []string) {
 	if age := d.GetPlatformAge(); age != nil {
-		m.noteContact(now.Add(-age.AsDuration() - hopAllowance))
+		m.recordPlatformContact(now.Add(-age.AsDuration() - hopAllowance))
 	}
 	merged := m.cfg.Members.Merge(d.GetNews(), now)
 	known := m.cfg.Members.ObserveHeartbeat(&pb.Vm{
@@ -45,22 +45,22 @@
 	}
 	m.mu.Lock()
 	m.probes.answered(d.GetFrom())
-	m.news.addVMs(merged)
-	m.news.addEvidence(evidence)
+	m.updates.addVMs(merged)
+	m.updates.addEvidence(evidence)
 	m.mu.Unlock()
 	if merged.Any() || !evidence.Empty() {
 		m.cfg.Changed.Fire()
 		m.Push()
 	}
-	about = merged.Outdated
+	include = merged.Outdated
 	if !known {
-		about = append(about, d.GetFrom())
+		include = append(include, d.GetFrom())
 	}
-	return about
+	return include
 }
 
-// answer replies where the sender asked or held something outdated, and passes probes on.
-func (m *Manager) answer(d *pb.Digest, about []string, now time.Time) {
+// reply replies where the sender asked or held something outdated, and passes probes on.
+func (m *Manager) reply(d *pb.Digest, include []string, now time.Time) {
 	from, known := m.cfg.Members.Roster().Peer(d.GetFrom())
 	if d.GetProbe() == m.cfg.Self {
 		// The sender was asked to see whether this VM is there: show it by a higher heartbeat.
@@ -69,51 +69,51 @@
 	if !known {
 		return
 	}
-	if d.GetReplyWanted() || len(about) > 0 {
-		m.send(from, message{about: about}, now)
+	if d.GetReplyWanted() || len(include) > 0 {
+		m.send(from, message{include: include}, now)
 	}
 	m.mu.Lock()
-	waiting := m.probes.relayed(d.GetFrom(), now)
+	waiting := m.probes.takeRequesters(d.GetFrom(), now)
 	if d.GetProbe() != "" && d.GetProbe() != m.cfg.Self {
 		m.probes.relay(d.GetProbe(), d.GetFrom(), now)
 	}
 	m.mu.Unlock()
 	if d.GetProbe() != "" && d.GetProbe() != m.cfg.Self {
-		m.contactFor(d.GetProbe(), now)
+		m.probeDirectly(d.GetProbe(), now)
 	}
 	for _, id := range waiting {
 		if p, ok := m.cfg.Members.Roster().Peer(id); ok {
-			m.send(p, message{about: []string{d.GetFrom()}}, now)
+			m.send(p, message{include: []string{d.GetFrom()}}, now)
 		}
 	}
 }
 
-// contactFor contacts a VM that another one gets no answer from.
-func (m *Manager) contactFor(target string, now time.Time) {
+// probeDirectly contacts a VM that another one gets no answer from.
+func (m *Manager) probeDirectly(target string, now time.Time) {
 	if p, ok := m.cfg.Members.Roster().Peer(target); ok {
 		m.send(p, message{replyWanted: true, probe: target}, now)
 	}
 }
 
-// compare starts what is needed where the sender holds more, or other things.
-func (m *Manager) compare(d *pb.Digest, now time.Time) {
+// reconcile starts what is needed where the sender holds more, or other things.
+func (m *Manager) reconcile(d *pb.Digest, now time.Time) {
 	roster := m.cfg.Members.Roster()
 	from, known := roster.Peer(d.GetFrom())
 	if !known {
 		return
 	}
 	if m.wantsBundle(d, now) || m.cfg.Content.ListHigher(d.GetListRevision()) {
-		replace(m.fetches, from)
+		replacePending(m.fetches, from)
 	}
 	sameVMs := d.GetMembersHash() == roster.Hash
 	sameEvidence := d.GetEvidenceHash() == m.cfg.Evidence.Hash(now)
 	m.mu.Lock()
-	m.highest = max(m.highest, d.GetBundleVersion())
-	m.news.known(sameVMs, sameEvidence, from.Zone, quotaFor(roster))
-	due := m.differ.observe(from.Zone, sameVMs && sameEvidence, now)
+	m.highestVersion = max(m.highestVersion, d.GetBundleVersion())
+	m.updates.markKnown(sameVMs, sameEvidence, from.Zone, quotaFor(roster))
+	due := m.differences.observe(from.Zone, sameVMs && sameEvidence, now)
 	m.mu.Unlock()
 	if due {
-		replace(m.exchanges, exchangeOrder{peer: from, vms: !sameVMs, evidence: !sameEvidence})
+		replacePending(m.exchanges, exchangeTask{peer: from, vms: !sameVMs, evidence: !sameEvidence})
 	}
 }
 
@@ -125,11 +125,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at, refused := m.refused[refusedKeyOf(d.GetBundleVersion(), d.GetBundleDigest())]
-	return !refused || now.Sub(at) >= refusedFor
+	return !refused || now.Sub(at) >= refetchDelay
 }
 
-// replace puts v into a channel that holds one, in place of what waits there.
-func replace[T any](ch chan T, v T) {
+// replacePending puts v into a channel that holds one, in place of what waits there.
+func replacePending[T any](ch chan T, v T) {
 	for {
 		select {
 		case ch <- v:
@@ -144,30 +144,30 @@
 }
 
 const (
-	// differMin is how long hashes must differ before a whole exchange: news in flight settles
+	// minExchangeDelay is how long hashes must differ before a whole exchange: news in flight settles
 	// most differences by itself. differMax bounds the wait, which doubles while they go on
 	// differing, as they do while many VMs come and go.
-	differMin = 2 * time.Second
-	differMax = 16 * time.Second
+	minExchangeDelay = 2 * time.Second
+	maxExchangeDelay = 16 * time.Second
 )
 
-// differs decides by availability zone when hashes that differ call for an exchange: the VMs of two
+// zoneDifferences decides by availability zone when hashes that differ call for an exchange: the VMs of two
 // zones may each agree among themselves, and mostly hear each other, while the zones differ for good.
 // Its owner guards it.
-type differs map[string]*differ
+type zoneDifferences map[string]*hashDifference
 
 // observe takes one comparison with a peer of the zone and tells whether an exchange is due.
-func (d differs) observe(zone string, same bool, now time.Time) bool {
+func (d zoneDifferences) observe(zone string, same bool, now time.Time) bool {
 	z := d[zone]
 	if z == nil {
-		z = new(differ)
+		z = new(hashDifference)
 		d[zone] = z
 	}
 	return z.observe(same, now)
 }
 
 // since returns when the longest difference began, the zero time where there is none.
-func (d differs) since() time.Time {
+func (d zoneDifferences) since() time.Time {
 	var first time.Time
 	for _, z := range d {
 		if !z.since.IsZero() && (first.IsZero() || z.since.Before(first)) {
@@ -177,24 +177,24 @@
 	return first
 }
 
-// differ is the state for the peers of one zone.
-type differ struct {
+// hashDifference is the state for the peers of one zone.
+type hashDifference struct {
 	since time.Time
 	wait  time.Duration
 }
 
 // observe takes one comparison and tells whether an exchange is due.
-func (d *differ) observe(same bool, now time.Time) bool {
+func (d *hashDifference) observe(same bool, now time.Time) bool {
 	if same {
-		*d = differ{}
+		*d = hashDifference{}
 		return false
 	}
 	if d.since.IsZero() {
-		d.since, d.wait = now, differMin
+		d.since, d.wait = now, minExchangeDelay
 	}
 	if now.Sub(d.since) < d.wait {
 		return false
 	}
-	d.since, d.wait = now, min(2*d.wait, differMax)
+	d.since, d.wait = now, min(2*d.wait, maxExchangeDelay)
 	return true
 }
--- a/internal/spread/manager.go
+++ b/internal/spread/manager.go
@@ -24,12 +24,12 @@
 const (
 	// contactPeriod is how often a random peer is contacted.
 	contactPeriod = 250 * time.Millisecond
-	// beatPeriod is how often the VM raises its heartbeat, and contacts one VM judged gone.
-	beatPeriod = time.Second
-	// newsRate and newsBurst bound the bytes of news in packets, by second: a few packets of news to
+	// heartbeatPeriod is how often the VM raises its heartbeat, and contacts one VM judged gone.
+	heartbeatPeriod = time.Second
+	// updateBytesPerSecond and newsBurst bound the bytes of news in packets, by second: a few packets of news to
 	// each of many peers go out at once, but many VMs that come and go don't pass the budget of a VM.
-	newsRate  = 768
-	newsBurst = 32 << 10
+	updateBytesPerSecond = 768
+	updateBurstBytes     = 32 << 10
 	// ownZoneShare is the share of contacts that stay in the own availability zone.
 	ownZoneShare = 0.75
 	// pushRate and pushBurst bound how often news is pushed at once; pushFanout is to how many
@@ -69,51 +69,51 @@
 	pushes  *rate.Limiter
 	// fetches and exchanges hold what is next, newest wins.
 	fetches   chan membership.Peer
-	exchanges chan exchangeOrder
-	// fetching holds a value while sections are fetched: one at a time, so that none moves twice.
-	fetching chan struct{}
+	exchanges chan exchangeTask
+	// fetchSlot holds a value while sections are fetched: one at a time, so that none moves twice.
+	fetchSlot chan struct{}
 
 	mu sync.Mutex
 	// What follows is guarded by mu.
-	news   news
-	probes probes
-	// newsBytes bounds what news adds to packets.
-	newsBytes *rate.Limiter
-	// contact is the local time of the newest platform contact, of any VM; zero for never.
-	contact time.Time
+	updates updateQueue
+	probes  probes
+	// updateBudget bounds what news adds to packets.
+	updateBudget *rate.Limiter
+	// platformContact is the local time of the newest platform contact, of any VM; zero for never.
+	platformContact time.Time
 	// caughtUp is false from the start, and from each pause on, until peers or the platform were
 	// asked again; packets are ignored meanwhile, for they may have waited through the pause.
 	caughtUp bool
 	// pauses counts the pauses of the process.
 	pauses uint64
-	// highest is the highest version of a bundle that a peer said it holds.
-	highest uint64
+	// highestVersion is the highest version of a bundle that a peer said it holds.
+	highestVersion uint64
 	// refused remembers bundles that were not accepted, by version and digest prefix.
-	refused map[refusedKey]time.Time
-	differ  differs
+	refused     map[refusedKey]time.Time
+	differences zoneDifferences
 }
 
 // refusedKey names a bundle as packets do.
 type refusedKey struct {
 	version uint64
-	prefix  [digestPrefix]byte
+	prefix  [digestPrefixLen]byte
 }
 
 // New returns a manager that has yet to catch up.
 func New(cfg Config) *Manager {
 	return &Manager{
-		cfg:       cfg,
-		metrics:   newMetrics(cfg.Registry),
-		push:      make(chan struct{}, 1),
-		pushes:    rate.NewLimiter(pushRate, pushBurst),
-		fetches:   make(chan membership.Peer, 1),
-		exchanges: make(chan exchangeOrder, 1),
-		fetching:  make(chan struct{}, 1),
-		news:      newNews(),
-		newsBytes: rate.NewLimiter(newsRate, newsBurst),
-		probes:    newProbes(),
-		refused:   make(map[refusedKey]time.Time),
-		differ:    make(differs),
+		cfg:          cfg,
+		metrics:      newMetrics(cfg.Registry),
+		push:         make(chan struct{}, 1),
+		pushes:       rate.NewLimiter(pushRate, pushBurst),
+		fetches:      make(chan membership.Peer, 1),
+		exchanges:    make(chan exchangeTask, 1),
+		fetchSlot:    make(chan struct{}, 1),
+		updates:      newUpdateQueue(),
+		updateBudget: rate.NewLimiter(updateBytesPerSecond, updateBurstBytes),
+		probes:       newProbes(),
+		refused:      make(map[refusedKey]time.Time),
+		differences:  make(zoneDifferences),
 	}
 }
 
@@ -140,7 +140,7 @@
 			}
 			continue
 		}
-		m.handle(packet, time.Now())
+		m.handlePacket(packet, time.Now())
 	}
 }
 
@@ -155,19 +155,19 @@
 		now := time.Now()
 		m.cfg.CheckPause(now)
 		beats += pause
-		if beats >= beatPeriod {
+		if beats >= heartbeatPeriod {
 			beats = 0
-			m.beat(now)
+			m.heartbeat(now)
 		}
 		if m.CaughtUp() {
-			m.contactOne(now)
+			m.contactRandomPeer(now)
 			m.checkProbes(now)
 		}
 	}
 }
 
-// beat raises the heartbeat and lets time pass over what is known of others.
-func (m *Manager) beat(now time.Time) {
+// heartbeat raises the heartbeat and lets time pass over what is known of others.
+func (m *Manager) heartbeat(now time.Time) {
 	m.cfg.Members.RaiseHeartbeat(now)
 	if !m.CaughtUp() {
 		return
@@ -180,13 +180,13 @@
 	m.contactGone(now)
 }
 
-// contactOne sends a digest to one random peer that is not gone and expects an answer.
-func (m *Manager) contactOne(now time.Time) {
+// contactRandomPeer sends a digest to one random peer that is not gone and expects an answer.
+func (m *Manager) contactRandomPeer(now time.Time) {
 	roster := m.cfg.Members.Roster()
 	if roster.PresentCount() == 0 {
 		return
 	}
-	peer := pick(roster)
+	peer := pickPeer(roster)
 	heartbeat := m.cfg.Members.Record(peer.ID).GetHeartbeat()
 	m.mu.Lock()
 	m.probes.start(peer.ID, heartbeat, now)
@@ -202,7 +202,7 @@
 		return
 	}
 	p := gone[rand.N(len(gone))]
-	m.send(p, message{replyWanted: true, about: []string{p.ID, m.cfg.Self}}, now)
+	m.send(p, message{replyWanted: true, include: []string{p.ID, m.cfg.Self}}, now)
 }
 
 // Push makes news go out at once, within the bounded rate.
@@ -228,7 +228,7 @@
 		}
 		m.metrics.pushes.Inc()
 		now := time.Now()
-		for _, p := range pickSome(m.cfg.Members.Roster(), pushFanout, "") {
+		for _, p := range pickPeers(m.cfg.Members.Roster(), pushFanout, "") {
 			m.send(p, message{}, now)
 		}
 	}
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -14,13 +14,13 @@
 const (
 	// MaxPacketBytes is the longest packet sent, so that it fits any path without fragments.
 	MaxPacketBytes = 1150
-	// digestPrefix is how much of a bundle's digest a packet carries.
-	digestPrefix = 8
+	// digestPrefixLen is how much of a bundle's digest a packet carries.
+	digestPrefixLen = 8
 	// hopAllowance is added to an age that came from another VM, for the way: without it an age
 	// that goes round and round would grow too slowly.
 	hopAllowance = 2 * time.Millisecond
-	// itemOverhead is what the framing adds to an item.
-	itemOverhead = 4
+	// itemOverheadBytes is what the framing adds to an item.
+	itemOverheadBytes = 4
 )
 
 // message is what a packet carries besides this VM's state and news.
@@ -28,13 +28,13 @@
 	replyWanted bool
 	// probe names the VM that the receiver should contact.
 	probe string
-	// about are VMs whose records go first.
-	about []string
+	// include are VMs whose records go first.
+	include []string
 }
 
 // send sends one packet to a peer. A packet that can't be sent counts as lost.
 func (m *Manager) send(to membership.Peer, msg message, now time.Time) {
-	packet, err := proto.Marshal(m.digest(msg, to.Zone, now))
+	packet, err := proto.Marshal(m.buildDigest(msg, to.Zone, now))
 	if err == nil {
 		err = m.cfg.Transport.Send(to.Address, packet)
 	}
@@ -45,8 +45,8 @@
 	m.metrics.packets.WithLabelValues(outcome).Inc()
 }
 
-// digest builds a packet to a VM of the zone with as much news as fits.
-func (m *Manager) digest(msg message, zone string, now time.Time) *pb.Digest {
+// buildDigest builds a packet to a VM of the zone with as much news as fits.
+func (m *Manager) buildDigest(msg message, zone string, now time.Time) *pb.Digest {
 	self := m.cfg.Members.Self()
 	d := &pb.Digest{
 		Fleet: m.cfg.Fleet, From: self.GetId(), Incarnation: self.GetIncarnation(),
@@ -55,7 +55,7 @@
 		MembersHash: m.cfg.Members.Roster().Hash, EvidenceHash: m.cfg.Evidence.Hash(now),
 	}
 	if b := m.cfg.Content.Offered(); b != nil {
-		d.BundleVersion, d.BundleDigest = b.Version, b.Digest[:digestPrefix]
+		d.BundleVersion, d.BundleDigest = b.Version, b.Digest[:digestPrefixLen]
 	}
 	if l := m.cfg.Content.List(); l != nil {
 		d.ListRevision = l.Revision
@@ -63,43 +63,43 @@
 	if age, known := m.PlatformAge(now); known {
 		d.PlatformAge = durationpb.New(age.Truncate(time.Millisecond))
 	}
-	for _, id := range msg.about {
+	for _, id := range msg.include {
 		if r := m.cfg.Members.Record(id); r != nil {
 			d.News = append(d.News, membership.WireForm(r))
 		} else {
 			d.News = append(d.News, &pb.Vm{Id: id})
 		}
 	}
-	m.addNews(d, zone, now)
+	m.addUpdates(d, zone, now)
 	return d
 }
 
-// addNews fills a packet with what has been sent least.
-func (m *Manager) addNews(d *pb.Digest, zone string, now time.Time) {
+// addUpdates fills a packet with what has been sent least.
+func (m *Manager) addUpdates(d *pb.Digest, zone string, now time.Time) {
 	q := quotaFor(m.cfg.Members.Roster())
-	left := MaxPacketBytes - proto.Size(d)
+	remaining := MaxPacketBytes - proto.Size(d)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.news.each(func(it *newsItem) (keep, goOn bool) {
-		if !it.wanted(zone, q) {
+	m.updates.forEach(func(it *updateItem) (keep, more bool) {
+		if !it.neededIn(zone, q) {
 			return true, true // kept for another zone
 		}
-		size, add := m.item(d, it.key, now)
+		size, add := m.prepareItem(d, it.key, now)
 		if add == nil {
 			return false, true
 		}
-		if size > left || !m.newsBytes.AllowN(now, size) {
+		if size > remaining || !m.updateBudget.AllowN(now, size) {
 			return true, false
 		}
 		add()
-		left -= size
-		it.count(1, zone)
-		return !it.enough(q), true
+		remaining -= size
+		it.addSends(1, zone)
+		return !it.delivered(q), true
 	})
 }
 
-// item returns the size of an item of news and what adds it to d; nil where it is no more.
-func (m *Manager) item(d *pb.Digest, key newsKey, now time.Time) (size int, add func()) {
+// prepareItem returns the size of an item of news and what adds it to d; nil where it is no more.
+func (m *Manager) prepareItem(d *pb.Digest, key updateKey, now time.Time) (size int, add func()) {
 	switch {
 	case key.vm != "":
 		r := m.cfg.Members.Record(key.vm)
@@ -122,4 +122,6 @@
 	return itemSize(dep), func() { d.Departures = append(d.Departures, dep) }
 }
 
-func itemSize(item proto.Message) int { return protowire.SizeBytes(proto.Size(item)) + itemOverhead }
+func itemSize(item proto.Message) int {
+	return protowire.SizeBytes(proto.Size(item)) + itemOverheadBytes
+}
--- a/internal/spread/probe.go
+++ b/internal/spread/probe.go
@@ -64,26 +64,26 @@
 }
 
 // relay notes that asker wants to hear of target.
-func (p *probes) relay(target, asker string, now time.Time) {
+func (p *probes) relay(target, requester string, now time.Time) {
 	if p.relays[target] == nil {
 		p.relays[target] = make(map[string]time.Time)
 	}
-	p.relays[target][asker] = now
+	p.relays[target][requester] = now
 }
 
-// relayed returns who waits to hear of a VM that was heard just now.
-func (p *probes) relayed(target string, now time.Time) (askers []string) {
-	for asker, at := range p.relays[target] {
+// takeRequesters returns who waits to hear of a VM that was heard just now.
+func (p *probes) takeRequesters(target string, now time.Time) (requesters []string) {
+	for requester, at := range p.relays[target] {
 		if now.Sub(at) < indirectTimeout {
-			askers = append(askers, asker)
+			requesters = append(requesters, requester)
 		}
 	}
 	delete(p.relays, target)
-	return askers
+	return requesters
 }
 
-// drop forgets all, for silence during a pause says nothing.
-func (p *probes) drop() { *p = newProbes() }
+// reset forgets all, for silence during a pause says nothing.
+func (p *probes) reset() { *p = newProbes() }
 
 // checkProbes asks others about VMs that don't answer, and suspects those that nobody hears.
 func (m *Manager) checkProbes(now time.Time) {
@@ -91,16 +91,16 @@
 	indirect, silent := m.probes.due(now)
 	m.mu.Unlock()
 	for _, id := range indirect {
-		m.probeThroughOthers(id, now)
+		m.probeIndirectly(id, now)
 	}
 	for id, heartbeat := range silent {
 		m.suspect(id, heartbeat, now)
 	}
 }
 
-func (m *Manager) probeThroughOthers(id string, now time.Time) {
-	m.contactFor(id, now)
-	for _, helper := range pickSome(m.cfg.Members.Roster(), probeHelpers, id) {
+func (m *Manager) probeIndirectly(id string, now time.Time) {
+	m.probeDirectly(id, now)
+	for _, helper := range pickPeers(m.cfg.Members.Roster(), probeHelpers, id) {
 		m.send(helper, message{probe: id}, now)
 	}
 }
@@ -112,7 +112,7 @@
 	}
 	m.metrics.suspicions.Inc()
 	m.mu.Lock()
-	m.news.addVMs(membership.Result{Judged: []string{id}})
+	m.updates.addVMs(membership.Result{Judged: []string{id}})
 	m.mu.Unlock()
 	m.cfg.Changed.Fire()
 	m.Push()
--- a/internal/spread/service.go
+++ b/internal/spread/service.go
@@ -37,8 +37,8 @@
 
 // Sections implements the PeerService. Sections that are not held are left out.
 func (m *Manager) Sections(_ context.Context, req *pb.SectionsRequest) (*pb.SectionsResponse, error) {
-	if n := len(req.GetDigests()); n > sectionsPerCall {
-		return nil, connect.NewError(connect.CodeInvalidArgument, eris.Errorf("sync.spread: %d sections asked for at once, at most %d", n, sectionsPerCall))
+	if n := len(req.GetDigests()); n > maxSectionsPerCall {
+		return nil, connect.NewError(connect.CodeInvalidArgument, eris.Errorf("sync.spread: %d sections asked for at once, at most %d", n, maxSectionsPerCall))
 	}
 	resp := new(pb.SectionsResponse)
 	for _, raw := range req.GetDigests() {
@@ -58,15 +58,15 @@
 		return nil, errOtherFleet(f)
 	}
 	now := time.Now()
-	resp, whole := new(pb.ExchangeResponse), req.GetVms()
+	resp, records := new(pb.ExchangeResponse), req.GetVms()
 	if req.GetSummary() {
 		resp.Vms, resp.Wanted = m.cfg.Members.Newer(req.GetVms()), m.cfg.Members.Wanted(req.GetVms())
-		whole = nil
+		records = nil
 	}
 	if req.GetAllEvidence() {
-		resp.Departures, resp.Crashes = m.lacking(req, now)
+		resp.Departures, resp.Crashes = m.missingEvidence(req, now)
 	}
-	m.mergeWhole(whole, req.GetDepartures(), req.GetCrashes(), now)
+	m.mergeExchanged(records, req.GetDepartures(), req.GetCrashes(), now)
 	return resp, nil
 }
 
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -31,20 +31,20 @@
 	}
 }
 
-// sent records the packets of a manager.
-type sent struct {
+// recordingTransport records the packets of a manager.
+type recordingTransport struct {
 	Transport
 	to      []string
 	packets [][]byte
 }
 
-func (s *sent) Send(to string, packet []byte) error {
+func (s *recordingTransport) Send(to string, packet []byte) error {
 	s.to, s.packets = append(s.to, to), append(s.packets, packet)
 	return nil
 }
 
 // last decodes the newest packet.
-func (s *sent) last(t *testing.T) *pb.Digest {
+func (s *recordingTransport) last(t *testing.T) *pb.Digest {
 	t.Helper()
 	var d pb.Digest
 	if err := proto.Unmarshal(s.packets[len(s.packets)-1], &d); err != nil {
@@ -54,8 +54,8 @@
 }
 
 // newManager knows n VMs besides its own and has caught up.
-func newManager(n int) (*Manager, *sent) {
-	out := new(sent)
+func newManager(n int) (*Manager, *recordingTransport) {
+	out := new(recordingTransport)
 	changed := notify.New()
 	m := New(Config{
 		Fleet: "test", Self: "self", Zone: "az-1", Members: membership.New(vm("self", "az-1"), start),
@@ -66,7 +66,7 @@
 	for i := range n {
 		vms = append(vms, vm(fmt.Sprintf("vm-%03d", i), fmt.Sprintf("az-%d", i%4+1)))
 	}
-	m.mergeWhole(vms, nil, nil, start)
+	m.mergeExchanged(vms, nil, nil, start)
 	m.SetCaughtUp(0)
 	return m, out
 }
@@ -76,13 +76,13 @@
 	return &pb.Digest{Fleet: "test", From: id, Incarnation: 1 << 60, Heartbeat: 6, Version: 1}
 }
 
-func (m *Manager) take1(t *testing.T, d *pb.Digest, now time.Time) {
+func (m *Manager) handleDigest(t *testing.T, d *pb.Digest, now time.Time) {
 	t.Helper()
 	packet, err := proto.Marshal(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.handle(packet, now)
+	m.handlePacket(packet, now)
 }
 
 func TestPacketsStayShortAndCarryAllNewsInTurn(t *testing.T) {
@@ -95,7 +95,7 @@
 	m.MergeEvidence(nil, crashes, start)
 	seen := make(map[string]bool)
 	for i := range 40 {
-		m.send(membership.Peer{}, message{replyWanted: true, about: []string{"unknown"}}, start.Add(time.Duration(i)*time.Minute))
+		m.send(membership.Peer{}, message{replyWanted: true, include: []string{"unknown"}}, start.Add(time.Duration(i)*time.Minute))
 		is.True(len(out.packets[i]) <= MaxPacketBytes+64)
 		d := out.last(t)
 		for _, r := range d.GetNews() {
@@ -119,18 +119,18 @@
 		total += len(p)
 	}
 	base := len(out.packets[len(out.packets)-1])
-	is.True(total < newsBurst+500*base+MaxPacketBytes)
+	is.True(total < updateBurstBytes+500*base+MaxPacketBytes)
 }
 
 func TestNewsStopsWhenPeersKnow(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(8)
 	m.cfg.Members.Suspect("vm-001", 5, start)
-	m.news.addVMs(membership.Result{Judged: []string{"vm-001"}})
+	m.updates.addVMs(membership.Result{Judged: []string{"vm-001"}})
 	d := packetFrom("vm-000")
 	d.MembersHash, d.EvidenceHash = m.cfg.Members.Roster().Hash, m.cfg.Evidence.Hash(start)
 	for range sendsFor(8) {
-		m.take1(t, d, start)
+		m.handleDigest(t, d, start)
 	}
 	m.send(membership.Peer{}, message{}, start)
 	news := out.last(t).GetNews()
@@ -154,13 +154,13 @@
 
 func TestProbeEndsByAnyHigherHeartbeat(t *testing.T) {
 	for name, hear := range map[string]func(*testing.T, *Manager){
-		"its own packet": func(t *testing.T, m *Manager) { m.take1(t, packetFrom("vm-000"), start) },
+		"its own packet": func(t *testing.T, m *Manager) { m.handleDigest(t, packetFrom("vm-000"), start) },
 		"through another": func(t *testing.T, m *Manager) {
 			d := packetFrom("vm-001")
 			higher := vm("vm-000", "az-1")
 			higher.Heartbeat = 9
 			d.News = []*pb.Vm{higher}
-			m.take1(t, d, start)
+			m.handleDigest(t, d, start)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -177,11 +177,11 @@
 func TestHelperPassesTheAnswerOn(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(8)
-	ask := packetFrom("vm-000")
-	ask.Probe = "vm-001"
-	m.take1(t, ask, start)
+	request := packetFrom("vm-000")
+	request.Probe = "vm-001"
+	m.handleDigest(t, request, start)
 	is.Equal(out.last(t).GetProbe(), "vm-001") // the target is told that it is suspected
-	m.take1(t, packetFrom("vm-001"), start.Add(time.Millisecond))
+	m.handleDigest(t, packetFrom("vm-001"), start.Add(time.Millisecond))
 	is.Equal(out.last(t).GetNews()[0].GetId(), "vm-001") // and its higher heartbeat goes to the asker
 	is.Equal(out.last(t).GetNews()[0].GetHeartbeat(), uint64(6))
 }
@@ -191,31 +191,31 @@
 	m, out := newManager(2)
 	other := packetFrom("vm-000")
 	other.Fleet, other.ReplyWanted = "other", true
-	m.take1(t, other, start)
-	m.handle([]byte("junk"), start)
-	asked := packetFrom("vm-000")
-	asked.ReplyWanted = true
+	m.handleDigest(t, other, start)
+	m.handlePacket([]byte("junk"), start)
+	request := packetFrom("vm-000")
+	request.ReplyWanted = true
 	m.HandlePause(start)
-	m.take1(t, asked, start) // it may have waited through the pause
+	m.handleDigest(t, request, start) // it may have waited through the pause
 	is.Equal(len(out.packets), 0)
 	m.SetCaughtUp(0) // of before the pause
 	is.True(!m.CaughtUp())
 	m.SetCaughtUp(1)
-	m.take1(t, asked, start)
+	m.handleDigest(t, request, start)
 	is.Equal(len(out.packets), 1)
 }
 
 func TestExchangeIsDueOnlyWhenHashesGoOnDiffering(t *testing.T) {
 	is := is.New(t)
-	var d differ
+	var d hashDifference
 	is.True(!d.observe(false, start))
-	is.True(!d.observe(false, start.Add(differMin-1)))
-	is.True(!d.observe(true, start.Add(differMin))) // news in flight settled it
-	is.True(!d.observe(false, start.Add(differMin)))
-	now := start.Add(2 * differMin)
+	is.True(!d.observe(false, start.Add(minExchangeDelay-1)))
+	is.True(!d.observe(true, start.Add(minExchangeDelay))) // news in flight settled it
+	is.True(!d.observe(false, start.Add(minExchangeDelay)))
+	now := start.Add(2 * minExchangeDelay)
 	is.True(d.observe(false, now))
-	is.True(!d.observe(false, now.Add(2*differMin-1))) // the wait doubles
-	is.True(d.observe(false, now.Add(2*differMin)))
+	is.True(!d.observe(false, now.Add(2*minExchangeDelay-1))) // the wait doubles
+	is.True(d.observe(false, now.Add(2*minExchangeDelay)))
 }
 
 // A VM that started anew while the platform was down knew no peer's address, though all contacted it.
@@ -246,33 +246,33 @@
 		named[v.GetId()] = v.GetAddress()
 	}
 	is.Equal(named["self"], "127.0.0.1")
-	_, told := named["vm-000"]
-	is.True(told) // that it is judged gone
+	_, reported := named["vm-000"]
+	is.True(reported) // that it is judged gone
 }
 
 // Agreement within a zone must not hide that two zones differ for good.
 func TestExchangeIsDueWhileZonesDifferThoughOneAgrees(t *testing.T) {
 	is := is.New(t)
-	d := make(differs)
-	for at := time.Duration(0); at < differMin; at += contactPeriod {
+	d := make(zoneDifferences)
+	for at := time.Duration(0); at < minExchangeDelay; at += contactPeriod {
 		is.True(!d.observe("az-1", true, start.Add(at)))
 		is.True(!d.observe("az-2", false, start.Add(at)))
 	}
 	is.Equal(d.since(), start)
-	is.True(!d.observe("az-1", true, start.Add(differMin)))
-	is.True(d.observe("az-2", false, start.Add(differMin)))
+	is.True(!d.observe("az-1", true, start.Add(minExchangeDelay)))
+	is.True(d.observe("az-2", false, start.Add(minExchangeDelay)))
 }
 
 // What two zones know is still sent to the others: the spread forgot it before it came there.
 func TestNewsIsKeptUntilEachZoneHasIt(t *testing.T) {
 	is := is.New(t)
-	n := newNews()
+	n := newUpdateQueue()
 	n.addEvidence(evidence.News{Departures: []evidence.DepartureKey{{Leaf: "leaf", Incarnation: 4}}})
-	q := quota{sends: 3, zones: []string{"az-1", "az-2", "az-3"}}
+	q := sendQuota{sends: 3, zones: []string{"az-1", "az-2", "az-3"}}
 	for _, zone := range []string{"az-1", "az-1", "az-2"} {
-		n.known(false, true, zone, q)
+		n.markKnown(false, true, zone, q)
 		is.Equal(len(n.items), 1)
 	}
-	n.known(false, true, "az-3", q)
+	n.markKnown(false, true, "az-3", q)
 	is.Equal(len(n.items), 0)
 }
--- a/internal/spread/transport.go
+++ b/internal/spread/transport.go
@@ -26,12 +26,12 @@
 type Dial func(address string) burdockv1connect.PeerServiceClient
 
 const (
-	// packetOverhead is what the headers of IPv4 and UDP add to a packet.
-	packetOverhead = 28
-	// receiveBuffer holds the packets that come while the process is busy.
-	receiveBuffer = 1 << 20
-	// maxPacketRead is more than any sync sends.
-	maxPacketRead = 2048
+	// packetOverheadBytes is what the headers of IPv4 and UDP add to a packet.
+	packetOverheadBytes = 28
+	// receiveBufferBytes holds the packets that come while the process is busy.
+	receiveBufferBytes = 1 << 20
+	// maxReceivedBytes is more than any sync sends.
+	maxReceivedBytes = 2048
 )
 
 // UDP is the Transport over a UDP socket.
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "sync.spread: listen on %s", address)
 	}
-	_ = conn.SetReadBuffer(receiveBuffer) // the system's limit may be lower
+	_ = conn.SetReadBuffer(receiveBufferBytes) // the system's limit may be lower
 	return &UDP{conn: conn, bytes: bytes}, nil
 }
 
@@ -61,7 +61,7 @@
 		return eris.Wrapf(err, "sync.spread: send to %q", to)
 	}
 	n, err := u.conn.WriteToUDPAddrPort(packet, addr)
-	u.bytes.udpSent(n + packetOverhead)
+	u.bytes.udpSent(n + packetOverheadBytes)
 	return eris.Wrapf(err, "sync.spread: send to %s", to)
 }
 
@@ -69,12 +69,12 @@
 func (u *UDP) Receive(ctx context.Context) ([]byte, error) {
 	stop := context.AfterFunc(ctx, func() { _ = u.conn.SetReadDeadline(time.Now()) })
 	defer stop()
-	buf := make([]byte, maxPacketRead)
+	buf := make([]byte, maxReceivedBytes)
 	n, _, err := u.conn.ReadFromUDPAddrPort(buf)
 	if err != nil {
 		return nil, err
 	}
-	u.bytes.udpReceived(n + packetOverhead)
+	u.bytes.udpReceived(n + packetOverheadBytes)
 	return buf[:n], nil
 }
 
@@ -82,9 +82,9 @@
 func (u *UDP) Close() error { return u.conn.Close() }
 
 const (
-	// peerIdle is how long a connection to a peer stays open without use: peers are chosen at
+	// peerIdleTimeout is how long a connection to a peer stays open without use: peers are chosen at
 	// random, so most are not used again soon, and an idle connection costs both ends.
-	peerIdle = 2 * time.Second
+	peerIdleTimeout = 2 * time.Second
 	// maxIdlePeers bounds the idle connections.
 	maxIdlePeers = 4
 	// dialPeerTimeout bounds opening a connection to a peer.
@@ -96,7 +96,7 @@
 	d := rpc.Dialer(bind)
 	d.Timeout = dialPeerTimeout
 	client := &http.Client{Transport: &http.Transport{
-		IdleConnTimeout: peerIdle,
+		IdleConnTimeout: peerIdleTimeout,
 		MaxIdleConns:    maxIdlePeers,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := d.DialContext(ctx, network, addr)
