--- a/internal/syncd/catchup.go
+++ b/internal/syncd/catchup.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// startLimit is how long a fresh VM asks peers and platform before it goes on with what it
+	// startCatchUpTimeout is how long a fresh VM asks peers and platform before it goes on with what it
 	// has; resumeLimit is the same after a pause.
-	startLimit  = 4 * time.Second
-	resumeLimit = 2 * time.Second
-	// platformTime is how long the platform has to answer where peers did.
-	platformTime = time.Second
-	// settle is how long packets are ignored at least, so that those which waited through a pause
+	startCatchUpTimeout  = 4 * time.Second
+	resumeCatchUpTimeout = 2 * time.Second
+	// platformTimeout is how long the platform has to answer where peers did.
+	platformTimeout = time.Second
+	// minSettleTime is how long packets are ignored at least, so that those which waited through a pause
 	// are read out of the socket first.
-	settle = 100 * time.Millisecond
-	// askAgainMin and askAgainMax bound the random wait between rounds of asking.
-	askAgainMin = 100 * time.Millisecond
-	askAgainMax = 300 * time.Millisecond
+	minSettleTime = 100 * time.Millisecond
+	// minQueryDelay and askAgainMax bound the random wait between rounds of asking.
+	minQueryDelay = 100 * time.Millisecond
+	maxQueryDelay = 300 * time.Millisecond
 )
 
 // runCatchUp asks peers and the platform at the start and after each pause.
 func (m *Manager) runCatchUp(ctx context.Context) {
-	limit := startLimit
+	limit := startCatchUpTimeout
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.wake:
+		case <-m.catchUpDue:
 		}
 		m.catchUp(ctx, limit)
-		limit = resumeLimit
+		limit = resumeCatchUpTimeout
 	}
 }
 
@@ -46,56 +46,56 @@
 	pauses := m.spread.Pauses()
 	limited, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	if wait.For(limited, settle) {
-		m.askAll(limited)
+	if wait.For(limited, minSettleTime) {
+		m.queryAll(limited)
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	m.spread.SetCaughtUp(pauses)
-	m.publishOwn(time.Now())
+	m.publishOwnState(time.Now())
 }
 
-// askAll asks the platform and peers side by side, until peers answered and the platform had its
+// queryAll asks the platform and peers side by side, until peers answered and the platform had its
 // time, or until the platform answered and there are no peers. Sections come from peers first: the
 // platform counts its reads.
-func (m *Manager) askAll(ctx context.Context) {
+func (m *Manager) queryAll(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answer := make(chan []byte, 1)
-	go func() { answer <- m.askPlatform(ctx) }()
-	late := time.NewTimer(platformTime)
-	defer late.Stop()
+	go func() { answer <- m.queryPlatform(ctx) }()
+	deadline := time.NewTimer(platformTimeout)
+	defer deadline.Stop()
 	for {
 		asked, answered := m.spread.QueryPeers(ctx)
 		if answered > 0 || asked == 0 && len(answer) > 0 {
 			break
 		}
-		if !wait.For(ctx, askAgainMin+rand.N(askAgainMax-askAgainMin)) {
+		if !wait.For(ctx, minQueryDelay+rand.N(maxQueryDelay-minQueryDelay)) {
 			break
 		}
 	}
 	if len(answer) == 0 {
-		waitEither(answer, late.C)
+		waitForAnswer(answer, deadline.C)
 	}
 	if len(answer) > 0 {
-		m.takeAnswer(ctx, <-answer)
+		m.applyAnswer(ctx, <-answer)
 	}
 }
 
-// waitEither returns when an answer is there or it is late.
-func waitEither(answer chan []byte, late <-chan time.Time) {
+// waitForAnswer returns when an answer is there or it is late.
+func waitForAnswer(answer chan []byte, deadline <-chan time.Time) {
 	select {
 	case a := <-answer:
 		answer <- a
-	case <-late:
+	case <-deadline:
 	}
 }
 
-// askPlatform reads list and manifest once, or until ctx ends. The manifest is nil where there is
+// queryPlatform reads list and manifest once, or until ctx ends. The manifest is nil where there is
 // none.
-func (m *Manager) askPlatform(ctx context.Context) (manifest []byte) {
-	backoff := platform.Backoff{Most: manifestRetryMost}
+func (m *Manager) queryPlatform(ctx context.Context) (manifest []byte) {
+	backoff := platform.Backoff{Most: maxManifestRetryDelay}
 	for {
 		manifest, ok := m.reader.readOnce(ctx)
 		if ok || !wait.For(ctx, backoff.Next()) {
@@ -104,11 +104,11 @@
 	}
 }
 
-func (m *Manager) takeAnswer(ctx context.Context, manifest []byte) {
+func (m *Manager) applyAnswer(ctx context.Context, manifest []byte) {
 	if manifest == nil {
 		return
 	}
-	if err := m.reader.takeManifest(ctx, manifest); err != nil {
+	if err := m.reader.applyManifest(ctx, manifest); err != nil {
 		m.cfg.Log.Warn("bundle of the platform not had yet", zap.Error(err))
 	}
 }
--- a/internal/syncd/drain.go
+++ b/internal/syncd/drain.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// drainTick is how often the drain looks at the VM's processes.
-	drainTick = 100 * time.Millisecond
-	// restartGrace is how long the drain waits for a process of the VM to drain as well. Where none
+	// drainCheckPeriod is how often the drain looks at the VM's processes.
+	drainCheckPeriod = 100 * time.Millisecond
+	// restartGracePeriod is how long the drain waits for a process of the VM to drain as well. Where none
 	// does, the sync alone is restarted.
-	restartGrace = 2 * time.Second
+	restartGracePeriod = 2 * time.Second
 )
 
 // Drain stays as long as a process of the VM drains, for it needs the sync until its end, and tells
@@ -26,13 +26,13 @@
 	started := time.Now()
 	for {
 		now := time.Now()
-		m.publishOwn(now)
+		m.publishOwnState(now)
 		busy := m.processes.any(now, pb.ProcessState_PROCESS_STATE_DRAINING)
 		ready := m.processes.any(now, pb.ProcessState_PROCESS_STATE_READY, pb.ProcessState_PROCESS_STATE_STARTING)
-		if !busy && (!ready || now.Sub(started) >= restartGrace) {
+		if !busy && (!ready || now.Sub(started) >= restartGracePeriod) {
 			break
 		}
-		if !wait.For(ctx, drainTick) {
+		if !wait.For(ctx, drainCheckPeriod) {
 			break
 		}
 	}
--- a/internal/syncd/dump.go
+++ b/internal/syncd/dump.go
@@ -69,7 +69,7 @@
 func (m *Manager) platformDump(now time.Time) platformDump {
 	d := platformDump{
 		Address: m.cfg.Settings.Platform.Address, ContactAgeSeconds: m.platformAgeSeconds(now),
-		Reading: m.reader.activeNow(), Rank: m.reader.state(now).Rank, HighestVersion: m.highestVersion(),
+		Reading: m.reader.isActive(), Rank: m.reader.state(now).Rank, HighestVersion: m.highestVersion(),
 	}
 	if l := m.content.List(); l != nil {
 		d.ListRevision, d.ListVMs, d.ListUpstreams = l.Revision, len(l.VMs), len(l.Upstreams)
--- a/internal/syncd/faults_test.go
+++ b/internal/syncd/faults_test.go
@@ -42,7 +42,7 @@
 func TestZoneCutOffAndHealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 24, 4)
-		f.platform.set(func(p *fakePlatform) { p.noZones["az-1"] = true })
+		f.platform.set(func(p *fakePlatform) { p.cutZones["az-1"] = true })
 		f.cut("az-1")
 		inside, outside := f.oneOf("az-1"), f.oneOf("az-2")
 		f.waitFor(20*time.Second, "each side sees the other go", func() bool {
@@ -91,7 +91,7 @@
 				is.True(!f.anySees(nd.id, goneState))
 			}
 		}
-		f.platform.set(func(p *fakePlatform) { p.noZones["az-1"], p.noZones["az-3"] = true, true })
+		f.platform.set(func(p *fakePlatform) { p.cutZones["az-1"], p.cutZones["az-3"] = true, true })
 		f.publish(2)
 		f.waitFor(3*time.Second, "version 2 everywhere, through the third zone", f.allAt(2))
 	})
@@ -100,7 +100,7 @@
 func TestZoneWithoutPlatformIsFedByOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, 3)
-		f.platform.set(func(p *fakePlatform) { p.noZones["az-1"] = true })
+		f.platform.set(func(p *fakePlatform) { p.cutZones["az-1"] = true })
 		f.publish(2)
 		f.waitFor(3*time.Second, "version 2 everywhere", f.allAt(2))
 	})
@@ -138,10 +138,10 @@
 // A version that is published in the moment in which the platform comes back is in force in time, however long
 // the platform was away: readers that failed have not learned to wait for longer than that.
 func TestVersionPublishedAsThePlatformComesBack(t *testing.T) {
-	const tries = 120 // of each, since the waits are drawn
+	const attempts = 120 // of each, since the waits are drawn
 	for _, away := range []time.Duration{3 * time.Second, 7 * time.Second, 12 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
-			for range tries {
+			for range attempts {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, 6, 2)
 					f.platform.set(func(p *fakePlatform) { p.refusing = true })
@@ -245,7 +245,7 @@
 		f := newFleet(t, 12, 2)
 		time.Sleep(5 * time.Second)
 		for _, nd := range f.all() {
-			if nd.manager.reader.activeNow() {
+			if nd.manager.reader.isActive() {
 				nd.freeze()
 			}
 		}
@@ -255,7 +255,7 @@
 		for _, zone := range []string{"az-1", "az-2"} {
 			reading := 0
 			for _, nd := range f.inZone(zone, true) {
-				if nd.isRunning() && nd.manager.reader.activeNow() {
+				if nd.isRunning() && nd.manager.reader.isActive() {
 					reading++
 				}
 			}
@@ -270,7 +270,7 @@
 		time.Sleep(5 * time.Second)
 		f.platform.set(func(p *fakePlatform) {
 			for _, nd := range f.all() {
-				p.noVMs[nd.id] = nd.manager.reader.activeNow()
+				p.cutVMs[nd.id] = nd.manager.reader.isActive()
 			}
 		})
 		f.publish(2)
@@ -290,7 +290,7 @@
 		source.manager.spread.MergeEvidence(
 			[]*pb.Departure{{Leaf: "leaf-1", Incarnation: 9, Source: pb.DepartureSource_DEPARTURE_SOURCE_GOAWAY, Vm: source.id, Age: durationpb.New(0)}},
 			[]*pb.Crash{{RequestDigest: 5, Leaf: "leaf-2", Incarnation: 3}}, time.Now())
-		took := f.waitFor(3*time.Second, "departure and crash everywhere", func() bool {
+		elapsed := f.waitFor(3*time.Second, "departure and crash everywhere", func() bool {
 			for _, nd := range f.all() {
 				if d, c := nd.manager.evidence.Len(); d != 1 || c != 1 {
 					return false
@@ -298,12 +298,12 @@
 			}
 			return true
 		})
-		t.Logf("evidence everywhere after %s", took)
+		t.Logf("evidence everywhere after %s", elapsed)
 		gather := &pb.Process{Role: pb.ProcessRole_PROCESS_ROLE_GATHER, Incarnation: 77, State: pb.ProcessState_PROCESS_STATE_READY}
-		release := source.manager.processes.connected(gather, time.Now())
+		release := source.manager.processes.streamOpened(gather, time.Now())
 		defer release(time.Now())
-		source.manager.publishOwn(time.Now())
-		took = f.waitFor(3*time.Second, "the gather's state everywhere", func() bool {
+		source.manager.publishOwnState(time.Now())
+		elapsed = f.waitFor(3*time.Second, "the gather's state everywhere", func() bool {
 			for _, nd := range f.all() {
 				if len(nd.manager.members.Record(source.id).GetProcesses()) != 2 {
 					return false
@@ -311,7 +311,7 @@
 			}
 			return true
 		})
-		t.Logf("state everywhere after %s", took)
+		t.Logf("state everywhere after %s", elapsed)
 		for _, nd := range f.all() {
 			is.True(f.allSee(nd.id, liveState)()) // loss alone makes nobody gone
 		}
--- a/internal/syncd/feed.go
+++ b/internal/syncd/feed.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// feedHeartbeat is how often a view is sent without a change.
-	feedHeartbeat = 500 * time.Millisecond
-	// feedGap is the least time between two views, so that a burst of changes is one view.
-	feedGap = 20 * time.Millisecond
+	// feedHeartbeatPeriod is how often a view is sent without a change.
+	feedHeartbeatPeriod = 500 * time.Millisecond
+	// minFeedInterval is the least time between two views, so that a burst of changes is one view.
+	minFeedInterval = 20 * time.Millisecond
 )
 
 // feedServer serves the processes of this VM.
@@ -36,8 +36,8 @@
 	// bundle held by the process, or sent to it, by version and digest.
 	bundleVersion uint64
 	bundleDigest  bundle.Digest
-	// brought is true where it was sent on this stream.
-	brought bool
+	// sentHere is true where it was sent on this stream.
+	sentHere bool
 	// epoch of the lists that were sent; sent is false before the first view.
 	epoch uint64
 	sent  bool
@@ -45,12 +45,12 @@
 
 // Watch implements the FeedService.
 func (f *feedServer) Watch(ctx context.Context, req *pb.WatchRequest, out *connect.ServerStream[pb.View]) error {
-	if !feedRole(req.GetProcess().GetRole()) {
+	if !isFeedRole(req.GetProcess().GetRole()) {
 		return errRole(req.GetProcess().GetRole())
 	}
-	release := f.m.processes.connected(req.GetProcess(), time.Now())
+	release := f.m.processes.streamOpened(req.GetProcess(), time.Now())
 	defer func() { release(time.Now()) }()
-	f.m.publishOwn(time.Now())
+	f.m.publishOwnState(time.Now())
 	s := &feedStream{out: out, bundleVersion: req.GetBundleVersion()}
 	copy(s.bundleDigest[:], req.GetBundleDigest())
 	for {
@@ -75,7 +75,7 @@
 
 // wait returns at a change or when a heartbeat is due; false where the stream has to end.
 func (f *feedServer) wait(ctx context.Context, changed <-chan struct{}) bool {
-	t := time.NewTimer(feedHeartbeat)
+	t := time.NewTimer(feedHeartbeatPeriod)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -86,7 +86,7 @@
 		return true
 	case <-changed:
 	}
-	return wait.For(ctx, feedGap)
+	return wait.For(ctx, minFeedInterval)
 }
 
 // send sends what the process doesn't have yet.
@@ -96,7 +96,7 @@
 		view = m.views.unchanged(time.Now())
 	}
 	b := m.content.Offered()
-	due := s.due(b)
+	due := s.bundleDue(b)
 	if due {
 		view = withBundle(view, b.Signed, b.Text)
 	}
@@ -105,26 +105,26 @@
 	}
 	s.epoch, s.sent = epoch, true
 	if due {
-		s.bundleVersion, s.bundleDigest, s.brought = b.Version, b.Digest, true
+		s.bundleVersion, s.bundleDigest, s.sentHere = b.Version, b.Digest, true
 	}
 	return nil
 }
 
-// due tells whether the process gets the bundle: a higher one, or the one that is offered again after that sent
+// bundleDue tells whether the process gets the bundle: a higher one, or the one that is offered again after that sent
 // last was found not to work.
-func (s *feedStream) due(b *content.Offer) bool {
-	return b != nil && (b.Above(s.bundleVersion, s.bundleDigest) || s.brought && b.Digest != s.bundleDigest)
+func (s *feedStream) bundleDue(b *content.Offer) bool {
+	return b != nil && (b.Above(s.bundleVersion, s.bundleDigest) || s.sentHere && b.Digest != s.bundleDigest)
 }
 
 // Report implements the FeedService.
 func (f *feedServer) Report(_ context.Context, req *pb.ReportRequest) (*pb.ReportResponse, error) {
-	if !feedRole(req.GetProcess().GetRole()) {
+	if !isFeedRole(req.GetProcess().GetRole()) {
 		return nil, errRole(req.GetProcess().GetRole())
 	}
 	now := time.Now()
 	f.m.checkPause(now)
 	f.m.processes.report(req.GetProcess(), now)
-	f.m.publishOwn(now)
+	f.m.publishOwnState(now)
 	f.m.spread.MergeEvidence(req.GetDepartures(), req.GetCrashes(), now)
 	return &pb.ReportResponse{}, nil
 }
--- a/internal/syncd/feed_test.go
+++ b/internal/syncd/feed_test.go
@@ -21,8 +21,8 @@
 	"github.com/burdockplank/burdockplank/internal/spread"
 )
 
-// pipes is a listener over in-memory connections that can be silenced.
-type pipes struct {
+// pipeListener is a listener over in-memory connections that can be silenced.
+type pipeListener struct {
 	conns   chan net.Conn
 	closing sync.Once
 	from    net.Addr
@@ -32,31 +32,31 @@
 	open chan struct{}
 }
 
-func newPipes(from string) *pipes {
-	p := &pipes{conns: make(chan net.Conn), from: &net.TCPAddr{IP: net.ParseIP(from), Port: 1}, open: make(chan struct{})}
+func newPipeListener(from string) *pipeListener {
+	p := &pipeListener{conns: make(chan net.Conn), from: &net.TCPAddr{IP: net.ParseIP(from), Port: 1}, open: make(chan struct{})}
 	close(p.open)
 	return p
 }
 
-func (p *pipes) silence() {
+func (p *pipeListener) silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open = make(chan struct{})
 }
 
-func (p *pipes) resume() {
+func (p *pipeListener) resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	close(p.open)
 }
 
-func (p *pipes) opened() chan struct{} {
+func (p *pipeListener) opened() chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-func (p *pipes) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (p *pipeListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
 	case p.conns <- &pipeConn{server, p}:
@@ -66,7 +66,7 @@
 	}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	conn, ok := <-p.conns
 	if !ok {
 		return nil, net.ErrClosed
@@ -74,12 +74,12 @@
 	return conn, nil
 }
 
-func (p *pipes) Close() error   { p.closing.Do(func() { close(p.conns) }); return nil }
-func (p *pipes) Addr() net.Addr { return p.from }
+func (p *pipeListener) Close() error   { p.closing.Do(func() { close(p.conns) }); return nil }
+func (p *pipeListener) Addr() net.Addr { return p.from }
 
 type pipeConn struct {
 	net.Conn
-	pipes *pipes
+	pipes *pipeListener
 }
 
 func (c *pipeConn) RemoteAddr() net.Addr { return c.pipes.from }
@@ -89,24 +89,24 @@
 	return c.Conn.Write(b)
 }
 
-// fed is the feed of a process of a node's VM.
-type fed struct {
+// testFeed is the feed of a process of a node's VM.
+type testFeed struct {
 	*feed.Manager
 	pause *process.PauseDetector
-	pipes *pipes
+	pipes *pipeListener
 	stop  func()
 }
 
 // feedOf serves a node and starts the feed of a gather there.
-func feedOf(t *testing.T, nd *node) *fed {
+func feedOf(t *testing.T, nd *node) *testFeed {
 	bind := nd.manager.cfg.Settings.VM.Bind
-	p := newPipes(bind)
+	p := newPipeListener(bind)
 	stopping := make(chan struct{})
 	server := rpc.NewServer(NewServer(nd.manager, spread.NewBytes(nil)).Handler(stopping))
 	go func() { _ = server.Serve(p) }()
 	client := rpc.NewClient(bind)
 	client.Transport.(*http.Transport).DialContext = p.dial
-	pause := process.NewPauseDetector(pauseTick, pauseBound)
+	pause := process.NewPauseDetector(pauseCheckPeriod, pauseTolerance)
 	m := feed.New(feed.Config{
 		VM: nd.id, Zone: nd.zone, Role: pb.ProcessRole_PROCESS_ROLE_GATHER, Incarnation: 77, Sync: "sync",
 		Client: client, Pause: pause, Bundles: bundle.NewFollowerStore(nil), Log: zap.NewNop(),
@@ -122,10 +122,10 @@
 		client.CloseIdleConnections()
 		_ = server.Close()
 	})
-	return &fed{Manager: m, pause: pause, pipes: p, stop: stop}
+	return &testFeed{Manager: m, pause: pause, pipes: p, stop: stop}
 }
 
-func (f *fed) version() uint64 {
+func (f *testFeed) version() uint64 {
 	if b := f.Current().Bundle; b != nil {
 		return b.Version
 	}
@@ -183,8 +183,8 @@
 		gather := feedOf(t, f.oneOf("az-1"))
 		f.waitFor(2*time.Second, "the first view", gather.Fresh)
 		gather.pipes.silence()
-		took := f.waitFor(feed.FreshFor+feedHeartbeat, "not fresh", func() bool { return !gather.Fresh() })
-		is.True(took >= feed.FreshFor-feedHeartbeat)
+		elapsed := f.waitFor(feed.FreshFor+feedHeartbeatPeriod, "not fresh", func() bool { return !gather.Fresh() })
+		is.True(elapsed >= feed.FreshFor-feedHeartbeatPeriod)
 		gather.pipes.resume()
 		f.waitFor(2*time.Second, "fresh again", gather.Fresh)
 	})
@@ -213,7 +213,7 @@
 		nd, other := f.oneOf("az-1"), f.oneOf("az-2")
 		gather := feedOf(t, nd)
 		f.waitFor(2*time.Second, "the first view", gather.Fresh)
-		f.platform.set(func(p *fakePlatform) { p.noZones["az-1"] = true })
+		f.platform.set(func(p *fakePlatform) { p.cutZones["az-1"] = true })
 		f.cut("az-1")
 		f.publish(2)
 		f.waitFor(3*time.Second, "version 2 elsewhere", func() bool { return other.version() == 2 })
@@ -221,20 +221,20 @@
 		is.True(gather.Fresh()) // cut off, it serves on
 		is.Equal(gather.version(), uint64(1))
 
-		nd.manager.pause.Observe(time.Now().Add(pauseTick + pauseBound + time.Millisecond))
+		nd.manager.pause.Observe(time.Now().Add(pauseCheckPeriod + pauseTolerance + time.Millisecond))
 		nd.manager.checkPause(time.Now())
 		heard := gather.Current().Heard
 		time.Sleep(time.Second)
 		is.Equal(gather.Current().Heard, heard) // asking, it says nothing
 		f.cut("")
-		f.waitFor(resumeLimit, "a view", func() bool { return gather.Current().Heard != heard })
+		f.waitFor(resumeCatchUpTimeout, "a view", func() bool { return gather.Current().Heard != heard })
 		is.Equal(gather.version(), uint64(2)) // and then the newest at once
 
 		f.cut("az-1")
 		nd.manager.pause.Observe(time.Now().Add(3 * time.Second))
 		nd.manager.checkPause(time.Now())
 		heard = gather.Current().Heard
-		f.waitFor(resumeLimit+feedHeartbeat, "cut off after a pause, it serves on", func() bool { return gather.Current().Heard != heard })
+		f.waitFor(resumeCatchUpTimeout+feedHeartbeatPeriod, "cut off after a pause, it serves on", func() bool { return gather.Current().Heard != heard })
 	})
 }
 
--- a/internal/syncd/fleet_test.go
+++ b/internal/syncd/fleet_test.go
@@ -131,8 +131,8 @@
 	return s.Bundles.Apply(signed, text)
 }
 
-// slow sets how long syncs take to check a bundle, and the platform to answer.
-func (f *fleet) slow(check, read time.Duration) {
+// setDelays sets how long syncs take to check a bundle, and the platform to answer.
+func (f *fleet) setDelays(check, read time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check, f.read = check, read
--- a/internal/syncd/manager.go
+++ b/internal/syncd/manager.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// pauseTick is how often pauses are looked for, PauseBound how late that may be.
-	pauseTick  = 100 * time.Millisecond
-	pauseBound = 900 * time.Millisecond
+	// pauseCheckPeriod is how often pauses are looked for, PauseBound how late that may be.
+	pauseCheckPeriod = 100 * time.Millisecond
+	pauseTolerance   = 900 * time.Millisecond
 	// upkeepPeriod is how often the states of the VM's processes are looked at.
 	upkeepPeriod = 250 * time.Millisecond
 )
@@ -56,15 +56,15 @@
 	metrics   *metrics
 	started   time.Time
 
-	pauses sync.Mutex
+	pauseMu sync.Mutex
 	// handledPause is the end of the newest pause that was seen to, guarded by pauses.
 	handledPause time.Time
 
 	mu sync.Mutex
 	// draining is true from SIGTERM on, guarded by mu.
 	draining bool
-	// wake holds a value while catching up is due.
-	wake chan struct{}
+	// catchUpDue holds a value while catching up is due.
+	catchUpDue chan struct{}
 }
 
 // New returns a sync that has yet to catch up.
@@ -72,11 +72,11 @@
 	s, now := cfg.Settings, time.Now()
 	m := &Manager{
 		cfg: cfg, changed: notify.New(), evidence: evidence.New(), processes: newProcesses(),
-		pause: process.NewPauseDetector(pauseTick, pauseBound), started: now, wake: make(chan struct{}, 1),
+		pause: process.NewPauseDetector(pauseCheckPeriod, pauseTolerance), started: now, catchUpDue: make(chan struct{}, 1),
 	}
 	trust := s.Trust.Trust()
 	m.bundles = bundle.NewStore(trust, cfg.Registry)
-	m.content = content.New(cfg.through(m.bundles), trust, m.changed)
+	m.content = content.New(cfg.wrapBundles(m.bundles), trust, m.changed)
 	m.members = membership.New(&pb.Vm{
 		Id: s.VM.ID, Zone: s.VM.Zone, Address: s.VM.Advertised(), SyncPort: uint32(s.Sync.Port),
 		Incarnation: cfg.Incarnation,
@@ -93,8 +93,8 @@
 	return m
 }
 
-// through returns the store as the sync reaches it.
-func (c Config) through(s *bundle.Store) content.Bundles {
+// wrapBundles returns the store as the sync reaches it.
+func (c Config) wrapBundles(s *bundle.Store) content.Bundles {
 	if c.WrapBundles == nil {
 		return s
 	}
@@ -106,7 +106,7 @@
 
 // Run works until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
-	m.askAgain()
+	m.requestCatchUp()
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = m.pause.Run(ctx) })
 	wg.Go(func() { _ = m.spread.Run(ctx) })
@@ -129,7 +129,7 @@
 		}
 		now := time.Now()
 		m.checkPause(now)
-		m.publishOwn(now)
+		m.publishOwnState(now)
 	}
 }
 
@@ -139,33 +139,33 @@
 // its view from before the pause, and the VM served it for feed.FreshFor.
 func (m *Manager) checkPause(now time.Time) {
 	ended := m.pause.LastPause(now)
-	m.pauses.Lock()
-	defer m.pauses.Unlock()
+	m.pauseMu.Lock()
+	defer m.pauseMu.Unlock()
 	if !ended.After(m.handledPause) {
 		return
 	}
-	m.paused(now)
+	m.handlePause(now)
 	m.handledPause = ended
 }
 
-// paused follows a pause of the process that ended now. It is called with pauses held.
-func (m *Manager) paused(now time.Time) {
-	m.processes.paused(now)
+// handlePause follows a pause of the process that ended now. It is called with pauses held.
+func (m *Manager) handlePause(now time.Time) {
+	m.processes.restartTimers(now)
 	m.spread.HandlePause(now)
-	m.askAgain()
+	m.requestCatchUp()
 	m.cfg.Log.Warn("process was paused")
 }
 
-// askAgain makes catching up due.
-func (m *Manager) askAgain() {
+// requestCatchUp makes catching up due.
+func (m *Manager) requestCatchUp() {
 	select {
-	case m.wake <- struct{}{}:
+	case m.catchUpDue <- struct{}{}:
 	default:
 	}
 }
 
-// publishOwn spreads the states of the VM's processes where they changed.
-func (m *Manager) publishOwn(now time.Time) {
+// publishOwnState spreads the states of the VM's processes where they changed.
+func (m *Manager) publishOwnState(now time.Time) {
 	m.mu.Lock()
 	draining := m.draining
 	m.mu.Unlock()
--- a/internal/syncd/metrics.go
+++ b/internal/syncd/metrics.go
@@ -12,22 +12,22 @@
 
 // metrics of the sync are read from its state when they are collected.
 type metrics struct {
-	m       *Manager
-	members *prometheus.Desc
-	age     *prometheus.Desc
-	list    *prometheus.Desc
-	reading *prometheus.Desc
-	items   *prometheus.Desc
+	m        *Manager
+	members  *prometheus.Desc
+	age      *prometheus.Desc
+	list     *prometheus.Desc
+	reading  *prometheus.Desc
+	evidence *prometheus.Desc
 }
 
 func newMetrics(m *Manager, reg prometheus.Registerer) *metrics {
 	c := &metrics{
-		m:       m,
-		members: prometheus.NewDesc("burdock_sync_vms", "VMs by the state that holds for them.", []string{"state"}, nil),
-		age:     prometheus.NewDesc("burdock_sync_platform_age_seconds", "Time since any VM heard of reached the platform; -1 for never.", nil, nil),
-		list:    prometheus.NewDesc("burdock_sync_list_revision", "Revision of the platform's list.", nil, nil),
-		reading: prometheus.NewDesc("burdock_sync_reading", "1 while this VM reads the platform.", nil, nil),
-		items:   prometheus.NewDesc("burdock_sync_evidence", "Evidence held, by kind.", []string{"kind"}, nil),
+		m:        m,
+		members:  prometheus.NewDesc("burdock_sync_vms", "VMs by the state that holds for them.", []string{"state"}, nil),
+		age:      prometheus.NewDesc("burdock_sync_platform_age_seconds", "Time since any VM heard of reached the platform; -1 for never.", nil, nil),
+		list:     prometheus.NewDesc("burdock_sync_list_revision", "Revision of the platform's list.", nil, nil),
+		reading:  prometheus.NewDesc("burdock_sync_reading", "1 while this VM reads the platform.", nil, nil),
+		evidence: prometheus.NewDesc("burdock_sync_evidence", "Evidence held, by kind.", []string{"kind"}, nil),
 	}
 	if reg != nil {
 		reg.MustRegister(c)
@@ -57,13 +57,13 @@
 	}
 	gauge(c.list, float64(revision))
 	reading := 0.0
-	if c.m.reader.activeNow() {
+	if c.m.reader.isActive() {
 		reading = 1
 	}
 	gauge(c.reading, reading)
 	departures, crashes := c.m.evidence.Len()
-	gauge(c.items, float64(departures), "departure")
-	gauge(c.items, float64(crashes), "crash")
+	gauge(c.evidence, float64(departures), "departure")
+	gauge(c.evidence, float64(crashes), "crash")
 }
 
 // enumName is the short lower-case name of an enum value.
--- a/internal/syncd/network_test.go
+++ b/internal/syncd/network_test.go
@@ -19,8 +19,8 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// reaches tells whether a packet or call gets from one to the other now.
-func (f *fleet) reaches(from, to *node) bool {
+// canReach tells whether a packet or call gets from one to the other now.
+func (f *fleet) canReach(from, to *node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	pair := [2]string{from.zone, to.zone}
@@ -41,7 +41,7 @@
 	if len(packet) > 1200 {
 		f.t.Errorf("packet of %d bytes", len(packet))
 	}
-	if target == nil || lost || !f.reaches(nd, target) {
+	if target == nil || lost || !f.canReach(nd, target) {
 		return nil
 	}
 	time.AfterFunc(latency, func() {
@@ -72,14 +72,14 @@
 // call is a PeerServiceClient over the fake network.
 type call struct{ from, to *node }
 
-// through does a call if both ways are open; a call into silence waits for its deadline.
-func through[Req, Resp any](ctx context.Context, c *call, req Req, do func(context.Context, Req) (Resp, error)) (Resp, error) {
+// forward does a call if both ways are open; a call into silence waits for its deadline.
+func forward[Req, Resp any](ctx context.Context, c *call, req Req, do func(context.Context, Req) (Resp, error)) (Resp, error) {
 	var none Resp
 	open := func() bool {
-		if c.to == nil || !c.from.fleet.reaches(c.from, c.to) {
+		if c.to == nil || !c.from.fleet.canReach(c.from, c.to) {
 			return false
 		}
-		return c.from.fleet.reaches(c.to, c.from)
+		return c.from.fleet.canReach(c.to, c.from)
 	}
 	for range 2 {
 		if !open() {
@@ -92,7 +92,7 @@
 	}
 	resp, err := do(ctx, req)
 	if err == nil {
-		c.from.fleet.count(req, resp)
+		c.from.fleet.countBytes(req, resp)
 	}
 	return resp, err
 }
@@ -100,8 +100,8 @@
 // callOverhead is about what connection, headers and framing add to a call.
 const callOverhead = 800
 
-// count adds the messages of a call.
-func (f *fleet) count(messages ...any) {
+// countBytes adds the messages of a call.
+func (f *fleet) countBytes(messages ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.bytes += callOverhead
@@ -111,13 +111,13 @@
 }
 
 func (c *call) Manifest(ctx context.Context, req *pb.ManifestRequest) (*pb.ManifestResponse, error) {
-	return through(ctx, c, req, c.to.manager.Spread().Manifest)
+	return forward(ctx, c, req, c.to.manager.Spread().Manifest)
 }
 
 func (c *call) Sections(ctx context.Context, req *pb.SectionsRequest) (*pb.SectionsResponse, error) {
-	return through(ctx, c, req, c.to.manager.Spread().Sections)
+	return forward(ctx, c, req, c.to.manager.Spread().Sections)
 }
 
 func (c *call) Exchange(ctx context.Context, req *pb.ExchangeRequest) (*pb.ExchangeResponse, error) {
-	return through(ctx, c, req, c.to.manager.Spread().Exchange)
+	return forward(ctx, c, req, c.to.manager.Spread().Exchange)
 }
--- a/internal/syncd/platform_test.go
+++ b/internal/syncd/platform_test.go
@@ -24,15 +24,15 @@
 	// down lets reads wait and fail, refusing lets them fail at once.
 	down     bool
 	refusing bool
-	noZones  map[string]bool
-	noVMs    map[string]bool
+	cutZones map[string]bool
+	cutVMs   map[string]bool
 	reads    int
 }
 
 func newFakePlatform(f *fleet) *fakePlatform {
 	return &fakePlatform{
 		f: f, changed: make(chan struct{}), values: make(map[string]platform.Value),
-		noZones: make(map[string]bool), noVMs: make(map[string]bool),
+		cutZones: make(map[string]bool), cutVMs: make(map[string]bool),
 	}
 }
 
@@ -86,8 +86,8 @@
 	nd *node
 }
 
-func (n *nodePlatform) read(ctx context.Context, key string, after uint64, most time.Duration) (platform.Value, error) {
-	end := time.Now().Add(most)
+func (n *nodePlatform) read(ctx context.Context, key string, after uint64, maxWait time.Duration) (platform.Value, error) {
+	end := time.Now().Add(maxWait)
 	n.p.mu.Lock()
 	n.p.reads++
 	n.p.mu.Unlock()
@@ -101,9 +101,9 @@
 		n.p.mu.Lock()
 		v, changed := n.p.values[key], n.p.changed
 		refused := n.p.refusing
-		cut := n.p.down || n.p.noZones[n.nd.zone] || n.p.noVMs[n.nd.id]
+		cut := n.p.down || n.p.cutZones[n.nd.zone] || n.p.cutVMs[n.nd.id]
 		n.p.mu.Unlock()
-		left := time.Until(end)
+		remaining := time.Until(end)
 		switch {
 		case refused:
 			return platform.Value{}, errUnreachable
@@ -112,12 +112,12 @@
 			return platform.Value{}, errUnreachable
 		case v.Revision > after:
 			return v, nil
-		case left <= 0 && v.Revision == 0:
+		case remaining <= 0 && v.Revision == 0:
 			return platform.Value{}, platform.ErrNotFound
-		case left <= 0:
+		case remaining <= 0:
 			return platform.Value{Revision: v.Revision}, nil
 		}
-		t := time.NewTimer(left)
+		t := time.NewTimer(remaining)
 		select {
 		case <-ctx.Done():
 			return platform.Value{}, ctx.Err()
@@ -132,14 +132,14 @@
 	return n.read(ctx, key, 0, 0)
 }
 
-func (n *nodePlatform) Watch(ctx context.Context, key string, after uint64, most time.Duration) (platform.Value, error) {
-	return n.read(ctx, key, after, most)
+func (n *nodePlatform) Watch(ctx context.Context, key string, after uint64, maxWait time.Duration) (platform.Value, error) {
+	return n.read(ctx, key, after, maxWait)
 }
 
 func (n *nodePlatform) List(ctx context.Context) (platform.Value, error) {
 	return n.read(ctx, listKey, 0, 0)
 }
 
-func (n *nodePlatform) WatchList(ctx context.Context, after uint64, most time.Duration) (platform.Value, error) {
-	return n.read(ctx, listKey, after, most)
+func (n *nodePlatform) WatchList(ctx context.Context, after uint64, maxWait time.Duration) (platform.Value, error) {
+	return n.read(ctx, listKey, after, maxWait)
 }
--- a/internal/syncd/processes.go
+++ b/internal/syncd/processes.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// silentAfter is how long a process may go without a report before its state counts as
+	// reportTimeout is how long a process may go without a report before its state counts as
 	// unknown; it reports each second.
-	silentAfter = 3 * time.Second
-	// goneAfter is how long a process may be without a stream before it counts as gone: a process
+	reportTimeout = 3 * time.Second
+	// streamTimeout is how long a process may be without a stream before it counts as gone: a process
 	// that lives opens the next one within a fraction of this.
-	goneAfter = time.Second
+	streamTimeout = time.Second
 )
 
 // processes are those of this VM, as they report themselves. It is safe for concurrent use.
@@ -29,17 +29,17 @@
 
 // localProcess is one process. Its owner is processes.
 type localProcess struct {
-	reported *pb.Process
-	heard    time.Time
+	reported   *pb.Process
+	lastReport time.Time
 	// streams counts its open ones; ended is when the last one ended.
-	streams int
-	ended   time.Time
+	streams       int
+	lastStreamEnd time.Time
 }
 
 func newProcesses() *processes { return &processes{byRole: make(map[pb.ProcessRole]*localProcess)} }
 
-// feedRole tells whether a role is fed by the sync.
-func feedRole(r pb.ProcessRole) bool {
+// isFeedRole tells whether a role is fed by the sync.
+func isFeedRole(r pb.ProcessRole) bool {
 	return r == pb.ProcessRole_PROCESS_ROLE_ENTRY || r == pb.ProcessRole_PROCESS_ROLE_GATHER
 }
 
@@ -47,40 +47,40 @@
 func (p *processes) report(proc *pb.Process, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noted(proc, now)
+	p.record(proc, now)
 }
 
-// noted returns the entry of a process, anew for a new incarnation; mu is held.
-func (p *processes) noted(proc *pb.Process, now time.Time) *localProcess {
+// record returns the entry of a process, anew for a new incarnation; mu is held.
+func (p *processes) record(proc *pb.Process, now time.Time) *localProcess {
 	l := p.byRole[proc.GetRole()]
 	if l == nil || l.reported.GetIncarnation() != proc.GetIncarnation() {
-		l = &localProcess{ended: now}
+		l = &localProcess{lastStreamEnd: now}
 		p.byRole[proc.GetRole()] = l
 	}
-	l.reported, l.heard = proc, now
+	l.reported, l.lastReport = proc, now
 	return l
 }
 
-// connected notes a stream of a process; the function returned notes its end.
-func (p *processes) connected(proc *pb.Process, now time.Time) (release func(time.Time)) {
+// streamOpened notes a stream of a process; the function returned notes its end.
+func (p *processes) streamOpened(proc *pb.Process, now time.Time) (release func(time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.noted(proc, now)
+	l := p.record(proc, now)
 	l.streams++
 	return func(now time.Time) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		l.streams--
-		l.ended = now
+		l.lastStreamEnd = now
 	}
 }
 
-// paused starts the time of all processes anew: their silence may have been this process's own.
-func (p *processes) paused(now time.Time) {
+// restartTimers starts the time of all processes anew: their silence may have been this process's own.
+func (p *processes) restartTimers(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.byRole {
-		l.heard, l.ended = now, now
+		l.lastReport, l.lastStreamEnd = now, now
 	}
 }
 
@@ -100,16 +100,16 @@
 
 // state returns the state a process counts as.
 func (l *localProcess) state(now time.Time) pb.ProcessState {
-	said := l.reported.GetState()
+	reported := l.reported.GetState()
 	switch {
-	case said == pb.ProcessState_PROCESS_STATE_GONE:
-		return said
-	case l.streams == 0 && now.Sub(l.ended) >= goneAfter:
+	case reported == pb.ProcessState_PROCESS_STATE_GONE:
+		return reported
+	case l.streams == 0 && now.Sub(l.lastStreamEnd) >= streamTimeout:
 		return pb.ProcessState_PROCESS_STATE_GONE
-	case now.Sub(l.heard) >= silentAfter:
+	case now.Sub(l.lastReport) >= reportTimeout:
 		return pb.ProcessState_PROCESS_STATE_UNSPECIFIED
 	}
-	return said
+	return reported
 }
 
 // any tells whether a process is in one of the states.
--- a/internal/syncd/processes_test.go
+++ b/internal/syncd/processes_test.go
@@ -29,21 +29,21 @@
 		at   time.Duration
 		want pb.ProcessState
 	}{
-		{"reports", func(p *processes) { p.connected(entryProcess(1, readyProcess), start) }, time.Second, readyProcess},
-		{"silent, such as frozen", func(p *processes) { p.connected(entryProcess(1, readyProcess), start) }, silentAfter, unknownProcess},
-		{"ended a moment ago", func(p *processes) { p.connected(entryProcess(1, readyProcess), start)(start) }, goneAfter - 1, readyProcess},
-		{"ended without a word", func(p *processes) { p.connected(entryProcess(1, readyProcess), start)(start) }, goneAfter, goneProcess},
+		{"reports", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start) }, time.Second, readyProcess},
+		{"silent, such as frozen", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start) }, reportTimeout, unknownProcess},
+		{"ended a moment ago", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start)(start) }, streamTimeout - 1, readyProcess},
+		{"ended without a word", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start)(start) }, streamTimeout, goneProcess},
 		{"says that it ends", func(p *processes) {
-			p.connected(entryProcess(1, readyProcess), start)
+			p.streamOpened(entryProcess(1, readyProcess), start)
 			p.report(entryProcess(1, goneProcess), start)
 		}, 0, goneProcess},
 		{"next incarnation", func(p *processes) {
-			p.connected(entryProcess(1, goneProcess), start)
-			p.connected(entryProcess(2, readyProcess), start)
+			p.streamOpened(entryProcess(1, goneProcess), start)
+			p.streamOpened(entryProcess(2, readyProcess), start)
 		}, 0, readyProcess},
 		{"this process paused", func(p *processes) {
-			p.connected(entryProcess(1, readyProcess), start)(start)
-			p.paused(start.Add(time.Minute))
+			p.streamOpened(entryProcess(1, readyProcess), start)(start)
+			p.restartTimers(start.Add(time.Minute))
 		}, time.Minute, readyProcess},
 	}
 	for _, tt := range tests {
@@ -58,7 +58,7 @@
 // drainOf drains a node whose entry is in the state and returns how long that took.
 func drainOf(f *fleet, nd *node, state pb.ProcessState, then func(p *processes)) time.Duration {
 	p := nd.manager.processes
-	p.connected(entryProcess(1, state), time.Now())
+	p.streamOpened(entryProcess(1, state), time.Now())
 	stop := make(chan struct{})
 	go func() { // as the entry does, until it ends
 		defer close(stop)
@@ -70,9 +70,9 @@
 	}()
 	began := time.Now()
 	nd.manager.Drain(f.t.Context())
-	took := time.Since(began)
+	elapsed := time.Since(began)
 	<-stop
-	return took
+	return elapsed
 }
 
 func TestDrainWaitsForADrainingProcess(t *testing.T) {
@@ -80,8 +80,8 @@
 		is := is.New(t)
 		f := newFleet(t, 6, 2)
 		nd := f.oneOf("az-1")
-		took := drainOf(f, nd, drainingProcess, func(p *processes) { p.report(entryProcess(1, goneProcess), time.Now()) })
-		is.True(took >= 5*time.Second && took < 6*time.Second)
+		elapsed := drainOf(f, nd, drainingProcess, func(p *processes) { p.report(entryProcess(1, goneProcess), time.Now()) })
+		is.True(elapsed >= 5*time.Second && elapsed < 6*time.Second)
 		f.waitFor(time.Second, "leaving elsewhere", f.allSee(nd.id, leavingState))
 	})
 }
@@ -91,8 +91,8 @@
 		is := is.New(t)
 		f := newFleet(t, 6, 2)
 		nd := f.oneOf("az-1")
-		took := drainOf(f, nd, readyProcess, func(*processes) {})
-		is.True(took >= restartGrace && took < restartGrace+time.Second)
+		elapsed := drainOf(f, nd, readyProcess, func(*processes) {})
+		is.True(elapsed >= restartGracePeriod && elapsed < restartGracePeriod+time.Second)
 		is.True(f.allSee(nd.id, liveState)())
 	})
 }
--- a/internal/syncd/reader.go
+++ b/internal/syncd/reader.go
@@ -27,15 +27,15 @@
 	sectionPrefix = "bundle/section/"
 	// watchWait is the wait of a long poll; it bounds the age of the contact in the calm.
 	watchWait = 5 * time.Second
-	// turnPeriod is how often it is decided whether this VM reads.
-	turnPeriod = 500 * time.Millisecond
-	// manifestRetryMost is the longest wait after reads of the manifest that failed. A version that is published in the moment in which
+	// activeCheckPeriod is how often it is decided whether this VM reads.
+	activeCheckPeriod = 500 * time.Millisecond
+	// maxManifestRetryDelay is the longest wait after reads of the manifest that failed. A version that is published in the moment in which
 	// the platform comes back is due in 3 s, of which reading and spreading take up to one. With waits of up to
 	// 8 s about 1 of 100 such versions came later. The list of VMs, for which no such time is promised, is
 	// tried less often.
-	manifestRetryMost = 2 * time.Second
-	// minWatchGap keeps a platform that answers watches at once from being asked in a loop.
-	minWatchGap = 100 * time.Millisecond
+	maxManifestRetryDelay = 2 * time.Second
+	// minWatchInterval keeps a platform that answers watches at once from being asked in a loop.
+	minWatchInterval = 100 * time.Millisecond
 )
 
 // Platform is what a sync reads; *platform.Client implements it.
@@ -54,8 +54,8 @@
 	mu sync.Mutex
 	// active is whether this VM reads now; reached is when it last reached the platform while it
 	// was not among the first by rank. Both are guarded by mu.
-	active  bool
-	reached time.Time
+	active      bool
+	lastReached time.Time
 }
 
 func newReader(m *Manager) *reader { return &reader{m: m, jitter: rand.Float64()} }
@@ -66,18 +66,18 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
-		active := r.turn(time.Now())
+		active := r.updateActive(time.Now())
 		if active && stop == nil {
-			var turn context.Context
-			turn, stop = context.WithCancel(ctx)
-			wg.Go(func() { r.watch(turn, manifestRetryMost, r.watchManifest) })
-			wg.Go(func() { r.watch(turn, 0, r.watchList) })
+			var readCtx context.Context
+			readCtx, stop = context.WithCancel(ctx)
+			wg.Go(func() { r.watch(readCtx, maxManifestRetryDelay, r.watchManifest) })
+			wg.Go(func() { r.watch(readCtx, 0, r.watchList) })
 		}
 		if !active && stop != nil {
 			stop()
 			stop = nil
 		}
-		if !wait.For(ctx, turnPeriod) {
+		if !wait.For(ctx, activeCheckPeriod) {
 			if stop != nil {
 				stop()
 			}
@@ -86,8 +86,8 @@
 	}
 }
 
-// turn decides whether this VM reads.
-func (r *reader) turn(now time.Time) bool {
+// updateActive decides whether this VM reads.
+func (r *reader) updateActive(now time.Time) bool {
 	state := r.state(now)
 	active := r.m.spread.CaughtUp() && readers.Active(state)
 	r.mu.Lock()
@@ -113,20 +113,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.reached.IsZero() {
-		s.SinceTakeover = now.Sub(r.reached)
+	if !r.lastReached.IsZero() {
+		s.SinceTakeover = now.Sub(r.lastReached)
 	}
 	return s
 }
 
 // watch repeats one watch until its turn ends, with a backoff while it fails, of most at the longest or as the
 // platform's client has it where that is 0.
-func (r *reader) watch(ctx context.Context, most time.Duration, once func(ctx context.Context, after uint64) (uint64, error)) {
-	backoff := platform.Backoff{Most: most}
+func (r *reader) watch(ctx context.Context, maxDelay time.Duration, once func(ctx context.Context, after uint64) (uint64, error)) {
+	backoff := platform.Backoff{Most: maxDelay}
 	var after uint64
 	for ctx.Err() == nil {
 		next, err := once(ctx, after)
-		gap := minWatchGap
+		gap := minWatchInterval
 		if err != nil {
 			gap = backoff.Next()
 			r.m.cfg.Log.Debug("platform read failed", zap.Error(err))
@@ -140,8 +140,8 @@
 	}
 }
 
-// contact notes that the platform answered.
-func (r *reader) contact(now time.Time) {
+// recordContact notes that the platform answered.
+func (r *reader) recordContact(now time.Time) {
 	r.m.spread.RecordPlatformContact(now)
 	state := r.state(now)
 	if state.Rank < readers.PerZone {
@@ -149,8 +149,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.reached.IsZero() || now.Sub(r.reached) >= readers.Hold {
-		r.reached = now
+	if r.lastReached.IsZero() || now.Sub(r.lastReached) >= readers.Hold {
+		r.lastReached = now
 	}
 }
 
@@ -161,17 +161,17 @@
 	if !platform.Answered(err) {
 		return after, err
 	}
-	r.contact(time.Now())
+	r.recordContact(time.Now())
 	if !v.Changed {
 		return v.Revision, nil
 	}
-	return v.Revision, r.takeManifest(ctx, v.Body)
+	return v.Revision, r.applyManifest(ctx, v.Body)
 }
 
-// takeManifest brings the bundle in force up to the manifest, if that is higher. The error is nil
+// applyManifest brings the bundle in force up to the manifest, if that is higher. The error is nil
 // for a bundle that is refused: asking again would not change it.
-func (r *reader) takeManifest(ctx context.Context, encoded []byte) error {
-	came := time.Now()
+func (r *reader) applyManifest(ctx context.Context, encoded []byte) error {
+	receivedAt := time.Now()
 	signed := new(pb.SignedManifest)
 	if err := proto.Unmarshal(encoded, signed); err != nil {
 		r.m.cfg.Log.Error("manifest on the platform can't be read", zap.Error(err))
@@ -179,7 +179,7 @@
 	}
 	missing, wanted, err := r.m.content.MissingBundle(signed)
 	if err == nil && wanted {
-		err = r.takeSections(ctx, signed, missing, came)
+		err = r.fetchBundle(ctx, signed, missing, receivedAt)
 	}
 	var refused *bundle.RefusedError
 	if errors.As(err, &refused) {
@@ -189,7 +189,7 @@
 	return err
 }
 
-func (r *reader) takeSections(ctx context.Context, signed *pb.SignedManifest, missing []bundle.Digest, came time.Time) error {
+func (r *reader) fetchBundle(ctx context.Context, signed *pb.SignedManifest, missing []bundle.Digest, receivedAt time.Time) error {
 	var sections [][]byte
 	for _, d := range missing {
 		v, err := r.m.cfg.Platform.Get(ctx, sectionPrefix+hex.EncodeToString(d[:]))
@@ -198,7 +198,7 @@
 		}
 		sections = append(sections, v.Body)
 	}
-	return r.m.spread.ApplyBundle(signed, sections, spread.Origin{From: "platform", RequestedAt: came})
+	return r.m.spread.ApplyBundle(signed, sections, spread.Origin{From: "platform", RequestedAt: receivedAt})
 }
 
 // watchList waits for a change of the list and takes it.
@@ -207,15 +207,15 @@
 	if !platform.Answered(err) {
 		return after, err
 	}
-	r.contact(time.Now())
+	r.recordContact(time.Now())
 	if v.Changed {
-		r.takeList(v.Body)
+		r.applyList(v.Body)
 	}
 	return v.Revision, nil
 }
 
-// takeList takes a list if it is higher than the one held.
-func (r *reader) takeList(text []byte) {
+// applyList takes a list if it is higher than the one held.
+func (r *reader) applyList(text []byte) {
 	l, skipped, err := listing.Parse(text)
 	if err != nil {
 		r.m.cfg.Log.Error("list on the platform can't be read", zap.Error(err))
@@ -239,7 +239,7 @@
 	}
 	r.m.spread.RecordPlatformContact(time.Now())
 	if list.Changed {
-		r.takeList(list.Body)
+		r.applyList(list.Body)
 	}
 	v, err := r.m.cfg.Platform.Get(ctx, manifestKey)
 	if !platform.Answered(err) {
@@ -248,8 +248,8 @@
 	return v.Body, true
 }
 
-// activeNow tells whether this VM reads.
-func (r *reader) activeNow() bool {
+// isActive tells whether this VM reads.
+func (r *reader) isActive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.active
--- a/internal/syncd/server.go
+++ b/internal/syncd/server.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// maxPeerMessage bounds a message of a peer; a whole exchange at 2,000 VMs is far below.
-	maxPeerMessage = 8 << 20
-	// compressFrom is the length from which answers to peers are compressed.
-	compressFrom = 1 << 10
-	// shutdownLimit bounds the end of open calls.
-	shutdownLimit = time.Second
+	// maxPeerMessageBytes bounds a message of a peer; a whole exchange at 2,000 VMs is far below.
+	maxPeerMessageBytes = 8 << 20
+	// minCompressBytes is the length from which answers to peers are compressed.
+	minCompressBytes = 1 << 10
+	// shutdownTimeout bounds the end of open calls.
+	shutdownTimeout = time.Second
 )
 
 // Server serves peers and the processes of the VM on the sync's port.
@@ -38,7 +38,7 @@
 func (s *Server) Handler(stopping <-chan struct{}) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(burdockv1connect.NewPeerServiceHandler(s.m.spread,
-		connect.WithReadMaxBytes(maxPeerMessage), connect.WithCompressMinBytes(compressFrom)))
+		connect.WithReadMaxBytes(maxPeerMessageBytes), connect.WithCompressMinBytes(minCompressBytes)))
 	path, feed := burdockv1connect.NewFeedServiceHandler(&feedServer{m: s.m, stopping: stopping})
 	mux.Handle(path, s.ownVMOnly(feed))
 	n := negroni.New(negroni.NewRecovery())
@@ -78,7 +78,7 @@
 	case <-ctx.Done():
 	}
 	close(stopping)
-	limit, cancel := context.WithTimeout(context.Background(), shutdownLimit)
+	limit, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(limit); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return eris.Wrap(err, "sync.server: shut down")
--- a/internal/syncd/spread_test.go
+++ b/internal/syncd/spread_test.go
@@ -36,7 +36,7 @@
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, vms, 2+vms/32)
-					f.slow(check, read)
+					f.setDelays(check, read)
 					f.publish(2)
 					t.Logf("everywhere after %s", f.waitFor(3*time.Second, "version 2 everywhere", f.allAt(2)))
 				})
--- a/internal/syncd/view.go
+++ b/internal/syncd/view.go
@@ -38,7 +38,7 @@
 }
 
 func (c *viewCache) make(now time.Time) *pb.View {
-	v := c.base(now)
+	v := c.newView(now)
 	v.Vms = c.m.members.View()
 	v.Departures = c.m.evidence.Departures(now)
 	v.Crashes = c.m.evidence.Crashes(now)
@@ -64,13 +64,13 @@
 
 // unchanged returns a view that leaves out the lists.
 func (c *viewCache) unchanged(now time.Time) *pb.View {
-	v := c.base(now)
+	v := c.newView(now)
 	v.Unchanged = true
 	return v
 }
 
-// base returns what each view holds.
-func (c *viewCache) base(now time.Time) *pb.View {
+// newView returns what each view holds.
+func (c *viewCache) newView(now time.Time) *pb.View {
 	v := &pb.View{Vm: c.m.cfg.Settings.VM.ID, Zone: c.m.cfg.Settings.VM.Zone, HighestVersion: c.m.highestVersion()}
 	if b := c.m.content.Bundle(); b != nil {
 		v.BundleVersion = b.Version
