--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -23,8 +23,8 @@
 const (
 	// FreshFor is how long after the newest message of the sync new work is still taken.
 	FreshFor = 2 * time.Second
-	// guardTick is how often a stream is checked for silence and for a pause of the process.
-	guardTick = 100 * time.Millisecond
+	// monitorPeriod is how often a stream is checked for silence and for a pause of the process.
+	monitorPeriod = 100 * time.Millisecond
 	// reconnectMin and reconnectMax bound the random wait before the next stream.
 	reconnectMin = 20 * time.Millisecond
 	reconnectMax = 250 * time.Millisecond
@@ -152,11 +152,11 @@
 	started := time.Now()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	heard := newStamp(started)
-	go m.guard(ctx, cancel, started, heard)
+	heard := newSharedTime(started)
+	go m.monitorStream(ctx, cancel, started, heard)
 	stream, err := m.service.Watch(ctx, m.watchRequest())
 	if err != nil {
-		return eris.Wrap(cause(ctx, err), "feed: watch")
+		return eris.Wrap(cancelCause(ctx, err), "feed: watch")
 	}
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
@@ -167,13 +167,13 @@
 		heard.set(now)
 		m.apply(stream.Msg(), started, now)
 	}
-	return eris.Wrap(cause(ctx, stream.Err()), "feed: receive")
+	return eris.Wrap(cancelCause(ctx, stream.Err()), "feed: receive")
 }
 
-// guard ends a stream that is silent, or that was asked for before a pause: what waits in it is
+// monitorStream ends a stream that is silent, or that was asked for before a pause: what waits in it is
 // from before the pause.
-func (m *Manager) guard(ctx context.Context, cancel context.CancelCauseFunc, started time.Time, heard *stamp) {
-	t := time.NewTicker(guardTick)
+func (m *Manager) monitorStream(ctx context.Context, cancel context.CancelCauseFunc, started time.Time, heard *sharedTime) {
+	t := time.NewTicker(monitorPeriod)
 	defer t.Stop()
 	for {
 		select {
@@ -208,8 +208,8 @@
 	return p
 }
 
-// cause returns why ctx was cancelled from this side, or else err.
-func cause(ctx context.Context, err error) error {
+// cancelCause returns why ctx was cancelled from this side, or else err.
+func cancelCause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil && !errors.Is(c, context.Canceled) {
 		return c
 	}
@@ -229,22 +229,22 @@
 	return connect.CodeOf(err).String()
 }
 
-// stamp is a time shared by the reader and the guard of a stream.
-type stamp struct {
+// sharedTime is a time shared by the reader and the guard of a stream.
+type sharedTime struct {
 	mu sync.Mutex
 	// t is guarded by mu.
 	t time.Time
 }
 
-func newStamp(t time.Time) *stamp { return &stamp{t: t} }
+func newSharedTime(t time.Time) *sharedTime { return &sharedTime{t: t} }
 
-func (s *stamp) set(t time.Time) {
+func (s *sharedTime) set(t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.t = t
 }
 
-func (s *stamp) get() time.Time {
+func (s *sharedTime) get() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.t
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -103,24 +103,24 @@
 	is.True(q.addCrash(&pb.Crash{RequestDigest: 1, Leaf: "a"}, start))
 	departures, crashes := q.take()
 	is.True(q.addDeparture(&pb.Departure{Leaf: "a", Vm: "newer"}, start.Add(time.Second)))
-	q.putBack(departures, crashes) // the sync was out of reach
+	q.requeue(departures, crashes) // the sync was out of reach
 	departures, crashes = q.take()
 	is.Equal(len(departures), 1)
 	for _, d := range departures {
-		is.Equal(d.aged(start.Add(3*time.Second)).GetAge().AsDuration(), 2*time.Second)
-		is.Equal(d.d.GetVm(), "newer")
+		is.Equal(d.withAge(start.Add(3*time.Second)).GetAge().AsDuration(), 2*time.Second)
+		is.Equal(d.departure.GetVm(), "newer")
 	}
 	for _, c := range crashes {
-		is.Equal(c.aged(start.Add(3*time.Second)).GetAge().AsDuration(), 3*time.Second)
+		is.Equal(c.withAge(start.Add(3*time.Second)).GetAge().AsDuration(), 3*time.Second)
 	}
 }
 
 func TestReportsAreBounded(t *testing.T) {
 	is := is.New(t)
 	q := newReportQueue()
-	for i := range uint64(maxPending) {
+	for i := range uint64(maxQueued) {
 		is.True(q.addCrash(&pb.Crash{RequestDigest: i}, start))
 	}
-	is.True(!q.addCrash(&pb.Crash{RequestDigest: maxPending}, start))
+	is.True(!q.addCrash(&pb.Crash{RequestDigest: maxQueued}, start))
 	is.True(q.addCrash(&pb.Crash{RequestDigest: 0}, start)) // held already
 }
--- a/internal/feed/report.go
+++ b/internal/feed/report.go
@@ -18,12 +18,12 @@
 	reportPeriod = time.Second
 	// reportTimeout bounds one report.
 	reportTimeout = time.Second
-	// reportRetry is the wait after a report that failed.
-	reportRetry = 100 * time.Millisecond
-	// lastReportTimeout bounds the report at the end of the process.
-	lastReportTimeout = 300 * time.Millisecond
-	// maxPending bounds what waits for a sync that can't be reached.
-	maxPending = 1024
+	// reportRetryDelay is the wait after a report that failed.
+	reportRetryDelay = 100 * time.Millisecond
+	// finalReportTimeout bounds the report at the end of the process.
+	finalReportTimeout = 300 * time.Millisecond
+	// maxQueued bounds what waits for a sync that can't be reached.
+	maxQueued = 1024
 )
 
 // ReportDeparture implements Reporter.
@@ -52,39 +52,39 @@
 	for {
 		select {
 		case <-ctx.Done():
-			m.lastReport(ctx)
+			m.finalReport(ctx)
 			return
 		case <-t.C:
 		case <-m.reports.woken:
 		}
-		if err := m.report(ctx, reportTimeout); err != nil && wait.For(ctx, reportRetry) {
+		if err := m.report(ctx, reportTimeout); err != nil && wait.For(ctx, reportRetryDelay) {
 			m.reports.wake()
 		}
 	}
 }
 
-// lastReport sends what the process said just before its end.
-func (m *Manager) lastReport(ctx context.Context) {
-	_ = m.report(context.WithoutCancel(ctx), lastReportTimeout)
+// finalReport sends what the process said just before its end.
+func (m *Manager) finalReport(ctx context.Context) {
+	_ = m.report(context.WithoutCancel(ctx), finalReportTimeout)
 }
 
 // report sends the queue, and puts it back where that fails.
-func (m *Manager) report(ctx context.Context, limit time.Duration) error {
+func (m *Manager) report(ctx context.Context, timeout time.Duration) error {
 	departures, crashes := m.reports.take()
 	now := time.Now()
 	req := &pb.ReportRequest{Process: m.process()}
 	for _, d := range departures {
-		req.Departures = append(req.Departures, d.aged(now))
+		req.Departures = append(req.Departures, d.withAge(now))
 	}
 	for _, c := range crashes {
-		req.Crashes = append(req.Crashes, c.aged(now))
+		req.Crashes = append(req.Crashes, c.withAge(now))
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	_, err := m.service.Report(ctx, req)
 	if err != nil {
 		m.metrics.reports.WithLabelValues("failed").Inc()
-		m.reports.putBack(departures, crashes)
+		m.reports.requeue(departures, crashes)
 		return err
 	}
 	m.metrics.reports.WithLabelValues("sent").Inc()
@@ -93,25 +93,25 @@
 
 // queuedDeparture is a departure with the time at which its age was right.
 type queuedDeparture struct {
-	d  *pb.Departure
-	at time.Time
+	departure *pb.Departure
+	at        time.Time
 }
 
-func (q queuedDeparture) aged(now time.Time) *pb.Departure {
-	d := proto.Clone(q.d).(*pb.Departure)
-	d.Age = durationpb.New(q.d.GetAge().AsDuration() + now.Sub(q.at))
+func (q queuedDeparture) withAge(now time.Time) *pb.Departure {
+	d := proto.Clone(q.departure).(*pb.Departure)
+	d.Age = durationpb.New(q.departure.GetAge().AsDuration() + now.Sub(q.at))
 	return d
 }
 
 // queuedCrash is a crash with the time at which its age was right.
 type queuedCrash struct {
-	c  *pb.Crash
-	at time.Time
+	crash *pb.Crash
+	at    time.Time
 }
 
-func (q queuedCrash) aged(now time.Time) *pb.Crash {
-	c := proto.Clone(q.c).(*pb.Crash)
-	c.Age = durationpb.New(q.c.GetAge().AsDuration() + now.Sub(q.at))
+func (q queuedCrash) withAge(now time.Time) *pb.Crash {
+	c := proto.Clone(q.crash).(*pb.Crash)
+	c.Age = durationpb.New(q.crash.GetAge().AsDuration() + now.Sub(q.at))
 	return c
 }
 
@@ -179,7 +179,7 @@
 	key := departureKey{d.GetLeaf(), d.GetIncarnation(), d.GetSource()}
 	q.mu.Lock()
 	_, held := q.departures[key]
-	full := !held && len(q.departures) >= maxPending
+	full := !held && len(q.departures) >= maxQueued
 	if !full {
 		q.departures[key] = queuedDeparture{d, now}
 	}
@@ -193,7 +193,7 @@
 	key := crashKey{c.GetRequestDigest(), c.GetLeaf(), c.GetIncarnation()}
 	q.mu.Lock()
 	_, held := q.crashes[key]
-	full := !held && len(q.crashes) >= maxPending
+	full := !held && len(q.crashes) >= maxQueued
 	if !full {
 		q.crashes[key] = queuedCrash{c, now}
 	}
@@ -212,8 +212,8 @@
 	return departures, crashes
 }
 
-// putBack queues again what could not be sent; newer evidence of the same key stays.
-func (q *reportQueue) putBack(departures map[departureKey]queuedDeparture, crashes map[crashKey]queuedCrash) {
+// requeue queues again what could not be sent; newer evidence of the same key stays.
+func (q *reportQueue) requeue(departures map[departureKey]queuedDeparture, crashes map[crashKey]queuedCrash) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for k, d := range departures {
