--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -84,14 +84,14 @@
 // New returns a list; of entries with one id the first is kept.
 func New(revision uint64, vms []*pb.Vm, upstreams []*pb.Upstream) *List {
 	l := &List{Revision: revision, VMs: sortedByID(vms), Upstreams: sortedByID(upstreams)}
-	l.cut()
+	l.splitSections()
 	return l
 }
 
-// named is what both kinds of entries have.
-type named interface{ GetId() string }
+// identified is what both kinds of entries have.
+type identified interface{ GetId() string }
 
-func sortedByID[T named](entries []T) []T {
+func sortedByID[T identified](entries []T) []T {
 	out := slices.Clone(entries)
 	slices.SortStableFunc(out, func(a, b T) int { return cmp.Compare(a.GetId(), b.GetId()) })
 	return slices.CompactFunc(out, func(a, b T) bool { return a.GetId() == b.GetId() })
--- a/internal/listing/sections.go
+++ b/internal/listing/sections.go
@@ -21,32 +21,32 @@
 
 // sectionCount returns the power of two that suits the number of entries.
 func sectionCount(entries int) int {
-	wanted := uint(entries / entriesPerSection)
-	return min(1<<bits.Len(wanted), maxSections)
+	sections := uint(entries / entriesPerSection)
+	return min(1<<bits.Len(sections), maxSections)
 }
 
-// cut fills in the sections. An entry's section depends on its id alone, so a change of one entry
+// splitSections fills in the sections. An entry's section depends on its id alone, so a change of one entry
 // changes one section.
-func (l *List) cut() {
+func (l *List) splitSections() {
 	n := sectionCount(len(l.VMs) + len(l.Upstreams))
-	parts := make([]pb.ListSection, n)
+	sections := make([]pb.ListSection, n)
 	for _, vm := range l.VMs {
-		p := &parts[xxhash.Sum64String(vm.GetId())%uint64(n)]
-		p.Vms = append(p.Vms, vm)
+		section := &sections[xxhash.Sum64String(vm.GetId())%uint64(n)]
+		section.Vms = append(section.Vms, vm)
 	}
 	for _, u := range l.Upstreams {
-		p := &parts[xxhash.Sum64String(u.GetId())%uint64(n)]
-		p.Upstreams = append(p.Upstreams, u)
+		section := &sections[xxhash.Sum64String(u.GetId())%uint64(n)]
+		section.Upstreams = append(section.Upstreams, u)
 	}
 	l.Manifest = &pb.ListManifest{Revision: l.Revision}
 	l.Sections = make(map[bundle.Digest][]byte, n)
-	for i := range parts {
-		l.addSection(&parts[i])
+	for i := range sections {
+		l.addSection(&sections[i])
 	}
 }
 
-func (l *List) addSection(p *pb.ListSection) {
-	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(p)
+func (l *List) addSection(section *pb.ListSection) {
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(section)
 	if err != nil {
 		panic(err) // only text that isn't UTF-8 can't be encoded, and names are checked
 	}
@@ -68,13 +68,13 @@
 		if !ok || !held {
 			return nil, eris.Errorf("sync.listing: section %d is missing", i)
 		}
-		var p pb.ListSection
-		if err := proto.Unmarshal(encoded, &p); err != nil {
+		var section pb.ListSection
+		if err := proto.Unmarshal(encoded, &section); err != nil {
 			return nil, eris.Wrapf(err, "sync.listing: section %d", i)
 		}
 		l.Sections[d] = encoded
-		l.VMs = append(l.VMs, p.GetVms()...)
-		l.Upstreams = append(l.Upstreams, p.GetUpstreams()...)
+		l.VMs = append(l.VMs, section.GetVms()...)
+		l.Upstreams = append(l.Upstreams, section.GetUpstreams()...)
 	}
 	l.VMs, l.Upstreams = sortedByID(l.VMs), sortedByID(l.Upstreams)
 	return l, nil
