--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -22,8 +22,8 @@
 // Any tells whether there is anything new.
 func (r Result) Any() bool { return len(r.Updated)+len(r.Judged) > 0 }
 
-// note adds a VM of which something other than the heartbeat is new.
-func (r *Result) note(id string, judged bool) {
+// add adds a VM of which something other than the heartbeat is new.
+func (r *Result) add(id string, judged bool) {
 	if judged {
 		r.Judged = append(r.Judged, id)
 	} else {
@@ -60,8 +60,8 @@
 	if r.GetIncarnation() != own.GetIncarnation() {
 		t.conflicts++
 	}
-	t.raise(now, func(next *pb.Vm) { next.Heartbeat = r.GetHeartbeat() + 1 })
-	res.note(t.selfID, true)
+	t.updateSelf(now, func(next *pb.Vm) { next.Heartbeat = r.GetHeartbeat() + 1 })
+	res.add(t.selfID, true)
 	res.Refuted = true
 }
 
@@ -94,7 +94,7 @@
 	}
 	t.entries[r.GetId()] = &entry{record: r, since: now}
 	t.roster = nil
-	res.note(r.GetId(), judged(r))
+	res.add(r.GetId(), judged(r))
 }
 
 // replace puts a higher record in place; mu is held.
@@ -107,8 +107,8 @@
 	if before.GetState() != r.GetState() || before.GetIncarnation() != r.GetIncarnation() || judged(r) {
 		e.since = now
 	}
-	if newsworthy(before, r) {
+	if differsBeyondHeartbeat(before, r) {
 		t.roster = nil
-		res.note(r.GetId(), judged(before) || judged(r))
+		res.add(r.GetId(), judged(before) || judged(r))
 	}
 }
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -10,8 +10,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// rank orders the states at one heartbeat: bad news wins until the VM raises its heartbeat.
-func rank(s pb.VmState) int {
+// stateRank orders the states at one heartbeat: bad news wins until the VM raises its heartbeat.
+func stateRank(s pb.VmState) int {
 	switch s {
 	case leaving:
 		return 1
@@ -26,27 +26,27 @@
 // Compare orders two records of one VM: the higher one holds. It is a total order over the content
 // of records, so taking the higher is commutative, associative and idempotent.
 func Compare(a, b *pb.Vm) int {
-	if c := order(a, b); c != 0 || judged(a) {
+	if c := compareSummary(a, b); c != 0 || judged(a) {
 		// A judgement says nothing but its state; what it carries besides is the receiver's own.
 		return c
 	}
 	return bytes.Compare(encode(a), encode(b))
 }
 
-// order is Compare by what a summary holds.
-func order(a, b *pb.Vm) int {
+// compareSummary is Compare by what a summary holds.
+func compareSummary(a, b *pb.Vm) int {
 	return cmp.Or(
 		cmp.Compare(a.GetHeartbeat(), b.GetHeartbeat()),
 		cmp.Compare(a.GetIncarnation(), b.GetIncarnation()),
-		cmp.Compare(rank(a.GetState()), rank(b.GetState())),
+		cmp.Compare(stateRank(a.GetState()), stateRank(b.GetState())),
 	)
 }
 
 // judged tells whether a record is another VM's judgement and not the VM's own word.
-func judged(r *pb.Vm) bool { return rank(r.GetState()) >= rank(suspect) }
+func judged(r *pb.Vm) bool { return stateRank(r.GetState()) >= stateRank(suspect) }
 
-// newsworthy tells whether more than the heartbeat differs.
-func newsworthy(before, after *pb.Vm) bool {
+// differsBeyondHeartbeat tells whether more than the heartbeat differs.
+func differsBeyondHeartbeat(before, after *pb.Vm) bool {
 	return before.GetIncarnation() != after.GetIncarnation() || before.GetState() != after.GetState() ||
 		before.GetVersion() != after.GetVersion()
 }
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -50,13 +50,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.roster == nil {
-		t.roster = t.makeRoster()
+		t.roster = t.buildRoster()
 	}
 	return t.roster
 }
 
-// makeRoster makes the roster; mu is held.
-func (t *Table) makeRoster() *Roster {
+// buildRoster makes the roster; mu is held.
+func (t *Table) buildRoster() *Roster {
 	r := &Roster{byID: make(map[string]Peer, len(t.entries)+len(t.listed))}
 	for id, e := range t.entries {
 		r.Hash += versionHash(e.record)
--- a/internal/membership/rules.go
+++ b/internal/membership/rules.go
@@ -115,8 +115,8 @@
 	return m
 }()
 
-// join returns the state of a VM by the rules.
-func join(list, evidence Claim) pb.VmState { return vmStates[claims{list, evidence}] }
+// resolveState returns the state of a VM by the rules.
+func resolveState(list, evidence Claim) pb.VmState { return vmStates[claims{list, evidence}] }
 
 // listClaim returns what the list says; listed is nil where it doesn't name the VM.
 func listClaim(listed *pb.Vm) Claim {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -70,7 +70,7 @@
 func (t *Table) RaiseHeartbeat(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.raise(now, func(*pb.Vm) {})
+	t.updateSelf(now, func(*pb.Vm) {})
 }
 
 // SetOwnState changes the VM's own processes and whether it leaves, and tells whether that is news.
@@ -82,23 +82,23 @@
 		state = leaving
 	}
 	own := t.entries[t.selfID].record
-	news := own.GetState() != state || !sameProcesses(own.GetProcesses(), processes)
-	t.raise(now, func(r *pb.Vm) {
+	changed := own.GetState() != state || !sameProcesses(own.GetProcesses(), processes)
+	t.updateSelf(now, func(r *pb.Vm) {
 		r.Processes, r.State = processes, state
-		if news {
+		if changed {
 			r.Version++
 		}
 	})
-	return news
+	return changed
 }
 
-// raise makes a new record of the VM itself, with a higher heartbeat; mu is held.
-func (t *Table) raise(now time.Time, change func(*pb.Vm)) {
+// updateSelf makes a new record of the VM itself, with a higher heartbeat; mu is held.
+func (t *Table) updateSelf(now time.Time, change func(*pb.Vm)) {
 	e := t.entries[t.selfID]
 	next := proto.Clone(e.record).(*pb.Vm)
 	next.Heartbeat++
 	change(next)
-	if newsworthy(e.record, next) {
+	if differsBeyondHeartbeat(e.record, next) {
 		t.roster = nil
 	}
 	e.record, e.since = next, now
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -21,11 +21,11 @@
 		if listed == nil && e.record.GetState() == gone {
 			continue
 		}
-		out = append(out, joined(e.record, listed, join(listClaim(listed), evidenceClaim(e.record))))
+		out = append(out, resolvedRecord(e.record, listed, resolveState(listClaim(listed), evidenceClaim(e.record))))
 	}
 	for id, listed := range t.listed {
 		if t.entries[id] == nil {
-			out = append(out, joined(listed, listed, join(listClaim(listed), EvidenceNone)))
+			out = append(out, resolvedRecord(listed, listed, resolveState(listClaim(listed), EvidenceNone)))
 		}
 	}
 	slices.SortFunc(out, func(a, b *pb.Vm) int { return cmp.Compare(a.GetId(), b.GetId()) })
@@ -37,7 +37,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		state := join(listClaim(t.listed[id]), evidenceClaim(e.record))
+		state := resolveState(listClaim(t.listed[id]), evidenceClaim(e.record))
 		if id != t.selfID && e.record.GetZone() == zone && state == live {
 			ids = append(ids, id)
 		}
@@ -45,9 +45,9 @@
 	return ids
 }
 
-// joined returns a copy of the record with the state that holds, and with the ports that a VM
+// resolvedRecord returns a copy of the record with the state that holds, and with the ports that a VM
 // doesn't say itself: the list's, or else the usual ones.
-func joined(r, listed *pb.Vm, state pb.VmState) *pb.Vm {
+func resolvedRecord(r, listed *pb.Vm, state pb.VmState) *pb.Vm {
 	out := proto.Clone(r).(*pb.Vm)
 	out.State = state
 	out.EntryPort = cmp.Or(r.GetEntryPort(), listed.GetEntryPort(), settings.DefaultEntryPort)
@@ -80,7 +80,7 @@
 	defer t.mu.Unlock()
 	for _, r := range summary {
 		e := t.entries[r.GetId()]
-		if e == nil || order(r, e.record) > 0 && newsworthy(e.record, r) {
+		if e == nil || compareSummary(r, e.record) > 0 && differsBeyondHeartbeat(e.record, r) {
 			ids = append(ids, r.GetId())
 		}
 	}
@@ -111,9 +111,9 @@
 	defer t.mu.Unlock()
 	var out []*pb.Vm
 	for id, e := range t.entries {
-		their := byID[id]
-		lacks := their == nil && e.record.GetState() != gone
-		newer := their != nil && order(e.record, their) > 0 && newsworthy(their, e.record)
+		theirs := byID[id]
+		lacks := theirs == nil && e.record.GetState() != gone
+		newer := theirs != nil && compareSummary(e.record, theirs) > 0 && differsBeyondHeartbeat(theirs, e.record)
 		if e.record.GetHeartbeat() > 0 && (lacks || newer) {
 			out = append(out, WireForm(e.record))
 		}
