--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -19,8 +19,8 @@
 	// hopAllowance is added to an age that came from another VM, for the way: without it an age
 	// that goes round and round would grow too slowly.
 	hopAllowance = 2 * time.Millisecond
-	// itemOverheadBytes is what the framing adds to an item.
-	itemOverheadBytes = 4
+	// itemOverhead is what the framing adds to an item.
+	itemOverhead = 4
 )
 
 // message is what a packet carries besides this VM's state and news.
@@ -122,6 +122,4 @@
 	return itemSize(dep), func() { d.Departures = append(d.Departures, dep) }
 }
 
-func itemSize(item proto.Message) int {
-	return protowire.SizeBytes(proto.Size(item)) + itemOverheadBytes
-}
+func itemSize(item proto.Message) int { return protowire.SizeBytes(proto.Size(item)) + itemOverhead }
