--- a/internal/spread/bytes.go
+++ b/internal/spread/bytes.go
@@ -6,13 +6,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Bytes counts what moves between this VM and the syncs of others, by channel and direction. UDP
-// counts the headers of its packets, TCP the payload of its segments.
+// Bytes counts the traffic between this VM and the syncs of other VMs, by channel and direction.
+// UDP counts include the packet headers; TCP counts cover the segment payload only.
 type Bytes struct {
 	udpOut, udpIn, tcpOut, tcpIn prometheus.Counter
 }
 
-// NewBytes registers the counters with reg unless that is nil.
+// NewBytes returns the counters and registers them with reg unless reg is nil.
 func NewBytes(reg prometheus.Registerer) *Bytes {
 	vec := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "burdock_spread_bytes_total", Help: "Bytes between this VM and the syncs of others.",
@@ -29,10 +29,10 @@
 func (b *Bytes) udpSent(n int)     { b.udpOut.Add(float64(n)) }
 func (b *Bytes) udpReceived(n int) { b.udpIn.Add(float64(n)) }
 
-// Count returns conn with its bytes counted.
+// Count returns a connection that counts the bytes read from and written to conn.
 func (b *Bytes) Count(conn net.Conn) net.Conn { return &countedConn{Conn: conn, bytes: b} }
 
-// countedConn counts what passes through a connection.
+// countedConn counts the bytes that pass through a connection.
 type countedConn struct {
 	net.Conn
 	bytes *Bytes
--- a/internal/spread/catchup.go
+++ b/internal/spread/catchup.go
@@ -8,31 +8,32 @@
 	"github.com/burdockplank/burdockplank/internal/membership"
 )
 
-// catchUpPeers is how many peers are asked at once to catch up.
+// catchUpPeers is the number of peers queried in parallel to catch up.
 const catchUpPeers = 4
 
-// catchUpPeerTimeout is how long a peer that is asked has for its first answer.
+// catchUpPeerTimeout bounds the time a queried peer has for its first answer.
 const catchUpPeerTimeout = 700 * time.Millisecond
 
-// catchUpGracePeriod is how long further answers are waited for after the first.
+// catchUpGracePeriod is the time to wait for further answers after the first one.
 const catchUpGracePeriod = 250 * time.Millisecond
 
-// CaughtUp tells whether peers or the platform were heard since the start and the newest pause.
+// CaughtUp reports whether peers or the platform have been queried since the start and the most
+// recent pause.
 func (m *Manager) CaughtUp() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.caughtUp
 }
 
-// Pauses returns how many pauses of the process there were, for SetCaughtUp.
+// Pauses returns the number of process pauses so far. Pass it to SetCaughtUp.
 func (m *Manager) Pauses() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.pauses
 }
 
-// SetCaughtUp ends the catching up that began after the given number of pauses. It does nothing
-// where another pause came since.
+// SetCaughtUp ends the catch-up that began when the number of pauses was the given one. It does
+// nothing if another pause has occurred since.
 func (m *Manager) SetCaughtUp(pauses uint64) {
 	m.mu.Lock()
 	m.caughtUp = m.caughtUp || pauses == m.pauses
@@ -40,7 +41,8 @@
 	m.cfg.Changed.Fire()
 }
 
-// HandlePause follows a pause of the process: what it knew and what waits in its buffers may be old.
+// HandlePause resets the state after a pause of the process: what the process knew and the packets
+// in its buffers may be outdated.
 func (m *Manager) HandlePause(now time.Time) {
 	m.mu.Lock()
 	m.caughtUp = false
@@ -53,9 +55,9 @@
 	m.cfg.Changed.Fire()
 }
 
-// QueryPeers asks a few random peers, or the seeds where none is known, for all they hold. asked is
-// how many were asked, answered how many answered with all of it. It doesn't wait long for more
-// once one answered.
+// QueryPeers queries a few random peers, or the seeds if no peer is known, for their whole state.
+// asked is the number of peers queried, answered the number that returned their whole state. After
+// the first answer it waits for the others for at most catchUpGracePeriod.
 func (m *Manager) QueryPeers(ctx context.Context) (asked, answered int) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -73,8 +75,8 @@
 	return len(addresses), answered
 }
 
-// catchUpFrom tells whether the peer gave all it holds. One that is out of reach shows soon, so that others
-// can be asked in time.
+// catchUpFrom fetches the whole state of a peer and reports whether that succeeded. Its timeout is
+// short, so that an unreachable peer leaves time to query others.
 func (m *Manager) catchUpFrom(ctx context.Context, address string) bool {
 	peerCtx, cancel := context.WithTimeout(ctx, catchUpPeerTimeout)
 	defer cancel()
@@ -98,7 +100,7 @@
 	return out
 }
 
-// RecordPlatformContact notes that this VM reached the platform.
+// RecordPlatformContact records that this VM reached the platform.
 func (m *Manager) RecordPlatformContact(now time.Time) { m.recordPlatformContact(now) }
 
 func (m *Manager) recordPlatformContact(at time.Time) {
@@ -109,22 +111,22 @@
 	}
 }
 
-// PlatformAge returns the time since any VM that was heard of reached the platform; known is false
-// for never.
+// PlatformAge returns the time since any known VM last reached the platform. known is false if none
+// ever did.
 func (m *Manager) PlatformAge(now time.Time) (age time.Duration, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return now.Sub(m.platformContact), !m.platformContact.IsZero()
 }
 
-// HighestVersion returns the highest version of a bundle that a peer said it holds.
+// HighestVersion returns the highest bundle version that any peer has announced.
 func (m *Manager) HighestVersion() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.highestVersion
 }
 
-// SetOwnState spreads the states of the VM's own processes, and whether the VM leaves.
+// SetOwnState publishes the states of this VM's processes and whether the VM is leaving.
 func (m *Manager) SetOwnState(processes []*pb.Process, leaves bool, now time.Time) {
 	if !m.cfg.Members.SetOwnState(processes, leaves, now) {
 		return
@@ -136,12 +138,13 @@
 	m.Push()
 }
 
-// MergeEvidence takes what a process of this VM saw, and spreads what is new.
+// MergeEvidence merges what a process of this VM observed and publishes what is new.
 func (m *Manager) MergeEvidence(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
 	m.mergeExchanged(nil, departures, crashes, now)
 }
 
-// PushNow pushes news without regard to the bounded rate, at the end of the process.
+// PushNow sends pending updates at once and bypasses the push rate limit. It is called when the
+// process ends.
 func (m *Manager) PushNow(now time.Time) {
 	for _, p := range pickPeers(m.cfg.Members.Roster(), pushFanout, "") {
 		m.send(p, message{}, now)
--- a/internal/spread/dump.go
+++ b/internal/spread/dump.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Dump is the state of the spread as operators see it.
+// Dump is the state of the spread manager as shown to operators.
 type Dump struct {
 	CaughtUp bool `json:"caught_up"`
-	// Updates still to be passed on.
+	// Updates is the number of updates still to be sent.
 	Updates int `json:"news"`
-	// OpenProbes are contacts without an answer so far.
+	// OpenProbes is the number of contacts without an answer so far.
 	OpenProbes int `json:"open_probes"`
-	// Peers that are not judged gone.
+	// Peers is the number of peers that are not judged gone.
 	Peers int `json:"peers"`
-	// DifferingSeconds is how long the hashes have differed from those of peers; 0 for not at all.
+	// DifferingSeconds is how long the hashes have differed from those of peers, 0 if they do not
+	// differ.
 	DifferingSeconds float64 `json:"differing_seconds"`
-	// Conflicts counts records by which another incarnation claimed this VM's id.
+	// Conflicts counts records in which another incarnation claimed this VM's ID.
 	Conflicts uint64 `json:"conflicts"`
 }
 
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -15,13 +15,14 @@
 // exchangeTimeout bounds one exchange.
 const exchangeTimeout = 3 * time.Second
 
-// exchangeTask is an exchange that is due: with whom, and of what.
+// exchangeTask is an exchange that is due: the peer, and whether to exchange membership, evidence
+// or both.
 type exchangeTask struct {
 	peer          membership.Peer
 	vms, evidence bool
 }
 
-// runExchanges exchanges with one peer after the other.
+// runExchanges runs one exchange after the other until ctx ends.
 func (m *Manager) runExchanges(ctx context.Context) {
 	for {
 		select {
@@ -35,7 +36,7 @@
 	}
 }
 
-// exchange makes membership, evidence or both equal to a peer's.
+// exchange synchronises membership, evidence or both with a peer.
 func (m *Manager) exchange(ctx context.Context, o exchangeTask) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -48,8 +49,8 @@
 	return err
 }
 
-// exchangeWith sends a summary of membership and all evidence, takes what is newer there, and gives
-// the records that are newer here.
+// exchangeWith sends a summary of membership and all evidence, merges what is newer at the peer,
+// and sends the records that are newer here.
 func (m *Manager) exchangeWith(ctx context.Context, peer burdockv1connect.PeerServiceClient, o exchangeTask) error {
 	now := time.Now()
 	req := &pb.ExchangeRequest{From: m.cfg.Self, Fleet: m.cfg.Fleet, Summary: o.vms, AllEvidence: o.evidence}
@@ -73,7 +74,7 @@
 	return err
 }
 
-// mergeExchanged takes what came by an exchange. It is passed on as news like any other.
+// mergeExchanged merges what an exchange returned. New items are queued as updates like any others.
 func (m *Manager) mergeExchanged(vms []*pb.Vm, departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
 	merged := m.cfg.Members.Merge(vms, now)
 	added := m.cfg.Evidence.Merge(departures, crashes, now)
@@ -87,7 +88,7 @@
 	}
 }
 
-// missingEvidence returns the evidence that the sender of req doesn't hold.
+// missingEvidence returns the evidence that the sender of req does not hold.
 func (m *Manager) missingEvidence(req *pb.ExchangeRequest, now time.Time) (departures []*pb.Departure, crashes []*pb.Crash) {
 	heldDepartures := make(map[evidence.DepartureKey]bool)
 	for _, d := range req.GetDepartures() {
--- a/internal/spread/fetch.go
+++ b/internal/spread/fetch.go
@@ -17,9 +17,9 @@
 	// manifestTimeout and sectionsTimeout bound one call to a peer.
 	manifestTimeout = 2 * time.Second
 	sectionsTimeout = 3 * time.Second
-	// maxSectionsPerCall bounds the digests of one call.
+	// maxSectionsPerCall bounds the number of digests in one call.
 	maxSectionsPerCall = 256
-	// refetchDelay is how long a bundle that was not accepted is not fetched again.
+	// refetchDelay is the time for which a refused bundle is not fetched again.
 	refetchDelay = 30 * time.Second
 )
 
@@ -29,7 +29,7 @@
 	return k
 }
 
-// runFetches fetches from one peer after the other.
+// runFetches fetches from one peer after the other until ctx ends.
 func (m *Manager) runFetches(ctx context.Context) {
 	for {
 		select {
@@ -43,7 +43,7 @@
 	}
 }
 
-// fetch brings bundle and list to what the peer holds, if that is higher.
+// fetch brings the bundle and the list up to those of the peer if the peer's are higher.
 func (m *Manager) fetch(ctx context.Context, address string) error {
 	peer := m.cfg.Dial(address)
 	begun := time.Now()
@@ -52,7 +52,7 @@
 	resp, err := peer.Manifest(mctx, &pb.ManifestRequest{Fleet: m.cfg.Fleet})
 	if err != nil {
 		m.metrics.fetches.WithLabelValues("manifest", "failed").Inc()
-		return eris.Wrapf(err, "sync.spread: manifest of %s", address)
+		return eris.Wrapf(err, "sync.spread: fetch manifest from %s", address)
 	}
 	select {
 	case m.fetchSlot <- struct{}{}:
@@ -62,10 +62,10 @@
 	}
 	from := Origin{From: address, RequestedAt: begun}
 	if err := m.fetchBundle(ctx, peer, resp.GetManifest(), from); err != nil {
-		return eris.Wrapf(err, "sync.spread: bundle of %s", address)
+		return eris.Wrapf(err, "sync.spread: fetch bundle from %s", address)
 	}
 	if err := m.fetchList(ctx, peer, resp.GetList()); err != nil {
-		return eris.Wrapf(err, "sync.spread: list of %s", address)
+		return eris.Wrapf(err, "sync.spread: fetch list from %s", address)
 	}
 	return nil
 }
@@ -89,16 +89,17 @@
 	return m.ApplyBundle(signed, sections, from)
 }
 
-// Origin is where a bundle came from.
+// Origin describes where a bundle came from.
 type Origin struct {
 	// From is the address of the peer, or "platform".
 	From string
-	// RequestedAt is when its manifest was asked for, or came where it was watched for.
+	// RequestedAt is when the manifest was requested, or when it arrived if it came from a watch.
 	RequestedAt time.Time
 }
 
-// ApplyBundle puts a bundle in force, if it is higher, from the sections fetched and those held. It is passed on
-// before the check whether it can work, which each VM does for itself.
+// ApplyBundle puts a higher bundle in force, built from the fetched sections and those already
+// held. The bundle is offered to others before the check whether it is usable, because each VM runs
+// that check itself.
 func (m *Manager) ApplyBundle(signed *pb.SignedManifest, sections [][]byte, from Origin) error {
 	offer, err := m.cfg.Content.OfferBundle(signed, sections)
 	if offer == nil {
@@ -120,7 +121,8 @@
 	return err
 }
 
-// rememberRefused remembers a bundle that was not accepted, so that it isn't fetched with each packet.
+// rememberRefused records a refused bundle, so that it is not fetched again on each packet that
+// announces it.
 func (m *Manager) rememberRefused(signed *pb.SignedManifest) {
 	m.metrics.fetches.WithLabelValues("bundle", "refused").Inc()
 	digest := bundle.ManifestDigest(signed.GetManifest())
@@ -151,14 +153,14 @@
 	return err
 }
 
-// ListChanged takes the VMs of a list that came just now and spreads it at once.
+// ListChanged applies the VMs of a list that has just arrived and pushes the change at once.
 func (m *Manager) ListChanged() {
 	m.cfg.Members.SetList(m.cfg.Content.List().VMs)
 	m.cfg.Changed.Fire()
 	m.Push()
 }
 
-// fetchSections fetches sections from a peer.
+// fetchSections fetches sections from a peer, at most maxSectionsPerCall per call.
 func (m *Manager) fetchSections(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
 	var out [][]byte
 	for len(digests) > 0 {
--- a/internal/spread/handle.go
+++ b/internal/spread/handle.go
@@ -8,7 +8,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// handlePacket takes one packet.
+// handlePacket decodes one packet, merges it and answers it. Packets of another fleet are dropped,
+// as are all packets until the manager has caught up.
 func (m *Manager) handlePacket(packet []byte, now time.Time) {
 	var d pb.Digest
 	if err := proto.Unmarshal(packet, &d); err != nil {
@@ -30,7 +31,8 @@
 	m.reconcile(&d, now)
 }
 
-// mergePacket merges what a packet carries and returns the VMs to name in the answer.
+// mergePacket merges the content of a packet and returns the IDs of the VMs whose records the
+// answer must include.
 func (m *Manager) mergePacket(d *pb.Digest, now time.Time) (include []string) {
 	if age := d.GetPlatformAge(); age != nil {
 		m.recordPlatformContact(now.Add(-age.AsDuration() - hopAllowance))
@@ -59,11 +61,12 @@
 	return include
 }
 
-// reply replies where the sender asked or held something outdated, and passes probes on.
+// reply answers if the sender asked for it or holds outdated records, and relays probes and their
+// results.
 func (m *Manager) reply(d *pb.Digest, include []string, now time.Time) {
 	from, known := m.cfg.Members.Roster().Peer(d.GetFrom())
 	if d.GetProbe() == m.cfg.Self {
-		// The sender was asked to see whether this VM is there: show it by a higher heartbeat.
+		// The sender was asked to probe this VM. A higher heartbeat shows that it is alive.
 		m.cfg.Members.RaiseHeartbeat(now)
 	}
 	if !known {
@@ -88,14 +91,15 @@
 	}
 }
 
-// probeDirectly contacts a VM that another one gets no answer from.
+// probeDirectly contacts a VM that another VM gets no answer from.
 func (m *Manager) probeDirectly(target string, now time.Time) {
 	if p, ok := m.cfg.Members.Roster().Peer(target); ok {
 		m.send(p, message{replyWanted: true, probe: target}, now)
 	}
 }
 
-// reconcile starts what is needed where the sender holds more, or other things.
+// reconcile starts a fetch or an exchange if the sender holds a higher bundle or list, or if its
+// hashes differ.
 func (m *Manager) reconcile(d *pb.Digest, now time.Time) {
 	roster := m.cfg.Members.Roster()
 	from, known := roster.Peer(d.GetFrom())
@@ -117,7 +121,7 @@
 	}
 }
 
-// wantsBundle tells whether the sender's bundle is higher and was not refused lately.
+// wantsBundle reports whether the sender's bundle is higher and has not been refused recently.
 func (m *Manager) wantsBundle(d *pb.Digest, now time.Time) bool {
 	if !m.cfg.Content.BundleHigher(d.GetBundleVersion(), d.GetBundleDigest()) {
 		return false
@@ -128,7 +132,7 @@
 	return !refused || now.Sub(at) >= refetchDelay
 }
 
-// replacePending puts v into a channel that holds one, in place of what waits there.
+// replacePending puts v into a channel of capacity one and discards the value waiting there.
 func replacePending[T any](ch chan T, v T) {
 	for {
 		select {
@@ -144,19 +148,19 @@
 }
 
 const (
-	// minExchangeDelay is how long hashes must differ before a whole exchange: news in flight settles
-	// most differences by itself. differMax bounds the wait, which doubles while they go on
-	// differing, as they do while many VMs come and go.
+	// minExchangeDelay is how long hashes must differ before a full exchange: updates in flight
+	// resolve most differences. maxExchangeDelay bounds the delay, which doubles while the hashes
+	// keep differing, as they do while many VMs start and stop.
 	minExchangeDelay = 2 * time.Second
 	maxExchangeDelay = 16 * time.Second
 )
 
-// zoneDifferences decides by availability zone when hashes that differ call for an exchange: the VMs of two
-// zones may each agree among themselves, and mostly hear each other, while the zones differ for good.
-// Its owner guards it.
+// zoneDifferences decides for each availability zone when differing hashes call for an exchange.
+// The VMs of two zones may each agree among themselves and mostly hear each other, while the two
+// zones differ permanently. Its owner guards it.
 type zoneDifferences map[string]*hashDifference
 
-// observe takes one comparison with a peer of the zone and tells whether an exchange is due.
+// observe records one comparison with a peer of the zone and reports whether an exchange is due.
 func (d zoneDifferences) observe(zone string, same bool, now time.Time) bool {
 	z := d[zone]
 	if z == nil {
@@ -166,7 +170,7 @@
 	return z.observe(same, now)
 }
 
-// since returns when the longest difference began, the zero time where there is none.
+// since returns when the longest-lasting difference began, or the zero time if there is none.
 func (d zoneDifferences) since() time.Time {
 	var first time.Time
 	for _, z := range d {
@@ -177,13 +181,13 @@
 	return first
 }
 
-// hashDifference is the state for the peers of one zone.
+// hashDifference is the state of the comparisons with the peers of one zone.
 type hashDifference struct {
 	since time.Time
 	wait  time.Duration
 }
 
-// observe takes one comparison and tells whether an exchange is due.
+// observe records one comparison and reports whether an exchange is due.
 func (d *hashDifference) observe(same bool, now time.Time) bool {
 	if same {
 		*d = hashDifference{}
--- a/internal/spread/manager.go
+++ b/internal/spread/manager.go
@@ -1,7 +1,7 @@
-// Package spread carries bundles, the platform's list, membership and evidence between the syncs of
-// all VMs: small UDP packets to a few random peers several times a second, biased to the own
-// availability zone, at once where there is news; bodies by connect, and of bundles and lists only
-// the sections that changed.
+// Package spread distributes bundles, the platform's list, membership and evidence between the
+// syncs of all VMs by gossip. Small UDP packets go to a few random peers several times a second,
+// mostly in the VM's own availability zone, and at once when there are updates. Bodies are fetched
+// by Connect calls; of bundles and lists, only the sections that changed.
 package spread
 
 import (
@@ -22,38 +22,40 @@
 )
 
 const (
-	// contactPeriod is how often a random peer is contacted.
+	// contactPeriod is the interval at which a random peer is contacted.
 	contactPeriod = 250 * time.Millisecond
-	// heartbeatPeriod is how often the VM raises its heartbeat, and contacts one VM judged gone.
+	// heartbeatPeriod is the interval at which the VM raises its heartbeat and contacts one VM
+	// judged gone.
 	heartbeatPeriod = time.Second
-	// updateBytesPerSecond and newsBurst bound the bytes of news in packets, by second: a few packets of news to
-	// each of many peers go out at once, but many VMs that come and go don't pass the budget of a VM.
+	// updateBytesPerSecond and updateBurstBytes bound the bytes of updates in packets. A few
+	// packets of updates go to each of many peers at once, but many VMs that start and stop do not
+	// exceed a VM's traffic budget.
 	updateBytesPerSecond = 768
 	updateBurstBytes     = 32 << 10
-	// ownZoneShare is the share of contacts that stay in the own availability zone.
+	// ownZoneShare is the share of contacts that go to peers in the VM's own availability zone.
 	ownZoneShare = 0.75
-	// pushRate and pushBurst bound how often news is pushed at once; pushFanout is to how many
-	// peers.
+	// pushRate (per second) and pushBurst bound how often updates are pushed at once. pushFanout is
+	// the number of peers per push.
 	pushRate   = 4
 	pushBurst  = 10
 	pushFanout = 3
 )
 
-// Config is what the spread of one VM works on.
+// Config holds the dependencies of the manager of one VM.
 type Config struct {
-	// Fleet keeps the packets of two fleets apart.
+	// Fleet is the fleet's name. Packets of another fleet are dropped.
 	Fleet string
-	// Self and Zone are the VM's own.
+	// Self and Zone are the ID and the availability zone of this VM.
 	Self, Zone string
-	// Seeds are addresses (HOST:PORT) of syncs to ask while no list is known.
+	// Seeds are addresses (HOST:PORT) of syncs to query while no list is known.
 	Seeds     []string
 	Members   *membership.Table
 	Evidence  *evidence.Set
 	Content   *content.Store
 	Transport Transport
 	Dial      Dial
-	// CheckPause notices a pause of the process and calls Paused then. It is called before a packet
-	// is looked at, which may have waited through the pause.
+	// CheckPause detects a pause of the process and then calls HandlePause. It is called before a
+	// packet is processed, because the packet may have waited in the buffer during the pause.
 	CheckPause func(now time.Time)
 	// Changed is fired when the view of the fleet changes.
 	Changed  *notify.Notifier
@@ -61,45 +63,48 @@
 	Registry prometheus.Registerer
 }
 
-// Manager owns the goroutines of the spread. It implements the PeerService for other syncs.
+// Manager runs the goroutines that distribute state. It implements the PeerService for other syncs.
 type Manager struct {
 	cfg     Config
 	metrics *metrics
 	push    chan struct{}
 	pushes  *rate.Limiter
-	// fetches and exchanges hold what is next, newest wins.
+	// fetches and exchanges hold the next task; a newer one replaces it.
 	fetches   chan membership.Peer
 	exchanges chan exchangeTask
-	// fetchSlot holds a value while sections are fetched: one at a time, so that none moves twice.
+	// fetchSlot holds a value while sections are fetched. One fetch runs at a time, so that no
+	// section is transferred twice.
 	fetchSlot chan struct{}
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu.
 	updates updateQueue
 	probes  probes
-	// updateBudget bounds what news adds to packets.
+	// updateBudget limits the bytes that updates add to packets.
 	updateBudget *rate.Limiter
-	// platformContact is the local time of the newest platform contact, of any VM; zero for never.
+	// platformContact is the local time of the most recent platform contact of any VM, zero if
+	// there was none.
 	platformContact time.Time
-	// caughtUp is false from the start, and from each pause on, until peers or the platform were
-	// asked again; packets are ignored meanwhile, for they may have waited through the pause.
+	// caughtUp is false from the start, and from each pause on, until peers or the platform have
+	// been queried. Packets are ignored meanwhile, because they may have waited in the buffer
+	// during the pause.
 	caughtUp bool
 	// pauses counts the pauses of the process.
 	pauses uint64
-	// highestVersion is the highest version of a bundle that a peer said it holds.
+	// highestVersion is the highest bundle version that a peer has announced.
 	highestVersion uint64
-	// refused remembers bundles that were not accepted, by version and digest prefix.
+	// refused holds when each refused bundle was refused, by version and digest prefix.
 	refused     map[refusedKey]time.Time
 	differences zoneDifferences
 }
 
-// refusedKey names a bundle as packets do.
+// refusedKey identifies a bundle as packets do, by version and digest prefix.
 type refusedKey struct {
 	version uint64
 	prefix  [digestPrefixLen]byte
 }
 
-// New returns a manager that has yet to catch up.
+// New returns a manager that has not caught up yet.
 func New(cfg Config) *Manager {
 	return &Manager{
 		cfg:          cfg,
@@ -117,7 +122,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run runs the manager's goroutines until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.runReceive(ctx) })
@@ -135,7 +140,7 @@
 		packet, err := m.cfg.Transport.Receive(ctx)
 		if err != nil {
 			if ctx.Err() == nil {
-				// Such as a port unreachable answered to an earlier packet.
+				// For example, an ICMP port unreachable in answer to an earlier packet.
 				m.metrics.packets.WithLabelValues("receive_failed").Inc()
 			}
 			continue
@@ -144,7 +149,7 @@
 	}
 }
 
-// runContacts does what is due by time.
+// runContacts does the periodic work: heartbeats, random contacts and probes.
 func (m *Manager) runContacts(ctx context.Context) {
 	var beats time.Duration
 	for {
@@ -166,7 +171,7 @@
 	}
 }
 
-// heartbeat raises the heartbeat and lets time pass over what is known of others.
+// heartbeat raises this VM's heartbeat, and expires suspicions and evidence.
 func (m *Manager) heartbeat(now time.Time) {
 	m.cfg.Members.RaiseHeartbeat(now)
 	if !m.CaughtUp() {
@@ -194,8 +199,9 @@
 	m.send(peer, message{replyWanted: true}, now)
 }
 
-// contactGone sends a digest to one VM judged gone, to see whether it is back. It names this VM too:
-// one that started anew while the platform is down has no list, and learns here whom it can ask.
+// contactGone sends a digest to one VM judged gone, to check whether it is back. The digest
+// includes this VM's record: a VM restarted while the platform is down has no list, and learns here
+// which peer it can query.
 func (m *Manager) contactGone(now time.Time) {
 	gone := m.cfg.Members.Roster().Gone
 	if len(gone) == 0 {
@@ -205,7 +211,7 @@
 	m.send(p, message{replyWanted: true, include: []string{p.ID, m.cfg.Self}}, now)
 }
 
-// Push makes news go out at once, within the bounded rate.
+// Push sends pending updates at once, within the push rate limit.
 func (m *Manager) Push() {
 	select {
 	case m.push <- struct{}{}:
--- a/internal/spread/news.go
+++ b/internal/spread/news.go
@@ -10,72 +10,76 @@
 )
 
 const (
-	// sendsPerDoubling is how often an item is sent for each doubling of the fleet; with the
-	// packets of all others this reaches every VM with high probability, and comparing hashes
-	// finds the rest.
+	// sendsPerDoubling is how often an item is sent for each doubling of the fleet size. Together
+	// with the packets of all other VMs this reaches every VM with high probability; comparing
+	// hashes finds the rest.
 	sendsPerDoubling = 3
-	// sendsPerKnownPeer is what a packet counts for that shows a peer which knows all already.
+	// sendsPerKnownPeer is the number of sends that a packet counts for if it shows that a peer
+	// already knows everything.
 	sendsPerKnownPeer = 3
-	// minSendsPerZone is how many packets with an item must have gone to each availability zone, or
-	// come from there and shown it known: the VMs of one zone mostly hear each other, so that their
-	// knowing says nothing of the next zone.
+	// minSendsPerZone is the number of packets with an item that must have gone to each
+	// availability zone, or come from there and shown that the item is known. The VMs of one zone
+	// mostly hear each other, so what they know says nothing about another zone.
 	minSendsPerZone = 3
-	// maxUpdates bounds the items that wait; further ones are left to the comparing of hashes.
+	// maxUpdates bounds the queued items. Further items are dropped, and the comparison of hashes
+	// finds them.
 	maxUpdates = 4096
 )
 
-// sendsFor returns how often an item is sent in a fleet of the given size.
+// sendsFor returns how often an item is sent in a fleet of the given number of VMs.
 func sendsFor(fleet int) int { return sendsPerDoubling * (bits.Len(uint(fleet)) + 1) }
 
-// sendQuota is how much sending an item needs before it is forgotten: sends in all, and zoneSends to
-// each of the zones.
+// sendQuota is the number of sends after which an item is dropped from the queue: sends in total,
+// and minSendsPerZone to each of the zones.
 type sendQuota struct {
 	sends int
 	zones []string
 }
 
-// quotaFor returns the quota in a fleet as the roster shows it.
+// quotaFor returns the quota for the fleet in the roster.
 func quotaFor(r *membership.Roster) sendQuota {
 	return sendQuota{sends: sendsFor(r.PresentCount()), zones: r.Zones}
 }
 
-// updateKey names an item of news; one field is set.
+// updateKey identifies an update. Exactly one field is set.
 type updateKey struct {
 	vm        string
 	departure evidence.DepartureKey
 	crash     evidence.CrashKey
 }
 
-// updateItem is an item that still has to be sent.
+// updateItem is an update that still has to be sent.
 type updateItem struct {
 	key   updateKey
 	sends int
-	// sendsByZone counts them by the availability zone of the peer.
+	// sendsByZone counts the sends by the availability zone of the peer.
 	sendsByZone map[string]int
-	// sequence in which items came; newer ones are higher.
+	// sequence numbers the items in order of arrival; newer items have higher numbers.
 	sequence uint64
-	// index in the heap.
+	// index is the position in the heap.
 	index int
-	// hashed is true where equal hashes show that a peer knows the item.
+	// hashed is true if equal hashes show that a peer knows the item.
 	hashed bool
 }
 
-// addSends notes that n packets to or from a zone carried the item, or showed it known.
+// addSends records n packets to or from a zone that carried the item or showed that it is known
+// there.
 func (it *updateItem) addSends(n int, zone string) {
 	it.sends += n
 	it.sendsByZone[zone] += n
 }
 
-// neededIn tells whether the item has to go to a zone yet; enough whether it may be forgotten.
+// neededIn reports whether the item still has to be sent to a zone.
 func (it *updateItem) neededIn(zone string, q sendQuota) bool {
 	return it.sends < q.sends || slices.Contains(q.zones, zone) && it.sendsByZone[zone] < minSendsPerZone
 }
 
+// delivered reports whether the item has met its quota and may be dropped.
 func (it *updateItem) delivered(q sendQuota) bool {
 	return it.sends >= q.sends && !slices.ContainsFunc(q.zones, func(z string) bool { return it.sendsByZone[z] < minSendsPerZone })
 }
 
-// updateHeap orders items by the order of sending: the least sent, then the newest first.
+// updateHeap orders items for sending: least sent first, then newest first.
 type updateHeap []*updateItem
 
 // Len implements heap.Interface.
@@ -110,7 +114,7 @@
 	return it
 }
 
-// updateQueue is what this VM has still to pass on. Its owner guards it.
+// updateQueue holds the updates that this VM still has to send. Its owner guards it.
 type updateQueue struct {
 	items        map[updateKey]*updateItem
 	heap         updateHeap
@@ -119,11 +123,12 @@
 
 func newUpdateQueue() updateQueue { return updateQueue{items: make(map[updateKey]*updateItem)} }
 
-// add makes an item new. hashed tells whether the hashes in packets show it.
+// add queues an item, or restarts the sends of a queued one. hashed is true if the hashes in
+// packets cover the item.
 func (n *updateQueue) add(key updateKey, hashed bool) {
 	n.lastSequence++
 	if it := n.items[key]; it != nil {
-		// What a hash doesn't show may have come on top of what it shows.
+		// A change that no hash covers may have been added to one that a hash covers.
 		it.sends, it.sequence, it.hashed = 0, n.lastSequence, it.hashed && hashed
 		clear(it.sendsByZone)
 		heap.Fix(&n.heap, it.index)
@@ -137,7 +142,7 @@
 	heap.Push(&n.heap, it)
 }
 
-// addVMs makes what a merge brought new.
+// addVMs queues the VMs that a merge changed.
 func (n *updateQueue) addVMs(r membership.Result) {
 	for _, id := range r.Updated {
 		n.add(updateKey{vm: id}, true)
@@ -147,7 +152,7 @@
 	}
 }
 
-// addEvidence makes evidence new. Evidence without an incarnation is in no hash.
+// addEvidence queues new evidence. Evidence without an incarnation is in no hash.
 func (n *updateQueue) addEvidence(e evidence.News) {
 	for _, k := range e.Departures {
 		n.add(updateKey{departure: k}, k.Incarnation != 0)
@@ -157,8 +162,8 @@
 	}
 }
 
-// forEach calls do with items in the order of sending until it says not to go on. Items that it
-// doesn't keep are forgotten.
+// forEach calls do with the items in sending order until do returns more as false. Items for which
+// keep is false are removed.
 func (n *updateQueue) forEach(do func(*updateItem) (keep, more bool)) {
 	var kept []*updateItem
 	for more := true; more && len(n.heap) > 0; {
@@ -175,8 +180,8 @@
 	}
 }
 
-// markKnown notes that a peer was found to know all VMs, or all evidence: what has spread already needs
-// less sending. zone is the peer's.
+// markKnown records that a peer in the zone knows all VMs, all evidence or both. An item that has
+// already spread needs fewer sends.
 func (n *updateQueue) markKnown(vms, evidence bool, zone string, q sendQuota) {
 	if len(n.items) == 0 || !vms && !evidence {
 		return
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// MaxPacketBytes is the longest packet sent, so that it fits any path without fragments.
+	// MaxPacketBytes is the maximum size of a packet sent. It fits any network path without
+	// fragmentation.
 	MaxPacketBytes = 1150
-	// digestPrefixLen is how much of a bundle's digest a packet carries.
+	// digestPrefixLen is the number of bytes of a bundle's digest in a packet.
 	digestPrefixLen = 8
-	// hopAllowance is added to an age that came from another VM, for the way: without it an age
-	// that goes round and round would grow too slowly.
+	// hopAllowance is added to an age received from another VM to account for the network delay.
+	// Without it, an age relayed from VM to VM in circles would grow too slowly.
 	hopAllowance = 2 * time.Millisecond
-	// itemOverhead is what the framing adds to an item.
+	// itemOverhead is the number of bytes that the framing adds to an item.
 	itemOverhead = 4
 )
 
-// message is what a packet carries besides this VM's state and news.
+// message is the content of a packet besides this VM's state and pending updates.
 type message struct {
 	replyWanted bool
-	// probe names the VM that the receiver should contact.
+	// probe is the ID of the VM that the receiver should contact.
 	probe string
-	// include are VMs whose records go first.
+	// include lists the IDs of the VMs whose records go first.
 	include []string
 }
 
-// send sends one packet to a peer. A packet that can't be sent counts as lost.
+// send sends one packet to a peer. A packet that cannot be sent is treated as lost.
 func (m *Manager) send(to membership.Peer, msg message, now time.Time) {
 	packet, err := proto.Marshal(m.buildDigest(msg, to.Zone, now))
 	if err == nil {
@@ -45,7 +46,7 @@
 	m.metrics.packets.WithLabelValues(outcome).Inc()
 }
 
-// buildDigest builds a packet to a VM of the zone with as much news as fits.
+// buildDigest builds a packet for a VM in the zone with as many updates as fit.
 func (m *Manager) buildDigest(msg message, zone string, now time.Time) *pb.Digest {
 	self := m.cfg.Members.Self()
 	d := &pb.Digest{
@@ -74,7 +75,7 @@
 	return d
 }
 
-// addUpdates fills a packet with what has been sent least.
+// addUpdates fills a packet with updates, the least sent first.
 func (m *Manager) addUpdates(d *pb.Digest, zone string, now time.Time) {
 	q := quotaFor(m.cfg.Members.Roster())
 	remaining := MaxPacketBytes - proto.Size(d)
@@ -98,7 +99,8 @@
 	})
 }
 
-// prepareItem returns the size of an item of news and what adds it to d; nil where it is no more.
+// prepareItem returns the size of an update in bytes and a function that adds it to d. add is nil
+// if the item no longer exists.
 func (m *Manager) prepareItem(d *pb.Digest, key updateKey, now time.Time) (size int, add func()) {
 	switch {
 	case key.vm != "":
--- a/internal/spread/pick.go
+++ b/internal/spread/pick.go
@@ -6,7 +6,8 @@
 	"github.com/burdockplank/burdockplank/internal/membership"
 )
 
-// pickPeer chooses a VM that is not judged gone at random, mostly from the own zone. There must be one.
+// pickPeer returns a random VM that is not judged gone, mostly from the VM's own zone. The roster
+// must have one.
 func pickPeer(r *membership.Roster) membership.Peer {
 	if len(r.OtherZones) == 0 || len(r.OwnZone) > 0 && rand.Float64() < ownZoneShare {
 		return r.OwnZone[rand.N(len(r.OwnZone))]
@@ -14,7 +15,8 @@
 	return r.OtherZones[rand.N(len(r.OtherZones))]
 }
 
-// pickPeers chooses up to n distinct VMs as pick does, and not the one of the id but.
+// pickPeers returns up to n distinct VMs, chosen as by pickPeer, without the VM that has the ID
+// except.
 func pickPeers(r *membership.Roster, n int, except string) []membership.Peer {
 	available := r.PresentCount()
 	if _, ok := r.Peer(except); ok {
@@ -22,7 +24,8 @@
 	}
 	chosen := map[string]bool{except: true}
 	var out []membership.Peer
-	// Few of many are chosen, so a draw seldom repeats; with few VMs the tries are bounded.
+	// Repeated draws are rare if few of many VMs are chosen. The bound on attempts matters if there
+	// are few VMs.
 	for attempts := 0; len(out) < min(n, available) && attempts < 16*n; attempts++ {
 		if p := pickPeer(r); !chosen[p.ID] {
 			chosen[p.ID] = true
--- a/internal/spread/probe.go
+++ b/internal/spread/probe.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// probeTimeout is how long a contacted peer has to answer before others are asked to contact
-	// it; indirectTimeout is how long they have in all.
+	// probeTimeout is the time a contacted peer has to answer before other VMs are asked to contact
+	// it. indirectTimeout is the time for the indirect probes in total.
 	probeTimeout    = 600 * time.Millisecond
 	indirectTimeout = 1200 * time.Millisecond
-	// probeHelpers is how many are asked.
+	// probeHelpers is the number of VMs asked to probe a peer.
 	probeHelpers = 3
 )
 
 // probe is a contact that has not been answered.
 type probe struct {
-	// heartbeat of the peer when it was contacted.
+	// heartbeat is the peer's heartbeat at the time of the contact.
 	heartbeat uint64
 	since     time.Time
-	// indirect is true once others were asked.
+	// indirect is true once other VMs have been asked to contact the peer.
 	indirect bool
 }
 
-// probes are the open ones. Their owner guards them.
+// probes holds the open probes. Its owner guards it.
 type probes struct {
 	open map[string]*probe
-	// relays are the VMs that wait to hear of a VM, by its id.
+	// relays holds, by target ID, the VMs waiting to hear from the target and when each asked.
 	relays map[string]map[string]time.Time
 }
 
@@ -35,18 +35,18 @@
 	return probes{open: make(map[string]*probe), relays: make(map[string]map[string]time.Time)}
 }
 
-// start notes a contact; an open one goes on.
+// start opens a probe. An open one continues unchanged.
 func (p *probes) start(id string, heartbeat uint64, now time.Time) {
 	if p.open[id] == nil {
 		p.open[id] = &probe{heartbeat: heartbeat, since: now}
 	}
 }
 
-// answered ends the probe of a VM that was heard directly.
+// answered ends the probe of a VM that was heard from directly.
 func (p *probes) answered(id string) { delete(p.open, id) }
 
-// due returns the VMs to probe through others, and those that stayed silent with the heartbeat they
-// had.
+// due returns the VMs to probe through other VMs, and those that did not answer, with the heartbeat
+// they had.
 func (p *probes) due(now time.Time) (indirect []string, silent map[string]uint64) {
 	silent = make(map[string]uint64)
 	for id, pr := range p.open {
@@ -63,7 +63,7 @@
 	return indirect, silent
 }
 
-// relay notes that asker wants to hear of target.
+// relay records that requester waits to hear from target.
 func (p *probes) relay(target, requester string, now time.Time) {
 	if p.relays[target] == nil {
 		p.relays[target] = make(map[string]time.Time)
@@ -71,7 +71,7 @@
 	p.relays[target][requester] = now
 }
 
-// takeRequesters returns who waits to hear of a VM that was heard just now.
+// takeRequesters returns and removes the VMs waiting for a target that has just been heard from.
 func (p *probes) takeRequesters(target string, now time.Time) (requesters []string) {
 	for requester, at := range p.relays[target] {
 		if now.Sub(at) < indirectTimeout {
@@ -82,10 +82,11 @@
 	return requesters
 }
 
-// reset forgets all, for silence during a pause says nothing.
+// reset drops all probes: silence during a pause of this process says nothing about other VMs.
 func (p *probes) reset() { *p = newProbes() }
 
-// checkProbes asks others about VMs that don't answer, and suspects those that nobody hears.
+// checkProbes asks other VMs to probe peers that do not answer, and suspects those that no VM hears
+// from.
 func (m *Manager) checkProbes(now time.Time) {
 	m.mu.Lock()
 	indirect, silent := m.probes.due(now)
@@ -105,7 +106,8 @@
 	}
 }
 
-// suspect spreads that a VM stays silent, unless its heartbeat rose meanwhile by any path.
+// suspect publishes a suspicion of a VM that does not answer, unless its heartbeat has risen by any
+// path meanwhile.
 func (m *Manager) suspect(id string, heartbeat uint64, now time.Time) {
 	if !m.cfg.Members.Suspect(id, heartbeat, now) {
 		return
--- a/internal/spread/service.go
+++ b/internal/spread/service.go
@@ -15,7 +15,7 @@
 
 var _ burdockv1connect.PeerServiceHandler = (*Manager)(nil)
 
-// errOtherFleet refuses a sync that belongs to another fleet.
+// errOtherFleet returns the error for a sync that belongs to another fleet.
 func errOtherFleet(fleet string) error {
 	return connect.NewError(connect.CodeFailedPrecondition, eris.Errorf("sync.spread: fleet %q is another one", fleet))
 }
@@ -35,7 +35,7 @@
 	return resp, nil
 }
 
-// Sections implements the PeerService. Sections that are not held are left out.
+// Sections implements the PeerService. Sections that this VM does not hold are omitted.
 func (m *Manager) Sections(_ context.Context, req *pb.SectionsRequest) (*pb.SectionsResponse, error) {
 	if n := len(req.GetDigests()); n > maxSectionsPerCall {
 		return nil, connect.NewError(connect.CodeInvalidArgument, eris.Errorf("sync.spread: %d sections asked for at once, at most %d", n, maxSectionsPerCall))
@@ -70,7 +70,7 @@
 	return resp, nil
 }
 
-// versionOf returns the version a manifest claims, 0 where it can't be read.
+// versionOf returns the version that a manifest claims, or 0 if the manifest cannot be decoded.
 func versionOf(signed *pb.SignedManifest) uint64 {
 	var manifest pb.Manifest
 	if proto.Unmarshal(signed.GetManifest(), &manifest) != nil {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// recordingTransport records the packets of a manager.
+// recordingTransport records the packets that a manager sends.
 type recordingTransport struct {
 	Transport
 	to      []string
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// last decodes the newest packet.
+// last decodes the most recent packet.
 func (s *recordingTransport) last(t *testing.T) *pb.Digest {
 	t.Helper()
 	var d pb.Digest
@@ -53,7 +53,7 @@
 	return &d
 }
 
-// newManager knows n VMs besides its own and has caught up.
+// newManager returns a manager that knows n other VMs and has caught up.
 func newManager(n int) (*Manager, *recordingTransport) {
 	out := new(recordingTransport)
 	changed := notify.New()
@@ -71,7 +71,7 @@
 	return m, out
 }
 
-// packetFrom is a packet of a VM that newManager knows.
+// packetFrom returns a packet from a VM that newManager knows.
 func packetFrom(id string) *pb.Digest {
 	return &pb.Digest{Fleet: "test", From: id, Incarnation: 1 << 60, Heartbeat: 6, Version: 1}
 }
@@ -85,7 +85,7 @@
 	m.handlePacket(packet, now)
 }
 
-func TestPacketsStayShortAndCarryAllNewsInTurn(t *testing.T) {
+func TestPacketsStayShortAndCarryAllUpdatesInTurn(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(100)
 	var crashes []*pb.Crash
@@ -108,7 +108,7 @@
 	is.Equal(len(seen), 100+50+1)
 }
 
-func TestNewsIsBoundedByBytes(t *testing.T) {
+func TestUpdatesAreBoundedByBytes(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(500)
 	for range 500 {
@@ -122,7 +122,7 @@
 	is.True(total < updateBurstBytes+500*base+MaxPacketBytes)
 }
 
-func TestNewsStopsWhenPeersKnow(t *testing.T) {
+func TestUpdatesStopWhenPeersKnow(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(8)
 	m.cfg.Members.Suspect("vm-001", 5, start)
@@ -134,12 +134,12 @@
 	}
 	m.send(membership.Peer{}, message{}, start)
 	news := out.last(t).GetNews()
-	is.Equal(len(news), 1) // the suspicion, which no hash shows
+	is.Equal(len(news), 1) // the suspicion, which no hash covers
 	is.Equal(news[0].GetId(), "vm-001")
 	is.Equal(news[0].GetAddress(), "") // in its short form
 }
 
-func TestSilentVMIsProbedThroughOthersAndThenSuspected(t *testing.T) {
+func TestSilentVMIsProbedIndirectlyThenSuspected(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(8)
 	m.probes.start("vm-000", 5, start)
@@ -174,19 +174,19 @@
 	}
 }
 
-func TestHelperPassesTheAnswerOn(t *testing.T) {
+func TestHelperRelaysTheAnswer(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(8)
 	request := packetFrom("vm-000")
 	request.Probe = "vm-001"
 	m.handleDigest(t, request, start)
-	is.Equal(out.last(t).GetProbe(), "vm-001") // the target is told that it is suspected
+	is.Equal(out.last(t).GetProbe(), "vm-001") // the target learns that it is suspected
 	m.handleDigest(t, packetFrom("vm-001"), start.Add(time.Millisecond))
-	is.Equal(out.last(t).GetNews()[0].GetId(), "vm-001") // and its higher heartbeat goes to the asker
+	is.Equal(out.last(t).GetNews()[0].GetId(), "vm-001") // and its higher heartbeat goes to the requester
 	is.Equal(out.last(t).GetNews()[0].GetHeartbeat(), uint64(6))
 }
 
-func TestPacketsThatAreNotOursAreIgnored(t *testing.T) {
+func TestForeignAndOutdatedPacketsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(2)
 	other := packetFrom("vm-000")
@@ -196,9 +196,9 @@
 	request := packetFrom("vm-000")
 	request.ReplyWanted = true
 	m.HandlePause(start)
-	m.handleDigest(t, request, start) // it may have waited through the pause
+	m.handleDigest(t, request, start) // it may have waited in the buffer during the pause
 	is.Equal(len(out.packets), 0)
-	m.SetCaughtUp(0) // of before the pause
+	m.SetCaughtUp(0) // from before the pause
 	is.True(!m.CaughtUp())
 	m.SetCaughtUp(1)
 	m.handleDigest(t, request, start)
@@ -210,16 +210,16 @@
 	var d hashDifference
 	is.True(!d.observe(false, start))
 	is.True(!d.observe(false, start.Add(minExchangeDelay-1)))
-	is.True(!d.observe(true, start.Add(minExchangeDelay))) // news in flight settled it
+	is.True(!d.observe(true, start.Add(minExchangeDelay))) // updates in flight resolved it
 	is.True(!d.observe(false, start.Add(minExchangeDelay)))
 	now := start.Add(2 * minExchangeDelay)
 	is.True(d.observe(false, now))
-	is.True(!d.observe(false, now.Add(2*minExchangeDelay-1))) // the wait doubles
+	is.True(!d.observe(false, now.Add(2*minExchangeDelay-1))) // the delay doubles
 	is.True(d.observe(false, now.Add(2*minExchangeDelay)))
 }
 
-// A VM that started anew while the platform was down knew no peer's address, though all contacted it.
-// TestExchangeGivesTheWordOfAnAnswer: a peer that holds a crash, but not that its request was answered, is given it.
+// Covers the exchange of answered crashes: a peer that holds a crash but not the report that its
+// request was answered must receive that report.
 func TestExchangeGivesTheWordOfAnAnswer(t *testing.T) {
 	is := is.New(t)
 	m, _ := newManager(1)
@@ -234,6 +234,8 @@
 	}
 }
 
+// A VM restarted while the platform was down knew no address of a peer, although all peers contacted
+// it.
 func TestGoneVMLearnsWhoContactsIt(t *testing.T) {
 	is := is.New(t)
 	m, out := newManager(1)
@@ -247,10 +249,10 @@
 	}
 	is.Equal(named["self"], "127.0.0.1")
 	_, reported := named["vm-000"]
-	is.True(reported) // that it is judged gone
+	is.True(reported) // so it learns that it is judged gone
 }
 
-// Agreement within a zone must not hide that two zones differ for good.
+// Agreement within one zone must not hide that two zones differ permanently.
 func TestExchangeIsDueWhileZonesDifferThoughOneAgrees(t *testing.T) {
 	is := is.New(t)
 	d := make(zoneDifferences)
@@ -263,8 +265,9 @@
 	is.True(d.observe("az-2", false, start.Add(minExchangeDelay)))
 }
 
-// What two zones know is still sent to the others: the spread forgot it before it came there.
-func TestNewsIsKeptUntilEachZoneHasIt(t *testing.T) {
+// An item that two zones know must still be sent to the others. It used to be dropped from the
+// queue before it reached them.
+func TestUpdatesAreKeptUntilEachZoneHasThem(t *testing.T) {
 	is := is.New(t)
 	n := newUpdateQueue()
 	n.addEvidence(evidence.News{Departures: []evidence.DepartureKey{{Leaf: "leaf", Incarnation: 4}}})
--- a/internal/spread/transport.go
+++ b/internal/spread/transport.go
@@ -14,11 +14,11 @@
 	"github.com/burdockplank/burdockplank/internal/rpc"
 )
 
-// Transport carries packets between syncs. Packets may be lost, and may come late or twice.
+// Transport carries packets between syncs. Packets may be lost, delayed or duplicated.
 type Transport interface {
-	// Send sends a packet to HOST:PORT. It doesn't block.
+	// Send sends a packet to HOST:PORT without blocking.
 	Send(to string, packet []byte) error
-	// Receive waits for the next packet, until ctx ends.
+	// Receive returns the next packet. It blocks until one arrives or ctx ends.
 	Receive(ctx context.Context) ([]byte, error)
 }
 
@@ -26,21 +26,22 @@
 type Dial func(address string) burdockv1connect.PeerServiceClient
 
 const (
-	// packetOverheadBytes is what the headers of IPv4 and UDP add to a packet.
+	// packetOverheadBytes is the size of the IPv4 and UDP headers of a packet.
 	packetOverheadBytes = 28
-	// receiveBufferBytes holds the packets that come while the process is busy.
+	// receiveBufferBytes is the size of the socket buffer for packets that arrive while the process
+	// is busy.
 	receiveBufferBytes = 1 << 20
-	// maxReceivedBytes is more than any sync sends.
+	// maxReceivedBytes is larger than any packet a sync sends.
 	maxReceivedBytes = 2048
 )
 
-// UDP is the Transport over a UDP socket.
+// UDP implements Transport over a UDP socket.
 type UDP struct {
 	conn  *net.UDPConn
 	bytes *Bytes
 }
 
-// ListenUDP binds the socket to HOST:PORT.
+// ListenUDP binds a UDP socket to HOST:PORT.
 func ListenUDP(address string, bytes *Bytes) (*UDP, error) {
 	addr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -50,7 +51,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "sync.spread: listen on %s", address)
 	}
-	_ = conn.SetReadBuffer(receiveBufferBytes) // the system's limit may be lower
+	_ = conn.SetReadBuffer(receiveBufferBytes) // the operating system's limit may be lower
 	return &UDP{conn: conn, bytes: bytes}, nil
 }
 
@@ -78,20 +79,21 @@
 	return buf[:n], nil
 }
 
-// Close frees the socket.
+// Close closes the socket.
 func (u *UDP) Close() error { return u.conn.Close() }
 
 const (
-	// peerIdleTimeout is how long a connection to a peer stays open without use: peers are chosen at
-	// random, so most are not used again soon, and an idle connection costs both ends.
+	// peerIdleTimeout is how long an unused connection to a peer stays open. Peers are chosen at
+	// random, so most connections are not reused soon, and an idle connection costs resources on
+	// both sides.
 	peerIdleTimeout = 2 * time.Second
-	// maxIdlePeers bounds the idle connections.
+	// maxIdlePeers bounds the number of idle connections.
 	maxIdlePeers = 4
 	// dialPeerTimeout bounds opening a connection to a peer.
 	dialPeerTimeout = time.Second
 )
 
-// NewDial returns a Dial whose connections come from bind and are counted in bytes.
+// NewDial returns a Dial whose connections use the local address bind and are counted in bytes.
 func NewDial(bind string, bytes *Bytes) Dial {
 	d := rpc.Dialer(bind)
 	d.Timeout = dialPeerTimeout
