--- a/internal/syncd/catchup.go
+++ b/internal/syncd/catchup.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// startCatchUpTimeout is how long a fresh VM asks peers and platform before it goes on with what it
-	// has; resumeLimit is the same after a pause.
+	// startCatchUpTimeout bounds the time for which a newly started VM queries peers and platform
+	// before it continues with what it has. resumeCatchUpTimeout bounds the same after a pause.
 	startCatchUpTimeout  = 4 * time.Second
 	resumeCatchUpTimeout = 2 * time.Second
-	// platformTimeout is how long the platform has to answer where peers did.
+	// platformTimeout is the time the platform has to answer if peers have answered.
 	platformTimeout = time.Second
-	// minSettleTime is how long packets are ignored at least, so that those which waited through a pause
-	// are read out of the socket first.
+	// minSettleTime is the minimum time for which packets are ignored, so that those that waited
+	// during a pause are read out of the socket first.
 	minSettleTime = 100 * time.Millisecond
-	// minQueryDelay and askAgainMax bound the random wait between rounds of asking.
+	// minQueryDelay and maxQueryDelay bound the random delay between rounds of queries.
 	minQueryDelay = 100 * time.Millisecond
 	maxQueryDelay = 300 * time.Millisecond
 )
 
-// runCatchUp asks peers and the platform at the start and after each pause.
+// runCatchUp queries peers and the platform at the start and after each pause.
 func (m *Manager) runCatchUp(ctx context.Context) {
 	limit := startCatchUpTimeout
 	for {
@@ -40,8 +40,8 @@
 	}
 }
 
-// catchUp returns when peers and platform were asked, or at the limit: a VM that is cut off goes on
-// with the highest bundle it has seen.
+// catchUp returns when peers and platform have been queried, or when limit has passed: a VM that is
+// cut off continues with the highest bundle it has seen.
 func (m *Manager) catchUp(ctx context.Context, limit time.Duration) {
 	pauses := m.spread.Pauses()
 	limited, cancel := context.WithTimeout(ctx, limit)
@@ -56,9 +56,9 @@
 	m.publishOwnState(time.Now())
 }
 
-// queryAll asks the platform and peers side by side, until peers answered and the platform had its
-// time, or until the platform answered and there are no peers. Sections come from peers first: the
-// platform counts its reads.
+// queryAll queries the platform and the peers in parallel. It returns when peers have answered and
+// the platform has answered or its timeout has passed, or when the platform has answered and there
+// are no peers. Sections are fetched from peers first, because the platform counts its reads.
 func (m *Manager) queryAll(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -83,7 +83,7 @@
 	}
 }
 
-// waitForAnswer returns when an answer is there or it is late.
+// waitForAnswer returns when an answer is available or the deadline has passed.
 func waitForAnswer(answer chan []byte, deadline <-chan time.Time) {
 	select {
 	case a := <-answer:
@@ -92,8 +92,8 @@
 	}
 }
 
-// queryPlatform reads list and manifest once, or until ctx ends. The manifest is nil where there is
-// none.
+// queryPlatform reads list and manifest once and retries with backoff until both are answered or
+// ctx ends. The manifest is nil if there is none.
 func (m *Manager) queryPlatform(ctx context.Context) (manifest []byte) {
 	backoff := platform.Backoff{Most: maxManifestRetryDelay}
 	for {
@@ -109,6 +109,6 @@
 		return
 	}
 	if err := m.reader.applyManifest(ctx, manifest); err != nil {
-		m.cfg.Log.Warn("bundle of the platform not had yet", zap.Error(err))
+		m.cfg.Log.Warn("bundle from the platform not available yet", zap.Error(err))
 	}
 }
--- a/internal/syncd/daemon.go
+++ b/internal/syncd/daemon.go
@@ -14,7 +14,7 @@
 	"github.com/burdockplank/burdockplank/internal/spread"
 )
 
-// Providers build a Daemon from Settings.
+// Providers is the set of Wire providers that build a Daemon from Settings.
 var Providers = wire.NewSet(
 	operator.NewRegistry,
 	ProvideLog,
@@ -29,18 +29,18 @@
 	NewDaemon,
 )
 
-// ProvideLog returns the log of the process.
+// ProvideLog returns the logger of the process.
 func ProvideLog(s *Settings) (*zap.Logger, error) { return logging.New(Program, s.VM.ID, s.Log) }
 
 // ProvideBytes returns the counters of the traffic with other VMs.
 func ProvideBytes(reg prometheus.Registerer) *spread.Bytes { return spread.NewBytes(reg) }
 
-// ProvideTransport returns the socket of the spread.
+// ProvideTransport returns the UDP socket for packets between syncs.
 func ProvideTransport(s *Settings, bytes *spread.Bytes) (*spread.UDP, error) {
 	return spread.ListenUDP(s.Listen(), bytes)
 }
 
-// ProvideDial returns how other syncs are called.
+// ProvideDial returns the dialer for calls to other syncs.
 func ProvideDial(s *Settings, bytes *spread.Bytes) spread.Dial {
 	return spread.NewDial(s.VM.Bind, bytes)
 }
@@ -50,7 +50,7 @@
 	return platform.New(s.Platform.Address, s.VM.Bind, reg)
 }
 
-// ProvideConfig returns what the Manager works on.
+// ProvideConfig returns the configuration of the Manager.
 func ProvideConfig(s *Settings, log *zap.Logger, reg prometheus.Registerer, client *platform.Client, udp *spread.UDP, dial spread.Dial) Config {
 	return Config{
 		Settings: s, Incarnation: process.NewIncarnation(), Platform: client, Transport: udp, Dial: dial,
@@ -58,7 +58,7 @@
 	}
 }
 
-// Daemon is the whole process.
+// Daemon is the burdock-sync process with all its parts.
 type Daemon struct {
 	settings *Settings
 	manager  *Manager
@@ -68,12 +68,12 @@
 	log      *zap.Logger
 }
 
-// NewDaemon returns the process, ready to run.
+// NewDaemon returns a Daemon that is ready to run.
 func NewDaemon(s *Settings, m *Manager, server *Server, udp *spread.UDP, reg *prometheus.Registry, log *zap.Logger) *Daemon {
 	return &Daemon{settings: s, manager: m, server: server, udp: udp, registry: reg, log: log}
 }
 
-// Run works until SIGTERM or a failure.
+// Run runs the process until SIGTERM or a failure.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer func() { _ = d.udp.Close() }()
 	handler := operator.Handler(d.registry, d.manager.Dumps(), d.manager.Ready)
--- a/internal/syncd/drain.go
+++ b/internal/syncd/drain.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// drainCheckPeriod is how often the drain looks at the VM's processes.
+	// drainCheckPeriod is the interval at which the drain checks the VM's processes.
 	drainCheckPeriod = 100 * time.Millisecond
-	// restartGracePeriod is how long the drain waits for a process of the VM to drain as well. Where none
-	// does, the sync alone is restarted.
+	// restartGracePeriod is how long the drain waits for a process of the VM to start draining as
+	// well. If none does, only the sync is being restarted.
 	restartGracePeriod = 2 * time.Second
 )
 
-// Drain stays as long as a process of the VM drains, for it needs the sync until its end, and tells
-// the other VMs that this one leaves once none of its processes is ready.
+// Drain blocks while a process of the VM is draining, because that process needs the sync until it
+// ends. Once none of the VM's processes is ready, the other VMs are notified that this one is
+// leaving.
 func (m *Manager) Drain(ctx context.Context) {
 	m.mu.Lock()
 	m.draining = true
--- a/internal/syncd/dump.go
+++ b/internal/syncd/dump.go
@@ -13,7 +13,7 @@
 // Program is the name of the binary.
 const Program = "burdock-sync"
 
-// Dumps returns the dumpers of the sync's duties.
+// Dumps returns the dumpers of the sync's components.
 func (m *Manager) Dumps() *operator.Dumps {
 	d := operator.NewDumps()
 	d.Add(process.InfoDuty, operator.DumpFunc(func() any { return m.info(time.Now()) }))
@@ -45,7 +45,8 @@
 	return i
 }
 
-// platformAgeSeconds is negative where the platform never was heard of.
+// platformAgeSeconds returns the age of the last platform contact in seconds, or -1 if there was
+// none.
 func (m *Manager) platformAgeSeconds(now time.Time) float64 {
 	age, known := m.spread.PlatformAge(now)
 	if !known {
@@ -54,7 +55,7 @@
 	return age.Seconds()
 }
 
-// platformDump is the reading of the platform as operators see it.
+// platformDump is the state of platform reads as shown to operators.
 type platformDump struct {
 	Address           string  `json:"address"`
 	ContactAgeSeconds float64 `json:"contact_age_seconds"`
@@ -77,7 +78,7 @@
 	return d
 }
 
-// memberDump is one VM as operators see it.
+// memberDump is one VM as shown to operators.
 type memberDump struct {
 	ID          string        `json:"id"`
 	Zone        string        `json:"zone"`
@@ -112,7 +113,7 @@
 	return out
 }
 
-// evidenceDump is the evidence as operators see it.
+// evidenceDump is the evidence as shown to operators.
 type evidenceDump struct {
 	Departures []departureDump `json:"departures"`
 	Crashes    []crashDump     `json:"crashes"`
--- a/internal/syncd/faults_test.go
+++ b/internal/syncd/faults_test.go
@@ -19,7 +19,7 @@
 	goneState    = pb.VmState_VM_STATE_GONE
 )
 
-// inZone returns the nodes of a zone, or all others.
+// inZone returns the nodes of a zone, or those of all other zones if in is false.
 func (f *fleet) inZone(zone string, in bool) (out []*node) {
 	for _, nd := range f.all() {
 		if (nd.zone == zone) == in {
@@ -29,10 +29,10 @@
 	return out
 }
 
-// oneOf returns any node of a zone.
+// oneOf returns some node of a zone.
 func (f *fleet) oneOf(zone string) *node { return f.inZone(zone, true)[0] }
 
-// cut cuts a zone off from all others; "" heals.
+// cut disconnects a zone from all others; "" reconnects it.
 func (f *fleet) cut(zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 		f.platform.set(func(p *fakePlatform) { p.cutZones["az-1"] = true })
 		f.cut("az-1")
 		inside, outside := f.oneOf("az-1"), f.oneOf("az-2")
-		f.waitFor(20*time.Second, "each side sees the other go", func() bool {
+		f.waitFor(20*time.Second, "each side sees the other as gone", func() bool {
 			return inside.state(outside.id) == goneState && outside.state(inside.id) == goneState
 		})
 		for _, nd := range f.inZone("az-1", true) {
@@ -64,12 +64,12 @@
 		})
 		time.Sleep(20 * time.Second)
 		is := is.New(t)
-		is.Equal(inside.version(), uint64(1)) // serves on with the highest it has seen
+		is.Equal(inside.version(), uint64(1)) // continues to serve with the highest version it has seen
 		ready, _ := inside.manager.Ready()
 		is.True(ready)
 		age, known := inside.manager.spread.PlatformAge(time.Now())
 		is.True(known)
-		is.True(age > 20*time.Second) // and says how old its contact is
+		is.True(age > 20*time.Second) // and reports the age of its last contact
 		f.cut("")
 		f.waitFor(5*time.Second, "version 2 everywhere after the cut", f.allAt(2))
 		f.waitFor(20*time.Second, "all are live everywhere", func() bool {
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestZoneWithoutPlatformIsFedByOthers(t *testing.T) {
+func TestZoneWithoutPlatformLearnsFromOtherZones(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, 3)
 		f.platform.set(func(p *fakePlatform) { p.cutZones["az-1"] = true })
@@ -113,32 +113,32 @@
 		f.platform.set(func(p *fakePlatform) { p.down = true })
 		before := f.platform.readCount()
 		time.Sleep(2 * time.Minute)
-		// In each zone 2 readers have 2 watches, of which each takes 2 s to fail here and up to 8 s
-		// of backoff; and every 2 s another 2 VMs try 2 reads: some 2.5 reads a second a zone,
-		// whatever the number of VMs.
+		// In each zone, 2 readers have 2 watches each. A watch takes 2 s to fail here, then backs
+		// off for up to 8 s. Every 2 s another 2 VMs try 2 reads each. That makes some 2.5 reads a
+		// second per zone, whatever the number of VMs.
 		perSecond := float64(f.platform.readCount()-before) / 120
 		t.Logf("%.1f reads a second while the platform is down", perSecond)
 		is.True(perSecond < 4*3)
 		for _, nd := range f.all() {
 			ready, why := nd.manager.Ready()
-			is.True(ready) // serves on
+			is.True(ready) // continues to serve
 			is.Equal(why, "")
 			age, _ := nd.manager.spread.PlatformAge(time.Now())
-			// What travels only ever shortens it by the way between VMs.
+			// Ages sent between VMs come out shorter by the transit time at most.
 			is.True(age > 110*time.Second && age < 130*time.Second)
 		}
 		f.publish(2)
 		before = f.platform.readCount()
 		f.platform.set(func(p *fakePlatform) { p.down = false })
 		f.waitFor(12*time.Second, "version 2 everywhere once the platform is back", f.allAt(2))
-		is.True(f.platform.readCount()-before < 150) // no herd
+		is.True(f.platform.readCount()-before < 150) // no thundering herd
 	})
 }
 
-// A version that is published in the moment in which the platform comes back is in force in time, however long
-// the platform was away: readers that failed have not learned to wait for longer than that.
+// A version published at the moment the platform recovers must be in force in time, however long
+// the platform was down: after failed reads, readers must not back off for longer than that allows.
 func TestVersionPublishedAsThePlatformComesBack(t *testing.T) {
-	const attempts = 120 // of each, since the waits are drawn
+	const attempts = 120 // per duration, because the delays are random
 	for _, away := range []time.Duration{3 * time.Second, 7 * time.Second, 12 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
 			for range attempts {
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestStalePlatformLowersNothing(t *testing.T) {
+func TestStalePlatformDoesNotLowerVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8, 2)
 		f.publish(3)
@@ -170,7 +170,7 @@
 	})
 }
 
-func TestTwoBundlesOfOneVersionSettle(t *testing.T) {
+func TestTwoBundlesOfOneVersionConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, 3)
 		one, oneText := f.sign(2, "-one")
@@ -193,7 +193,7 @@
 	})
 }
 
-func TestFrozenVMWakesOverSeveralVersions(t *testing.T) {
+func TestFrozenVMResumesAfterSeveralVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 16, 4)
@@ -208,12 +208,12 @@
 		is.Equal(frozen.version(), uint64(1))
 		frozen.start()
 		frozen.manager.checkPause(time.Now())
-		is.True(!frozen.manager.spread.CaughtUp()) // feeds nobody what it knew before
-		f.waitFor(3*time.Second, "it asked its peers", frozen.manager.spread.CaughtUp)
-		is.Equal(frozen.version(), uint64(5)) // no older version was ever shown
+		is.True(!frozen.manager.spread.CaughtUp()) // sends no view from before the pause
+		f.waitFor(3*time.Second, "it caught up", frozen.manager.spread.CaughtUp)
+		is.Equal(frozen.version(), uint64(5)) // no older version was ever in force
 		f.waitFor(10*time.Second, "it is live for the others", f.allSee(frozen.id, liveState))
 		for _, nd := range f.all() {
-			is.True(f.allSee(nd.id, liveState)()) // it judged nobody by its own silence
+			is.True(f.allSee(nd.id, liveState)()) // it did not judge others by its own silence
 		}
 	})
 }
@@ -223,7 +223,7 @@
 		is := is.New(t)
 		f := newFleet(t, 8, 2)
 		old := f.oneOf("az-1")
-		time.Sleep(time.Minute) // its heartbeat is far above a fresh one
+		time.Sleep(time.Minute) // its heartbeat is far above that of a new VM
 		old.freeze()
 		f.waitFor(30*time.Second, "gone", f.allSee(old.id, goneState))
 		f.mu.Lock()
@@ -239,7 +239,7 @@
 	})
 }
 
-func TestReadersDieAndOthersTakeOver(t *testing.T) {
+func TestOthersTakeOverFromLostReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 12, 2)
@@ -264,7 +264,7 @@
 	})
 }
 
-func TestReadersCutOffFromThePlatformAreRelieved(t *testing.T) {
+func TestOthersTakeOverFromReadersCutOffFromThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, 2)
 		time.Sleep(5 * time.Second)
@@ -274,7 +274,7 @@
 			}
 		})
 		f.publish(2)
-		f.waitFor(20*time.Second, "others take their turn", f.allAt(2))
+		f.waitFor(20*time.Second, "others take over", f.allAt(2))
 	})
 }
 
@@ -285,7 +285,7 @@
 		f.mu.Lock()
 		f.loss = 0.05
 		f.mu.Unlock()
-		time.Sleep(10 * time.Second) // what came with the start has spread
+		time.Sleep(10 * time.Second) // the updates from the start have spread
 		source := f.oneOf("az-3")
 		source.manager.spread.MergeEvidence(
 			[]*pb.Departure{{Leaf: "leaf-1", Incarnation: 9, Source: pb.DepartureSource_DEPARTURE_SOURCE_GOAWAY, Vm: source.id, Age: durationpb.New(0)}},
@@ -313,7 +313,7 @@
 		})
 		t.Logf("state everywhere after %s", elapsed)
 		for _, nd := range f.all() {
-			is.True(f.allSee(nd.id, liveState)()) // loss alone makes nobody gone
+			is.True(f.allSee(nd.id, liveState)()) // packet loss alone makes no VM gone
 		}
 	})
 }
@@ -326,6 +326,6 @@
 		f.waitFor(3*time.Second, "the list says leaving", f.allSee(leaver.id, leavingState))
 		time.Sleep(5 * time.Second)
 		is := is.New(t)
-		is.True(f.allSee(silent.id, liveState)()) // it speaks, whatever the list says
+		is.True(f.allSee(silent.id, liveState)()) // it sends packets, so it is live whatever the list says
 	})
 }
--- a/internal/syncd/feed.go
+++ b/internal/syncd/feed.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// feedHeartbeatPeriod is how often a view is sent without a change.
+	// feedHeartbeatPeriod is the interval at which a view is sent without a change.
 	feedHeartbeatPeriod = 500 * time.Millisecond
-	// minFeedInterval is the least time between two views, so that a burst of changes is one view.
+	// minFeedInterval is the minimum time between two views, so that a burst of changes results in
+	// one view.
 	minFeedInterval = 20 * time.Millisecond
 )
 
-// feedServer serves the processes of this VM.
+// feedServer serves the feed to the processes of this VM.
 type feedServer struct {
 	m *Manager
 	// stopping is closed when streams have to end.
@@ -30,15 +31,15 @@
 
 var _ burdockv1connect.FeedServiceHandler = (*feedServer)(nil)
 
-// feedStream is what was sent on one stream.
+// feedStream records what has been sent on one stream.
 type feedStream struct {
 	out *connect.ServerStream[pb.View]
-	// bundle held by the process, or sent to it, by version and digest.
+	// bundleVersion and bundleDigest identify the bundle that the process holds or was sent.
 	bundleVersion uint64
 	bundleDigest  bundle.Digest
-	// sentHere is true where it was sent on this stream.
+	// sentHere is true if that bundle was sent on this stream.
 	sentHere bool
-	// epoch of the lists that were sent; sent is false before the first view.
+	// epoch is that of the lists sent last; sent is false before the first view.
 	epoch uint64
 	sent  bool
 }
@@ -64,7 +65,7 @@
 	}
 }
 
-// sendIfCaughtUp sends a view, unless what is known may be from before a pause.
+// sendIfCaughtUp sends a view unless the sync's state may predate a pause.
 func (f *feedServer) sendIfCaughtUp(s *feedStream) error {
 	f.m.checkPause(time.Now())
 	if !f.m.spread.CaughtUp() {
@@ -73,7 +74,7 @@
 	return s.send(f.m)
 }
 
-// wait returns at a change or when a heartbeat is due; false where the stream has to end.
+// wait returns true at a change or when a heartbeat is due, and false when the stream has to end.
 func (f *feedServer) wait(ctx context.Context, changed <-chan struct{}) bool {
 	t := time.NewTimer(feedHeartbeatPeriod)
 	defer t.Stop()
@@ -89,7 +90,7 @@
 	return wait.For(ctx, minFeedInterval)
 }
 
-// send sends what the process doesn't have yet.
+// send sends what the process does not have yet.
 func (s *feedStream) send(m *Manager) error {
 	view, epoch := m.views.get(time.Now())
 	if s.sent && s.epoch == epoch {
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// bundleDue tells whether the process gets the bundle: a higher one, or the one that is offered again after that sent
-// last was found not to work.
+// bundleDue reports whether the bundle has to be sent: it is higher than the one the process holds,
+// or it is offered again after the one sent last proved unusable.
 func (s *feedStream) bundleDue(b *content.Offer) bool {
 	return b != nil && (b.Above(s.bundleVersion, s.bundleDigest) || s.sentHere && b.Digest != s.bundleDigest)
 }
--- a/internal/syncd/feed_test.go
+++ b/internal/syncd/feed_test.go
@@ -28,7 +28,7 @@
 	from    net.Addr
 
 	mu sync.Mutex
-	// silenced is closed while connections pass bytes; guarded by mu.
+	// open is closed while connections pass bytes; guarded by mu.
 	open chan struct{}
 }
 
@@ -89,7 +89,7 @@
 	return c.Conn.Write(b)
 }
 
-// testFeed is the feed of a process of a node's VM.
+// testFeed is the feed of one process on a node's VM.
 type testFeed struct {
 	*feed.Manager
 	pause *process.PauseDetector
@@ -97,7 +97,7 @@
 	stop  func()
 }
 
-// feedOf serves a node and starts the feed of a gather there.
+// feedOf serves a node and starts the feed of a gather on its VM.
 func feedOf(t *testing.T, nd *node) *testFeed {
 	bind := nd.manager.cfg.Settings.VM.Bind
 	p := newPipeListener(bind)
@@ -168,10 +168,10 @@
 			return func() bool { return len(n.manager.evidence.Departures(time.Now())) == 1 }
 		}
 		f.waitFor(time.Second, "the departure in the own zone", knows(near))
-		f.waitFor(2*time.Second, "the departure elsewhere", knows(there)) // 3 s in all, the bound over the fleet
+		f.waitFor(2*time.Second, "the departure elsewhere", knows(there)) // 3 s in total, the bound for the whole fleet
 		is.Equal(there.manager.evidence.Departures(time.Now())[0].GetVm(), here.id)
 		f.waitFor(time.Second, "the departure in the own feed", func() bool { return len(gather.Current().Departures) == 1 })
-		gather.stop() // without a word, as in a crash
+		gather.stop() // without a final report, as in a crash
 		f.waitFor(3*time.Second, "gone elsewhere", seenAs(pb.ProcessState_PROCESS_STATE_GONE))
 	})
 }
@@ -198,7 +198,7 @@
 		f.waitFor(2*time.Second, "the first view", gather.Fresh)
 		woke := time.Now().Add(5 * time.Second)
 		gather.pause.Observe(woke)
-		is.True(!gather.Fresh()) // views that are under way don't help
+		is.True(!gather.Fresh()) // views in flight don't count
 		time.Sleep(5*time.Second - time.Millisecond)
 		is.True(!gather.Fresh())
 		f.waitFor(time.Second, "a view asked for after the pause", gather.Fresh)
@@ -206,7 +206,7 @@
 	})
 }
 
-func TestSyncFeedsNobodyBeforeItCaughtUp(t *testing.T) {
+func TestSyncSendsNoViewBeforeItCaughtUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 2, 2)
@@ -218,17 +218,17 @@
 		f.publish(2)
 		f.waitFor(3*time.Second, "version 2 elsewhere", func() bool { return other.version() == 2 })
 		time.Sleep(10 * time.Second)
-		is.True(gather.Fresh()) // cut off, it serves on
+		is.True(gather.Fresh()) // cut off, it continues to serve
 		is.Equal(gather.version(), uint64(1))
 
 		nd.manager.pause.Observe(time.Now().Add(pauseCheckPeriod + pauseTolerance + time.Millisecond))
 		nd.manager.checkPause(time.Now())
 		heard := gather.Current().Heard
 		time.Sleep(time.Second)
-		is.Equal(gather.Current().Heard, heard) // asking, it says nothing
+		is.Equal(gather.Current().Heard, heard) // sends no view while it catches up
 		f.cut("")
 		f.waitFor(resumeCatchUpTimeout, "a view", func() bool { return gather.Current().Heard != heard })
-		is.Equal(gather.version(), uint64(2)) // and then the newest at once
+		is.Equal(gather.version(), uint64(2)) // then the newest version at once
 
 		f.cut("az-1")
 		nd.manager.pause.Observe(time.Now().Add(3 * time.Second))
--- a/internal/syncd/fleet_test.go
+++ b/internal/syncd/fleet_test.go
@@ -19,25 +19,26 @@
 	"github.com/burdockplank/burdockplank/internal/content"
 )
 
-// fleet is a number of syncs in one process over a fake network and a fake platform.
+// fleet is a set of syncs in one process over a fake network and a fake platform.
 type fleet struct {
 	t        *testing.T
 	key      ed25519.PrivateKey
 	platform *fakePlatform
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu.
 	nodes   map[string]*node
 	byAddr  map[string]*node
 	loss    float64
 	cutZone string
-	// cutPair are two zones that don't reach each other.
+	// cutPair names two zones that cannot reach each other.
 	cutPair [2]string
-	// check is how long a sync takes to check a bundle, read how long the platform takes to answer beyond the latency.
+	// check is how long a sync takes to check a bundle. read is how long the platform takes to
+	// answer in addition to the latency.
 	check, read time.Duration
-	// packets and bytes count what was sent, calls by the size of their messages.
+	// packets counts the packets sent. bytes counts their bytes and the message sizes of calls.
 	packets, bytes int
-	// added counts the VMs ever added, for their addresses.
+	// added is the number of VMs ever added, from which addresses are derived.
 	added int
 }
 
@@ -53,8 +54,8 @@
 	running  bool
 }
 
-// newFleet starts n syncs over the zones and waits until all are ready. It runs inside a synctest
-// bubble.
+// newFleet starts n syncs spread over the zones and waits until all hold the first bundle. It must
+// run inside a synctest bubble.
 func newFleet(t *testing.T, n, zones int) *fleet {
 	t.Helper()
 	f := unstartedFleet(t)
@@ -75,7 +76,7 @@
 	return f
 }
 
-// unstartedFleet returns a fleet without a sync, for those that add makes.
+// unstartedFleet returns a fleet without any sync; use add to create them.
 func unstartedFleet(t *testing.T) *fleet {
 	f := &fleet{
 		t: t, key: ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize)),
@@ -95,7 +96,7 @@
 	return out
 }
 
-// add makes a sync without starting it.
+// add creates a sync without starting it.
 func (f *fleet) add(id, zone string) *node {
 	nd := &node{fleet: f, id: id, zone: zone, inbox: make(chan []byte, 4096)}
 	f.mu.Lock()
@@ -116,7 +117,7 @@
 	return nd
 }
 
-// slowBundles is a store whose check of a bundle takes a time.
+// slowBundles is a store whose check of a bundle takes the fleet's check time.
 type slowBundles struct {
 	content.Bundles
 	fleet *fleet
@@ -131,14 +132,15 @@
 	return s.Bundles.Apply(signed, text)
 }
 
-// setDelays sets how long syncs take to check a bundle, and the platform to answer.
+// setDelays sets how long syncs take to check a bundle and how long the platform takes to answer.
 func (f *fleet) setDelays(check, read time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check, f.read = check, read
 }
 
-// start runs the sync. After freeze it goes on with all it knew, as a process does after a pause.
+// start runs the sync. After freeze it continues with its previous state, as a process does after a
+// pause.
 func (nd *node) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	nd.cancel, nd.done = cancel, make(chan struct{})
@@ -151,7 +153,7 @@
 	}()
 }
 
-// freeze stops the sync; packets wait for it.
+// freeze stops the sync. Packets queue up for it meanwhile.
 func (nd *node) freeze() {
 	nd.fleet.mu.Lock()
 	wasRunning := nd.running
@@ -163,7 +165,8 @@
 	}
 }
 
-// bundleText returns a bundle of the version; salt makes different ones of one version.
+// bundleText returns a bundle of the version. Different salts give different bundles of one
+// version.
 func bundleText(version uint64, salt string) []byte {
 	return fmt.Appendf(nil, `version = %d
 [limits]
@@ -210,7 +213,7 @@
 	f.platform.publish(signed, text)
 }
 
-// listJSON lists all VMs as live but those in states.
+// listJSON returns a list of all VMs, live unless states says otherwise.
 func (f *fleet) listJSON(states map[string]string) []byte {
 	type vm struct {
 		ID       string `json:"id"`
@@ -240,7 +243,7 @@
 	return text
 }
 
-// allAt tells whether every running sync holds the version.
+// allAt returns a condition: every running sync holds the version.
 func (f *fleet) allAt(version uint64) func() bool {
 	return func() bool {
 		for _, nd := range f.all() {
@@ -265,7 +268,7 @@
 	return 0
 }
 
-// state returns what the sync thinks of a VM.
+// state returns the state of a VM in the sync's view.
 func (nd *node) state(id string) pb.VmState {
 	for _, vm := range nd.manager.members.View() {
 		if vm.GetId() == id {
@@ -275,7 +278,7 @@
 	return pb.VmState_VM_STATE_UNSPECIFIED
 }
 
-// allSee tells whether every running sync but the VM itself thinks the VM is in the state.
+// allSee returns a condition: every running sync other than the VM itself sees the VM in the state.
 func (f *fleet) allSee(id string, state pb.VmState) func() bool {
 	return func() bool {
 		for _, nd := range f.all() {
@@ -287,7 +290,7 @@
 	}
 }
 
-// anySees tells whether a running sync thinks the VM is in the state.
+// anySees reports whether a running sync sees the VM in the state.
 func (f *fleet) anySees(id string, state pb.VmState) bool {
 	for _, nd := range f.all() {
 		if nd.isRunning() && nd.state(id) == state {
@@ -297,7 +300,7 @@
 	return false
 }
 
-// waitFor lets the bubble's time pass until cond holds and returns how long that took.
+// waitFor advances the bubble's time until cond holds and returns the time that elapsed.
 func (f *fleet) waitFor(limit time.Duration, what string, cond func() bool) time.Duration {
 	f.t.Helper()
 	const step = 10 * time.Millisecond
--- a/internal/syncd/manager.go
+++ b/internal/syncd/manager.go
@@ -19,28 +19,29 @@
 )
 
 const (
-	// pauseCheckPeriod is how often pauses are looked for, PauseBound how late that may be.
+	// pauseCheckPeriod is the interval of the checks for pauses. A check later than pauseTolerance
+	// counts as a pause.
 	pauseCheckPeriod = 100 * time.Millisecond
 	pauseTolerance   = 900 * time.Millisecond
-	// upkeepPeriod is how often the states of the VM's processes are looked at.
+	// upkeepPeriod is the interval at which the states of the VM's processes are checked.
 	upkeepPeriod = 250 * time.Millisecond
 )
 
-// Config is what a sync works on.
+// Config holds the dependencies of a sync.
 type Config struct {
 	Settings    *Settings
 	Incarnation uint64
 	Platform    Platform
 	Transport   spread.Transport
 	Dial        spread.Dial
-	// WrapBundles, where it is set, comes between the sync and its store of bundles; tests let the check of a bundle
-	// take a time.
+	// WrapBundles, if set, wraps the store of bundles. Tests use it to make the check of a bundle
+	// take time.
 	WrapBundles func(content.Bundles) content.Bundles
 	Log         *zap.Logger
 	Registry    prometheus.Registerer
 }
 
-// Manager owns the duties of a sync.
+// Manager runs the components of a sync.
 type Manager struct {
 	cfg       Config
 	pause     *process.PauseDetector
@@ -57,17 +58,17 @@
 	started   time.Time
 
 	pauseMu sync.Mutex
-	// handledPause is the end of the newest pause that was seen to, guarded by pauses.
+	// handledPause is the end of the most recent pause that was handled; guarded by pauseMu.
 	handledPause time.Time
 
 	mu sync.Mutex
-	// draining is true from SIGTERM on, guarded by mu.
+	// draining is true from SIGTERM on; guarded by mu.
 	draining bool
-	// catchUpDue holds a value while catching up is due.
+	// catchUpDue holds a value while a catch-up is due.
 	catchUpDue chan struct{}
 }
 
-// New returns a sync that has yet to catch up.
+// New returns a sync that has not caught up yet.
 func New(cfg Config) *Manager {
 	s, now := cfg.Settings, time.Now()
 	m := &Manager{
@@ -93,7 +94,7 @@
 	return m
 }
 
-// wrapBundles returns the store as the sync reaches it.
+// wrapBundles returns the store of bundles, wrapped if WrapBundles is set.
 func (c Config) wrapBundles(s *bundle.Store) content.Bundles {
 	if c.WrapBundles == nil {
 		return s
@@ -101,10 +102,10 @@
 	return c.WrapBundles(s)
 }
 
-// Spread returns the duty that other syncs speak to.
+// Spread returns the manager that serves the calls of other syncs.
 func (m *Manager) Spread() *spread.Manager { return m.spread }
 
-// Run works until ctx ends.
+// Run runs the sync's goroutines until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	m.requestCatchUp()
 	var wg sync.WaitGroup
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// runUpkeep looks for pauses and at the VM's processes.
+// runUpkeep periodically checks for pauses and publishes the states of the VM's processes.
 func (m *Manager) runUpkeep(ctx context.Context) {
 	t := time.NewTicker(upkeepPeriod)
 	defer t.Stop()
@@ -133,10 +134,11 @@
 	}
 }
 
-// checkPause notices a pause of the process. It is called before anything that would show what the
-// process knew before. A caller that comes while another follows the pause waits for it: what it
-// shows next must already count as old. Without the wait a stream that woke at the same moment sent
-// its view from before the pause, and the VM served it for feed.FreshFor.
+// checkPause detects a pause of the process. It is called before anything that would expose the
+// state from before the pause. A caller that arrives while another one handles the pause waits
+// until that is done, because what it sends next must already count as outdated. Without the wait,
+// a stream that woke at the same moment sent its view from before the pause, and the VM served it
+// for feed.FreshFor.
 func (m *Manager) checkPause(now time.Time) {
 	ended := m.pause.LastPause(now)
 	m.pauseMu.Lock()
@@ -148,7 +150,7 @@
 	m.handledPause = ended
 }
 
-// handlePause follows a pause of the process that ended now. It is called with pauses held.
+// handlePause resets the state after a pause of the process that ended now. pauseMu must be held.
 func (m *Manager) handlePause(now time.Time) {
 	m.processes.restartTimers(now)
 	m.spread.HandlePause(now)
@@ -156,7 +158,7 @@
 	m.cfg.Log.Warn("process was paused")
 }
 
-// requestCatchUp makes catching up due.
+// requestCatchUp makes a catch-up due.
 func (m *Manager) requestCatchUp() {
 	select {
 	case m.catchUpDue <- struct{}{}:
@@ -164,7 +166,7 @@
 	}
 }
 
-// publishOwnState spreads the states of the VM's processes where they changed.
+// publishOwnState publishes the states of the VM's processes if they changed.
 func (m *Manager) publishOwnState(now time.Time) {
 	m.mu.Lock()
 	draining := m.draining
@@ -174,7 +176,7 @@
 	m.spread.SetOwnState(list, leaves, now)
 }
 
-// ownProcess describes the sync itself.
+// ownProcess returns the state of the sync itself.
 func (m *Manager) ownProcess(draining bool) *pb.Process {
 	p := &pb.Process{
 		Role: pb.ProcessRole_PROCESS_ROLE_SYNC, Incarnation: m.cfg.Incarnation,
@@ -192,7 +194,7 @@
 	return p
 }
 
-// Ready tells whether the sync has what its VM needs, and why not.
+// Ready reports whether the sync has what its VM needs, and if not, why.
 func (m *Manager) Ready() (bool, string) {
 	m.mu.Lock()
 	draining := m.draining
--- a/internal/syncd/metrics.go
+++ b/internal/syncd/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/burdockplank/burdockplank/internal/membership"
 )
 
-// metrics of the sync are read from its state when they are collected.
+// metrics collects the metrics of the sync from its state at each scrape.
 type metrics struct {
 	m        *Manager
 	members  *prometheus.Desc
@@ -66,5 +66,5 @@
 	gauge(c.evidence, float64(crashes), "crash")
 }
 
-// enumName is the short lower-case name of an enum value.
+// enumName returns the short lower-case name of an enum value.
 func enumName(s, prefix string) string { return strings.ToLower(strings.TrimPrefix(s, prefix)) }
--- a/internal/syncd/network_test.go
+++ b/internal/syncd/network_test.go
@@ -14,12 +14,12 @@
 	"github.com/burdockplank/burdockplank/internal/wait"
 )
 
-// latency of the fake network, one way.
+// latency is the one-way latency of the fake network.
 const latency = time.Millisecond
 
 var errUnreachable = errors.New("unreachable")
 
-// canReach tells whether a packet or call gets from one to the other now.
+// canReach reports whether a packet or call currently gets from one node to the other.
 func (f *fleet) canReach(from, to *node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,7 +72,8 @@
 // call is a PeerServiceClient over the fake network.
 type call struct{ from, to *node }
 
-// forward does a call if both ways are open; a call into silence waits for its deadline.
+// forward performs a call if the network is open in both directions. Otherwise the call blocks
+// until its deadline.
 func forward[Req, Resp any](ctx context.Context, c *call, req Req, do func(context.Context, Req) (Resp, error)) (Resp, error) {
 	var none Resp
 	open := func() bool {
@@ -97,10 +98,11 @@
 	return resp, err
 }
 
-// callOverhead is about what connection, headers and framing add to a call.
+// callOverhead is the approximate number of bytes that connection, headers and framing add to a
+// call.
 const callOverhead = 800
 
-// countBytes adds the messages of a call.
+// countBytes adds the sizes of a call's messages and its overhead.
 func (f *fleet) countBytes(messages ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/syncd/pause_test.go
+++ b/internal/syncd/pause_test.go
@@ -7,17 +7,17 @@
 	"github.com/matryer/is"
 )
 
-// TestAPauseIsFollowedBeforeAnyoneGoesOn holds the first caller that notices a pause inside the
-// following of it. Another that comes meanwhile, as a stream does that woke at the same moment, must
-// not find the sync caught up.
-func TestAPauseIsFollowedBeforeAnyoneGoesOn(t *testing.T) {
+// TestPauseIsHandledBeforeAnyCallerContinues blocks the first caller that detects a pause while it
+// handles the pause. A second caller that arrives meanwhile, such as a stream that woke at the same
+// moment, must not see the sync as caught up.
+func TestPauseIsHandledBeforeAnyCallerContinues(t *testing.T) {
 	is := is.New(t)
 	m := unstartedFleet(t).add("vm-1", "az-1").manager
 	m.spread.SetCaughtUp(m.spread.Pauses())
 	is.True(m.spread.CaughtUp())
 	woke := time.Now().Add(time.Minute)
 	m.pause.Observe(woke)
-	m.processes.mu.Lock() // the following of the pause stops here
+	m.processes.mu.Lock() // the handling of the pause blocks here
 	caughtUp := make(chan bool, 2)
 	for range 2 {
 		go func() {
@@ -32,7 +32,7 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 	m.processes.mu.Unlock()
-	is.True(!early) // a caller went on while the sync still counted as caught up
+	is.True(!early) // a caller continued while the sync still counted as caught up
 	is.True(!<-caughtUp)
 	is.True(!<-caughtUp)
 }
--- a/internal/syncd/platform_test.go
+++ b/internal/syncd/platform_test.go
@@ -18,10 +18,10 @@
 	f *fleet
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu.
 	changed chan struct{}
 	values  map[string]platform.Value
-	// down lets reads wait and fail, refusing lets them fail at once.
+	// down makes reads block and then fail, refusing makes them fail at once.
 	down     bool
 	refusing bool
 	cutZones map[string]bool
@@ -65,7 +65,7 @@
 	return p.values[listKey].Revision + 1
 }
 
-// set changes faults.
+// set changes the injected faults.
 func (p *fakePlatform) set(change func(p *fakePlatform)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +80,7 @@
 	return p.reads
 }
 
-// nodePlatform is the platform as one sync reaches it.
+// nodePlatform is the platform as seen by one sync.
 type nodePlatform struct {
 	p  *fakePlatform
 	nd *node
--- a/internal/syncd/processes.go
+++ b/internal/syncd/processes.go
@@ -13,44 +13,46 @@
 
 const (
 	// reportTimeout is how long a process may go without a report before its state counts as
-	// unknown; it reports each second.
+	// unknown. Processes report every second.
 	reportTimeout = 3 * time.Second
-	// streamTimeout is how long a process may be without a stream before it counts as gone: a process
-	// that lives opens the next one within a fraction of this.
+	// streamTimeout is how long a process may be without a stream before it counts as gone. A live
+	// process opens the next one within a fraction of this.
 	streamTimeout = time.Second
 )
 
-// processes are those of this VM, as they report themselves. It is safe for concurrent use.
+// processes holds the processes of this VM as they report themselves. It is safe for concurrent
+// use.
 type processes struct {
 	mu sync.Mutex
 	// byRole is guarded by mu.
 	byRole map[pb.ProcessRole]*localProcess
 }
 
-// localProcess is one process. Its owner is processes.
+// localProcess is one process of this VM. It is guarded by the mutex of processes.
 type localProcess struct {
 	reported   *pb.Process
 	lastReport time.Time
-	// streams counts its open ones; ended is when the last one ended.
+	// streams is the number of open streams; lastStreamEnd is when the last one ended.
 	streams       int
 	lastStreamEnd time.Time
 }
 
 func newProcesses() *processes { return &processes{byRole: make(map[pb.ProcessRole]*localProcess)} }
 
-// isFeedRole tells whether a role is fed by the sync.
+// isFeedRole reports whether processes of the role receive the feed.
 func isFeedRole(r pb.ProcessRole) bool {
 	return r == pb.ProcessRole_PROCESS_ROLE_ENTRY || r == pb.ProcessRole_PROCESS_ROLE_GATHER
 }
 
-// report takes what a process says of itself.
+// report records what a process reports of itself.
 func (p *processes) report(proc *pb.Process, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.record(proc, now)
 }
 
-// record returns the entry of a process, anew for a new incarnation; mu is held.
+// record returns the entry of a process and creates a new one for a new incarnation. mu must be
+// held.
 func (p *processes) record(proc *pb.Process, now time.Time) *localProcess {
 	l := p.byRole[proc.GetRole()]
 	if l == nil || l.reported.GetIncarnation() != proc.GetIncarnation() {
@@ -61,7 +63,8 @@
 	return l
 }
 
-// streamOpened notes a stream of a process; the function returned notes its end.
+// streamOpened records a new stream of a process. The returned function records the end of the
+// stream.
 func (p *processes) streamOpened(proc *pb.Process, now time.Time) (release func(time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +78,8 @@
 	}
 }
 
-// restartTimers starts the time of all processes anew: their silence may have been this process's own.
+// restartTimers restarts the timeouts of all processes after a pause, because their silence may
+// have been caused by this process's own pause.
 func (p *processes) restartTimers(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +88,7 @@
 	}
 }
 
-// list returns the processes in their states, by role.
+// list returns the processes with their current states, sorted by role.
 func (p *processes) list(now time.Time) []*pb.Process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +102,7 @@
 	return out
 }
 
-// state returns the state a process counts as.
+// state returns the current state of a process, with its timeouts applied.
 func (l *localProcess) state(now time.Time) pb.ProcessState {
 	reported := l.reported.GetState()
 	switch {
@@ -112,7 +116,7 @@
 	return reported
 }
 
-// any tells whether a process is in one of the states.
+// any reports whether a process is in one of the states.
 func (p *processes) any(now time.Time, states ...pb.ProcessState) bool {
 	return slices.ContainsFunc(p.list(now), func(proc *pb.Process) bool {
 		return slices.Contains(states, proc.GetState())
--- a/internal/syncd/processes_test.go
+++ b/internal/syncd/processes_test.go
@@ -32,8 +32,8 @@
 		{"reports", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start) }, time.Second, readyProcess},
 		{"silent, such as frozen", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start) }, reportTimeout, unknownProcess},
 		{"ended a moment ago", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start)(start) }, streamTimeout - 1, readyProcess},
-		{"ended without a word", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start)(start) }, streamTimeout, goneProcess},
-		{"says that it ends", func(p *processes) {
+		{"ended without a final report", func(p *processes) { p.streamOpened(entryProcess(1, readyProcess), start)(start) }, streamTimeout, goneProcess},
+		{"reports its end", func(p *processes) {
 			p.streamOpened(entryProcess(1, readyProcess), start)
 			p.report(entryProcess(1, goneProcess), start)
 		}, 0, goneProcess},
@@ -55,12 +55,12 @@
 	}
 }
 
-// drainOf drains a node whose entry is in the state and returns how long that took.
+// drainOf drains a node whose entry is in the state, and returns the elapsed time.
 func drainOf(f *fleet, nd *node, state pb.ProcessState, then func(p *processes)) time.Duration {
 	p := nd.manager.processes
 	p.streamOpened(entryProcess(1, state), time.Now())
 	stop := make(chan struct{})
-	go func() { // as the entry does, until it ends
+	go func() { // reports as the entry does until it ends
 		defer close(stop)
 		for range 5 {
 			p.report(entryProcess(1, state), time.Now())
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestRestartOfTheSyncAloneIsNoLeaving(t *testing.T) {
+func TestRestartOfTheSyncAloneDoesNotMarkTheVMLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 6, 2)
--- a/internal/syncd/reader.go
+++ b/internal/syncd/reader.go
@@ -22,23 +22,24 @@
 )
 
 const (
-	// manifestKey and sectionPrefix are the platform's keys of a bundle.
+	// manifestKey and sectionPrefix are the platform's keys for a bundle.
 	manifestKey   = "bundle/manifest"
 	sectionPrefix = "bundle/section/"
-	// watchWait is the wait of a long poll; it bounds the age of the contact in the calm.
+	// watchWait is the wait time of a long poll. Without changes it bounds the age of the platform
+	// contact.
 	watchWait = 5 * time.Second
-	// activeCheckPeriod is how often it is decided whether this VM reads.
+	// activeCheckPeriod is the interval at which a VM decides whether it reads the platform.
 	activeCheckPeriod = 500 * time.Millisecond
-	// maxManifestRetryDelay is the longest wait after reads of the manifest that failed. A version that is published in the moment in which
-	// the platform comes back is due in 3 s, of which reading and spreading take up to one. With waits of up to
-	// 8 s about 1 of 100 such versions came later. The list of VMs, for which no such time is promised, is
-	// tried less often.
+	// maxManifestRetryDelay is the maximum delay after a failed read of the manifest. A version
+	// published at the moment the platform recovers must be in force within 3 s, of which reading
+	// and spreading take up to 1 s. With delays of up to 8 s, about 1 of 100 such versions came
+	// later. The list of VMs has no such time limit and is retried less often.
 	maxManifestRetryDelay = 2 * time.Second
-	// minWatchInterval keeps a platform that answers watches at once from being asked in a loop.
+	// minWatchInterval prevents a busy loop if the platform answers watches at once.
 	minWatchInterval = 100 * time.Millisecond
 )
 
-// Platform is what a sync reads; *platform.Client implements it.
+// Platform is the part of the platform's API that a sync reads. *platform.Client implements it.
 type Platform interface {
 	Get(ctx context.Context, key string) (platform.Value, error)
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (platform.Value, error)
@@ -46,21 +47,22 @@
 	WatchList(ctx context.Context, after uint64, wait time.Duration) (platform.Value, error)
 }
 
-// reader reads the platform where it is this VM's turn.
+// reader reads the platform while this VM is one of the readers of its zone.
 type reader struct {
 	m      *Manager
 	jitter float64
 
 	mu sync.Mutex
-	// active is whether this VM reads now; reached is when it last reached the platform while it
-	// was not among the first by rank. Both are guarded by mu.
+	// active is true while this VM reads. lastReached is when it reached the platform while it was
+	// not among the first by rank; it is set again at most once per readers.Hold. Both are guarded
+	// by mu.
 	active      bool
 	lastReached time.Time
 }
 
 func newReader(m *Manager) *reader { return &reader{m: m, jitter: rand.Float64()} }
 
-// run reads while it is this VM's turn.
+// run starts and stops the watches as this VM becomes a reader or ceases to be one, until ctx ends.
 func (r *reader) run(ctx context.Context) {
 	var stop context.CancelFunc
 	var wg sync.WaitGroup
@@ -86,7 +88,7 @@
 	}
 }
 
-// updateActive decides whether this VM reads.
+// updateActive decides whether this VM reads the platform and returns the decision.
 func (r *reader) updateActive(now time.Time) bool {
 	state := r.state(now)
 	active := r.m.spread.CaughtUp() && readers.Active(state)
@@ -95,12 +97,12 @@
 	r.active = active
 	r.mu.Unlock()
 	if changed {
-		r.m.cfg.Log.Info("reading the platform", zap.Bool("active", active), zap.Int("rank", state.Rank))
+		r.m.cfg.Log.Info("platform reader status changed", zap.Bool("active", active), zap.Int("rank", state.Rank))
 	}
 	return active
 }
 
-// state returns what the turn depends on.
+// state returns the input of that decision.
 func (r *reader) state(now time.Time) readers.State {
 	zone, self := r.m.cfg.Settings.VM.Zone, r.m.cfg.Settings.VM.ID
 	vms := append(r.m.members.Live(zone), self)
@@ -119,8 +121,8 @@
 	return s
 }
 
-// watch repeats one watch until its turn ends, with a backoff while it fails, of most at the longest or as the
-// platform's client has it where that is 0.
+// watch repeats one watch until ctx ends. After failures it backs off for up to maxDelay, or for
+// the default of the platform's client if maxDelay is 0.
 func (r *reader) watch(ctx context.Context, maxDelay time.Duration, once func(ctx context.Context, after uint64) (uint64, error)) {
 	backoff := platform.Backoff{Most: maxDelay}
 	var after uint64
@@ -140,7 +142,7 @@
 	}
 }
 
-// recordContact notes that the platform answered.
+// recordContact records that the platform answered.
 func (r *reader) recordContact(now time.Time) {
 	r.m.spread.RecordPlatformContact(now)
 	state := r.state(now)
@@ -154,8 +156,9 @@
 	}
 }
 
-// watchManifest waits for a change of the manifest and takes the bundle. It returns the revision to
-// watch from next; the old one stays where the bundle couldn't be had yet.
+// watchManifest waits for a change of the manifest and applies the bundle. It returns the revision to
+// watch from next. On an error the caller keeps the previous revision, so that a bundle that was not
+// available yet is requested again.
 func (r *reader) watchManifest(ctx context.Context, after uint64) (uint64, error) {
 	v, err := r.m.cfg.Platform.Watch(ctx, manifestKey, after, watchWait)
 	if !platform.Answered(err) {
@@ -168,13 +171,13 @@
 	return v.Revision, r.applyManifest(ctx, v.Body)
 }
 
-// applyManifest brings the bundle in force up to the manifest, if that is higher. The error is nil
-// for a bundle that is refused: asking again would not change it.
+// applyManifest puts the bundle of the manifest in force if it is higher. It returns nil for a
+// bundle that is refused, because a retry would not change that.
 func (r *reader) applyManifest(ctx context.Context, encoded []byte) error {
 	receivedAt := time.Now()
 	signed := new(pb.SignedManifest)
 	if err := proto.Unmarshal(encoded, signed); err != nil {
-		r.m.cfg.Log.Error("manifest on the platform can't be read", zap.Error(err))
+		r.m.cfg.Log.Error("platform manifest could not be decoded", zap.Error(err))
 		return nil
 	}
 	missing, wanted, err := r.m.content.MissingBundle(signed)
@@ -183,7 +186,7 @@
 	}
 	var refused *bundle.RefusedError
 	if errors.As(err, &refused) {
-		r.m.cfg.Log.Error("bundle on the platform refused", zap.Error(err))
+		r.m.cfg.Log.Error("bundle from the platform refused", zap.Error(err))
 		return nil
 	}
 	return err
@@ -201,7 +204,7 @@
 	return r.m.spread.ApplyBundle(signed, sections, spread.Origin{From: "platform", RequestedAt: receivedAt})
 }
 
-// watchList waits for a change of the list and takes it.
+// watchList waits for a change of the list and applies it.
 func (r *reader) watchList(ctx context.Context, after uint64) (uint64, error) {
 	v, err := r.m.cfg.Platform.WatchList(ctx, after, watchWait)
 	if !platform.Answered(err) {
@@ -214,23 +217,23 @@
 	return v.Revision, nil
 }
 
-// applyList takes a list if it is higher than the one held.
+// applyList applies a list if it is higher than the one held.
 func (r *reader) applyList(text []byte) {
 	l, skipped, err := listing.Parse(text)
 	if err != nil {
-		r.m.cfg.Log.Error("list on the platform can't be read", zap.Error(err))
+		r.m.cfg.Log.Error("platform list could not be decoded", zap.Error(err))
 		return
 	}
 	if !r.m.content.ApplyList(l) {
 		return
 	}
 	if skipped > 0 {
-		r.m.cfg.Log.Warn("entries of the list can't be used", zap.Int("skipped", skipped))
+		r.m.cfg.Log.Warn("invalid entries in the platform list skipped", zap.Int("skipped", skipped))
 	}
 	r.m.spread.ListChanged()
 }
 
-// readOnce reads list and manifest once, takes the list, and tells whether the platform answered
+// readOnce reads list and manifest once and applies the list. ok is true if the platform answered
 // both.
 func (r *reader) readOnce(ctx context.Context) (manifest []byte, ok bool) {
 	list, err := r.m.cfg.Platform.List(ctx)
@@ -248,7 +251,7 @@
 	return v.Body, true
 }
 
-// isActive tells whether this VM reads.
+// isActive reports whether this VM reads the platform.
 func (r *reader) isActive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/syncd/server.go
+++ b/internal/syncd/server.go
@@ -17,11 +17,12 @@
 )
 
 const (
-	// maxPeerMessageBytes bounds a message of a peer; a whole exchange at 2,000 VMs is far below.
+	// maxPeerMessageBytes bounds a message from a peer. A full exchange among 2,000 VMs is far
+	// smaller.
 	maxPeerMessageBytes = 8 << 20
-	// minCompressBytes is the length from which answers to peers are compressed.
+	// minCompressBytes is the size from which answers to peers are compressed.
 	minCompressBytes = 1 << 10
-	// shutdownTimeout bounds the end of open calls.
+	// shutdownTimeout bounds the wait for open calls at shutdown.
 	shutdownTimeout = time.Second
 )
 
@@ -31,10 +32,11 @@
 	bytes *spread.Bytes
 }
 
-// NewServer returns a server of m that counts the bytes of other VMs in bytes.
+// NewServer returns a server of m that counts the traffic with other VMs in bytes.
 func NewServer(m *Manager, bytes *spread.Bytes) *Server { return &Server{m: m, bytes: bytes} }
 
-// Handler serves both services; the feed is for the own VM alone.
+// Handler returns the handler of both services. The feed is restricted to processes of this VM. Its
+// streams end when stopping is closed.
 func (s *Server) Handler(stopping <-chan struct{}) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(burdockv1connect.NewPeerServiceHandler(s.m.spread,
@@ -46,7 +48,8 @@
 	return n
 }
 
-// ownVMOnly refuses other VMs: what a process reports is taken as this VM's own sight.
+// ownVMOnly rejects requests from other VMs, because the reports of a process are taken as this
+// VM's own observations.
 func (s *Server) ownVMOnly(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !s.fromOwnVM(r.RemoteAddr) {
--- a/internal/syncd/settings.go
+++ b/internal/syncd/settings.go
@@ -1,5 +1,6 @@
-// Package syncd is burdock-sync: it reads the platform where it is this VM's turn, spreads bundles,
-// the list, membership and evidence between VMs, and feeds the entry and gather of its VM.
+// Package syncd implements burdock-sync. It reads the platform while this VM is one of the readers
+// of its zone, spreads bundles, the list, membership and evidence between VMs, and feeds the entry
+// and gather processes of its VM.
 package syncd
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// Settings of burdock-sync.
+// Settings holds the settings of burdock-sync.
 type Settings struct {
 	VM       settings.VM          `toml:"vm"`
 	Operator settings.Operator    `toml:"operator"`
@@ -25,11 +26,11 @@
 
 // SyncSettings is the settings table [sync].
 type SyncSettings struct {
-	// Port of TCP and UDP, on vm.bind.
+	// Port is the TCP and UDP port on vm.bind.
 	Port int `toml:"port"`
-	// Fleet names the fleet; VMs of another one are refused.
+	// Fleet is the name of the fleet. VMs of another fleet are refused.
 	Fleet string `toml:"fleet"`
-	// Seeds are syncs (IP:PORT) to ask at the start while the platform gives no list.
+	// Seeds are syncs (IP:PORT) to query at the start while the platform returns no list.
 	Seeds []string `toml:"seeds"`
 }
 
@@ -41,17 +42,17 @@
 
 // DrainSettings is the settings table [drain].
 type DrainSettings struct {
-	// Limit bounds how long the sync waits for draining processes of its VM at its own end.
+	// Limit bounds how long the sync waits at shutdown for draining processes of its VM.
 	Limit settings.Duration `toml:"limit"`
 }
 
-// defaultDrainLimit is above the drain limits of entry and gather.
+// defaultDrainLimit exceeds the drain limits of entry and gather.
 const defaultDrainLimit = 90 * time.Second
 
-// maxDrainLimit bounds what can be set.
+// maxDrainLimit is the maximum value of drain.limit.
 const maxDrainLimit = time.Hour
 
-// DefaultSettings are the settings before the file is read.
+// DefaultSettings returns the settings that apply before the file is read.
 func DefaultSettings() *Settings {
 	return &Settings{
 		Operator: settings.Operator{Listen: net.JoinHostPort("127.0.0.1", strconv.Itoa(settings.DefaultSyncOperatorPort))},
@@ -81,5 +82,5 @@
 	c.Require(limit >= 0 && limit <= maxDrainLimit, "drain.limit", "want 0s to %s, got %s", maxDrainLimit, limit)
 }
 
-// Listen returns IP:PORT of TCP and UDP.
+// Listen returns the IP:PORT for TCP and UDP.
 func (s *Settings) Listen() string { return net.JoinHostPort(s.VM.Bind, fmt.Sprint(s.Sync.Port)) }
--- a/internal/syncd/spread_test.go
+++ b/internal/syncd/spread_test.go
@@ -26,8 +26,9 @@
 	})
 }
 
-// TestBundleInForceInTimeHoweverLongItsCheckTakes guards against a bundle in force too late: its check, which takes
-// most of a second where processors are busy, is waited for once and not at each VM on the way.
+// TestBundleInForceInTimeHoweverLongItsCheckTakes guards against a bundle that comes into force too
+// late. The check takes most of a second on busy processors; a bundle must wait for it once, not at
+// each VM along its path.
 func TestBundleInForceInTimeHoweverLongItsCheckTakes(t *testing.T) {
 	const read = 200 * time.Millisecond
 	for _, vms := range []int{6, 64, 128} {
@@ -45,7 +46,8 @@
 	}
 }
 
-// budget is how many bytes a second a VM may send and receive for control in all.
+// budget is the number of bytes per second that a VM may send and receive for control traffic in
+// total.
 const budget = 4 << 10
 
 func TestBytesStayWithinTheBudget(t *testing.T) {
--- a/internal/syncd/view.go
+++ b/internal/syncd/view.go
@@ -9,15 +9,15 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// viewTTL is how long a view may be sent to further streams; its ages are from when it was made.
+// viewTTL is how long a view may be sent to further streams. Its ages count from when it was made.
 const viewTTL = 200 * time.Millisecond
 
-// viewCache makes the view once for all streams. It is safe for concurrent use.
+// viewCache builds the view once for all streams. It is safe for concurrent use.
 type viewCache struct {
 	m *Manager
 
 	mu sync.Mutex
-	// view of the epoch, made at made; guarded by mu.
+	// view is that of the epoch, built at made; all guarded by mu.
 	view  *pb.View
 	epoch uint64
 	made  time.Time
@@ -25,11 +25,11 @@
 
 func newViewCache(m *Manager) *viewCache { return &viewCache{m: m} }
 
-// get returns the whole view without a bundle, and its epoch. It must not be changed.
+// get returns the full view without a bundle, and its epoch. The caller must not modify the view.
 func (c *viewCache) get(now time.Time) (*pb.View, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// The epoch is read first: a change while the view is made counts as not seen.
+	// The epoch is read first, so that a change during the build counts as not yet seen.
 	epoch := c.m.changed.Epoch()
 	if c.view == nil || epoch != c.epoch || now.Sub(c.made) > viewTTL {
 		c.view, c.epoch, c.made = c.make(now), epoch, now
@@ -49,8 +49,8 @@
 	return v
 }
 
-// listDepartures returns a departure for each upstream that the list says leaves. They hold while
-// the list says so, and are not spread: each VM has the list.
+// listDepartures returns a departure for each upstream that is leaving according to the list. They
+// apply while the list says so and are not spread, because each VM has the list.
 func listDepartures(upstreams []*pb.Upstream) (out []*pb.Departure) {
 	for _, u := range upstreams {
 		if u.GetLeaving() {
@@ -62,14 +62,14 @@
 	return out
 }
 
-// unchanged returns a view that leaves out the lists.
+// unchanged returns a view without the lists.
 func (c *viewCache) unchanged(now time.Time) *pb.View {
 	v := c.newView(now)
 	v.Unchanged = true
 	return v
 }
 
-// newView returns what each view holds.
+// newView returns a view with the fields that every view has.
 func (c *viewCache) newView(now time.Time) *pb.View {
 	v := &pb.View{Vm: c.m.cfg.Settings.VM.ID, Zone: c.m.cfg.Settings.VM.Zone, HighestVersion: c.m.highestVersion()}
 	if b := c.m.content.Bundle(); b != nil {
@@ -81,10 +81,10 @@
 	return v
 }
 
-// highestVersion returns the highest version of a bundle that was heard of anywhere.
+// highestVersion returns the highest bundle version known anywhere in the fleet.
 func (m *Manager) highestVersion() uint64 { return max(m.content.Highest(), m.spread.HighestVersion()) }
 
-// withBundle returns a copy of v with a bundle; the lists are shared.
+// withBundle returns a copy of v with a bundle. The copy shares the lists of v.
 func withBundle(v *pb.View, signed *pb.SignedManifest, text []byte) *pb.View {
 	return &pb.View{
 		Manifest: signed, BundleText: text, BundleVersion: v.GetBundleVersion(), Vms: v.GetVms(),
