--- a/internal/feed/apply.go
+++ b/internal/feed/apply.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// apply makes msg the current view. A bundle that is not higher than the one held is left out, so
-// that a sync which starts anew never takes the process back.
+// apply makes msg the current view. It ignores a bundle that is not higher than the one held, so
+// that a restarted sync never downgrades the process.
 func (m *Manager) apply(msg *pb.View, started, now time.Time) {
 	m.applyBundle(msg)
 	old := m.Current()
@@ -49,18 +49,18 @@
 	var refused *bundle.RefusedError
 	switch {
 	case err == nil && m.cfg.Bundles.Current() == before:
-		// The sync found a higher one not to work, and offers this one again.
+		// The sync found a higher bundle unusable and offers this one again.
 	case err == nil:
 		m.cfg.Log.Info("bundle in force", zap.Uint64("version", m.cfg.Bundles.Current().Version),
 			zap.Int("bytes", len(msg.GetBundleText())), zap.Duration("checked", time.Since(begun)))
 	case errors.As(err, &refused) && (refused.Reason == bundle.RefusedOlder || refused.Reason == bundle.RefusedRace):
-		// A sync that started anew may still be behind this process.
+		// A restarted sync may still be behind this process.
 	default:
-		m.cfg.Log.Error("bundle of the sync refused", zap.Error(err))
+		m.cfg.Log.Error("bundle from the sync refused", zap.Error(err))
 	}
 }
 
-// publish replaces the view and wakes those who wait for a change.
+// publish replaces the view and wakes the waiters if it changed.
 func (m *Manager) publish(v *View, started time.Time, changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/feed/client.go
+++ b/internal/feed/client.go
@@ -21,32 +21,33 @@
 )
 
 const (
-	// FreshFor is how long after the newest message of the sync new work is still taken.
+	// FreshFor is how long after the last message from the sync new work is accepted.
 	FreshFor = 2 * time.Second
-	// monitorPeriod is how often a stream is checked for silence and for a pause of the process.
+	// monitorPeriod is the interval at which a stream is checked for silence and for a pause of the
+	// process.
 	monitorPeriod = 100 * time.Millisecond
-	// reconnectMin and reconnectMax bound the random wait before the next stream.
+	// reconnectMin and reconnectMax bound the random delay before the next stream.
 	reconnectMin = 20 * time.Millisecond
 	reconnectMax = 250 * time.Millisecond
 )
 
-// Config says for which process the feed is, and where its sync listens.
+// Config identifies the process that the feed serves and the address of its sync.
 type Config struct {
 	VM, Zone    string
 	Role        pb.ProcessRole
 	Incarnation uint64
-	// Sync is HOST:PORT of the sync of the same VM.
+	// Sync is the HOST:PORT of the sync on the same VM.
 	Sync   string
 	Client *http.Client
-	// Pause notices pauses of this process; nil leaves pauses out of Fresh.
+	// Pause detects pauses of this process. If it is nil, Fresh ignores pauses.
 	Pause *process.PauseDetector
-	// Bundles holds the bundle in force; made by bundle.NewFollowerStore for this feed alone.
+	// Bundles holds the bundle in force. It is made by bundle.NewFollowerStore for this feed only.
 	Bundles  *bundle.Store
 	Log      *zap.Logger
 	Registry prometheus.Registerer
 }
 
-// Manager is the client of the sync: it watches the view and reports what the process saw. It
+// Manager is the client of the sync. It watches the view and reports what the process observed. It
 // implements Source and Reporter.
 type Manager struct {
 	cfg     Config
@@ -55,8 +56,8 @@
 	reports *reportQueue
 
 	mu sync.Mutex
-	// view is the newest; changed is closed when its lists or bundle change. streamStarted is when
-	// the stream that brought view was asked for. All are guarded by mu.
+	// view is the current view. changed is closed when its lists or bundle change. streamStarted is
+	// when the stream that delivered view was requested. All are guarded by mu.
 	view          *View
 	changed       chan struct{}
 	streamStarted time.Time
@@ -67,10 +68,10 @@
 	_ Reporter = (*Manager)(nil)
 )
 
-// withoutCompression spares the processor: the sync is on the same VM.
+// withoutCompression saves CPU time: the sync is on the same VM.
 var withoutCompression = connect.WithAcceptCompression("gzip", nil, nil)
 
-// New returns a manager with an empty view. Run fills it.
+// New returns a manager with an empty view. Run fills the view.
 func New(cfg Config) *Manager {
 	return &Manager{
 		cfg:     cfg,
@@ -96,8 +97,8 @@
 	return m.changed
 }
 
-// Fresh implements Source. It is false when the sync was not heard for FreshFor, and from a pause
-// of the process on until a view came on a stream that was asked for after the pause.
+// Fresh implements Source. It is false if the sync has been silent for more than FreshFor, and
+// after a pause of the process until a view arrives on a stream that was requested after the pause.
 func (m *Manager) Fresh() bool {
 	now := time.Now()
 	m.mu.Lock()
@@ -112,12 +113,12 @@
 // FreshSince implements Source.
 func (m *Manager) FreshSince(t time.Time) bool { return m.Fresh() && !m.pausedSince(t, time.Now()) }
 
-// pausedSince tells whether a pause of the process ended after t.
+// pausedSince reports whether a pause of the process ended after t.
 func (m *Manager) pausedSince(t, now time.Time) bool {
 	return m.cfg.Pause != nil && m.cfg.Pause.LastPause(now).After(t)
 }
 
-// Run watches and reports until ctx ends. What was reported before the end is still sent.
+// Run watches the view and sends reports until ctx ends. Reports queued before then are still sent.
 func (m *Manager) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.runReports(ctx) })
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// runWatch keeps one stream open.
+// runWatch keeps one stream open and reopens it until ctx ends.
 func (m *Manager) runWatch(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := m.watchOnce(ctx)
@@ -141,13 +142,13 @@
 	}
 }
 
-// errPaused and errSilent end a stream from this side.
+// errPaused and errSilent are the reasons for which this side ends a stream.
 var (
 	errPaused = errors.New("process was paused")
 	errSilent = errors.New("sync is silent")
 )
 
-// watchOnce reads one stream to its end.
+// watchOnce opens one stream and reads it until it ends.
 func (m *Manager) watchOnce(ctx context.Context) error {
 	started := time.Now()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -170,8 +171,8 @@
 	return eris.Wrap(cancelCause(ctx, stream.Err()), "feed: receive")
 }
 
-// monitorStream ends a stream that is silent, or that was asked for before a pause: what waits in it is
-// from before the pause.
+// monitorStream ends a stream that is silent or that was requested before a pause, because the
+// messages buffered in it predate the pause.
 func (m *Manager) monitorStream(ctx context.Context, cancel context.CancelCauseFunc, started time.Time, heard *sharedTime) {
 	t := time.NewTicker(monitorPeriod)
 	defer t.Stop()
@@ -199,7 +200,7 @@
 	return req
 }
 
-// process describes this process as it stands.
+// process returns the current description of this process.
 func (m *Manager) process() *pb.Process {
 	p := &pb.Process{Role: m.cfg.Role, Incarnation: m.cfg.Incarnation, State: m.reports.currentState()}
 	if b := m.Current().Bundle; b != nil {
@@ -208,7 +209,7 @@
 	return p
 }
 
-// cancelCause returns why ctx was cancelled from this side, or else err.
+// cancelCause returns why this side cancelled ctx, or err if it did not.
 func cancelCause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil && !errors.Is(c, context.Canceled) {
 		return c
@@ -216,7 +217,7 @@
 	return err
 }
 
-// endReason names the end of a stream in metrics.
+// endReason returns the metric label for the end of a stream.
 func endReason(err error) string {
 	switch {
 	case err == nil:
@@ -229,7 +230,7 @@
 	return connect.CodeOf(err).String()
 }
 
-// sharedTime is a time shared by the reader and the guard of a stream.
+// sharedTime is a time shared by the reader and the monitor of a stream.
 type sharedTime struct {
 	mu sync.Mutex
 	// t is guarded by mu.
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed brings the view of a VM's burdock-sync to the entry and gather of the same VM:
-// the bundle in force, the VMs, and evidence about upstreams.
+// Package feed carries the view of a VM's burdock-sync to the entry and gather processes of the
+// same VM: the bundle in force, the VMs, and evidence about upstreams.
 package feed
 
 import (
@@ -9,48 +9,49 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// View is what a process knows of the fleet. It is immutable; each change makes a new one.
+// View is a process's knowledge of the fleet. It is immutable; each change produces a new View.
 type View struct {
 	// VM and Zone are the process's own.
 	VM, Zone string
-	// Bundle in force, nil until the first is accepted.
+	// Bundle is the bundle in force, nil until the first is accepted.
 	Bundle *bundle.Bundle
-	// HighestVersion heard of in the fleet.
+	// HighestVersion is the highest bundle version known in the fleet.
 	HighestVersion uint64
 	VMs            []*pb.Vm
 	Upstreams      []*pb.Upstream
 	Departures     []*pb.Departure
 	Crashes        []*pb.Crash
-	// Received is the local time at which the lists came; ages of departures and crashes count from
-	// here.
+	// Received is the local time at which the lists arrived. Ages of departures and crashes count
+	// from here.
 	Received time.Time
-	// Heard is the local time of the newest message of the sync, which may have left the lists as
-	// they were.
+	// Heard is the local time of the last message from the sync, which may have left the lists
+	// unchanged.
 	Heard time.Time
 	// PlatformAge is the age of the last platform contact at the time Heard, or NeverReached.
 	PlatformAge time.Duration
 }
 
-// NeverReached is the PlatformAge where no VM that was heard of reached the platform.
+// NeverReached is the PlatformAge if no known VM has ever reached the platform.
 const NeverReached time.Duration = -1
 
-// Source gives the current view. Implementations are safe for concurrent use.
+// Source provides the current view. Implementations are safe for concurrent use.
 type Source interface {
-	// Current returns the newest view; never nil, empty before the first.
+	// Current returns the current view. It is never nil, and empty before the first message.
 	Current() *View
 	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
-	// Fresh tells whether the sync was heard from lately enough for new work.
+	// Fresh reports whether the sync has been heard from recently enough to accept new work.
 	Fresh() bool
-	// FreshSince tells whether work that goes by a view taken at t, or a little later, may still start: Fresh, and
-	// the process was not paused since t. A fresh view that came meanwhile doesn't make the old one right.
+	// FreshSince reports whether work based on a view taken at t, or a little later, may still
+	// start: Fresh is true, and the process has not been paused since t. A fresh view that arrived
+	// meanwhile does not make the old one valid.
 	FreshSince(t time.Time) bool
 }
 
-// Reporter takes what a process saw for itself to the sync, which spreads it. Calls don't block.
+// Reporter sends what a process observed to the sync, which spreads it. Calls do not block.
 type Reporter interface {
 	ReportDeparture(*pb.Departure)
 	ReportCrash(*pb.Crash)
-	// SetState says in which state the process is; the sync tells the other VMs at once.
+	// SetState sets the state of the process. The sync notifies the other VMs at once.
 	SetState(pb.ProcessState)
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -57,7 +57,7 @@
 	return &pb.View{Manifest: signed, BundleText: text, BundleVersion: uint64(version), Vms: []*pb.Vm{{Id: "vm-1"}}}
 }
 
-func TestViewsNeverTakeTheBundleBack(t *testing.T) {
+func TestViewsNeverDowngradeTheBundle(t *testing.T) {
 	is := is.New(t)
 	m := newManager()
 	broken := viewOf(t, 9)
@@ -72,7 +72,7 @@
 		m.apply(s.view, start, start)
 		is.Equal(m.Current().Bundle.Version, s.want)
 	}
-	is.Equal(m.Current().HighestVersion, uint64(9)) // heard of, though not in force
+	is.Equal(m.Current().HighestVersion, uint64(9)) // announced, though not in force
 }
 
 func TestUnchangedViewKeepsTheListsAndTheirAge(t *testing.T) {
@@ -96,14 +96,14 @@
 	}
 }
 
-func TestReportsWaitWithTheirAge(t *testing.T) {
+func TestQueuedReportsKeepTheirAge(t *testing.T) {
 	is := is.New(t)
 	q := newReportQueue()
 	is.True(q.addDeparture(&pb.Departure{Leaf: "a"}, start))
 	is.True(q.addCrash(&pb.Crash{RequestDigest: 1, Leaf: "a"}, start))
 	departures, crashes := q.take()
 	is.True(q.addDeparture(&pb.Departure{Leaf: "a", Vm: "newer"}, start.Add(time.Second)))
-	q.requeue(departures, crashes) // the sync was out of reach
+	q.requeue(departures, crashes) // the sync was unreachable
 	departures, crashes = q.take()
 	is.Equal(len(departures), 1)
 	for _, d := range departures {
@@ -122,5 +122,5 @@
 		is.True(q.addCrash(&pb.Crash{RequestDigest: i}, start))
 	}
 	is.True(!q.addCrash(&pb.Crash{RequestDigest: maxQueued}, start))
-	is.True(q.addCrash(&pb.Crash{RequestDigest: 0}, start)) // held already
+	is.True(q.addCrash(&pb.Crash{RequestDigest: 0}, start)) // already queued
 }
--- a/internal/feed/info.go
+++ b/internal/feed/info.go
@@ -6,8 +6,8 @@
 	"github.com/burdockplank/burdockplank/internal/process"
 )
 
-// Describe fills in what the view says of a process: the version of the bundle in force, and how
-// long ago the platform was heard of, -1 where it never was.
+// Describe adds what the view says of a process to i: the version of the bundle in force, and the
+// age of the last platform contact in seconds, -1 if there was none.
 func (v *View) Describe(i process.Info, now time.Time) process.Info {
 	if v.Bundle != nil {
 		i.BundleVersion = v.Bundle.Version
@@ -19,7 +19,7 @@
 	return i
 }
 
-// Age returns how long ago the sync was heard of, in words; "never" before the first time.
+// Age returns the time since the last message from the sync as text, "never" before the first one.
 func (v *View) Age(now time.Time) string {
 	if v.Heard.IsZero() {
 		return "never"
--- a/internal/feed/metrics.go
+++ b/internal/feed/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// clientMetrics count the traffic with the sync of the VM.
+// clientMetrics counts the traffic with the sync of the VM.
 type clientMetrics struct {
 	views      *prometheus.CounterVec
 	streamEnds *prometheus.CounterVec
--- a/internal/feed/report.go
+++ b/internal/feed/report.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// reportPeriod is how often the process's state is reported without news.
+	// reportPeriod is the interval at which the process's state is reported if nothing else is
+	// queued.
 	reportPeriod = time.Second
 	// reportTimeout bounds one report.
 	reportTimeout = time.Second
-	// reportRetryDelay is the wait after a report that failed.
+	// reportRetryDelay is the delay after a failed report.
 	reportRetryDelay = 100 * time.Millisecond
 	// finalReportTimeout bounds the report at the end of the process.
 	finalReportTimeout = 300 * time.Millisecond
-	// maxQueued bounds what waits for a sync that can't be reached.
+	// maxQueued bounds the departures, and likewise the crashes, queued for a sync that cannot be
+	// reached.
 	maxQueued = 1024
 )
 
@@ -45,7 +47,7 @@
 // SetState implements Reporter.
 func (m *Manager) SetState(s pb.ProcessState) { m.reports.setState(s) }
 
-// runReports sends what is queued, at once where there is news.
+// runReports sends queued reports, at once when something new is queued.
 func (m *Manager) runReports(ctx context.Context) {
 	t := time.NewTicker(reportPeriod)
 	defer t.Stop()
@@ -63,12 +65,12 @@
 	}
 }
 
-// finalReport sends what the process said just before its end.
+// finalReport sends what the process queued just before its end.
 func (m *Manager) finalReport(ctx context.Context) {
 	_ = m.report(context.WithoutCancel(ctx), finalReportTimeout)
 }
 
-// report sends the queue, and puts it back where that fails.
+// report sends the queue and puts it back if that fails.
 func (m *Manager) report(ctx context.Context, timeout time.Duration) error {
 	departures, crashes := m.reports.take()
 	now := time.Now()
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// queuedDeparture is a departure with the time at which its age was right.
+// queuedDeparture is a departure and the time to which its age refers.
 type queuedDeparture struct {
 	departure *pb.Departure
 	at        time.Time
@@ -103,7 +105,7 @@
 	return d
 }
 
-// queuedCrash is a crash with the time at which its age was right.
+// queuedCrash is a crash and the time to which its age refers.
 type queuedCrash struct {
 	crash *pb.Crash
 	at    time.Time
@@ -115,21 +117,21 @@
 	return c
 }
 
-// departureKey names evidence of which the newest is enough.
+// departureKey identifies departures of which only the newest is kept.
 type departureKey struct {
 	leaf        string
 	incarnation uint64
 	source      pb.DepartureSource
 }
 
-// crashKey names one crash of one request.
+// crashKey identifies one crash of one request.
 type crashKey struct {
 	digest      uint64
 	leaf        string
 	incarnation uint64
 }
 
-// reportQueue holds what the sync has not taken yet.
+// reportQueue holds the reports that the sync has not accepted yet.
 type reportQueue struct {
 	// woken holds a value while a report is due at once.
 	woken chan struct{}
@@ -174,7 +176,7 @@
 	}
 }
 
-// addDeparture queues d; false where the queue is full.
+// addDeparture queues d. It returns false if the queue is full.
 func (q *reportQueue) addDeparture(d *pb.Departure, now time.Time) bool {
 	key := departureKey{d.GetLeaf(), d.GetIncarnation(), d.GetSource()}
 	q.mu.Lock()
@@ -188,7 +190,7 @@
 	return !full
 }
 
-// addCrash queues c; false where the queue is full.
+// addCrash queues c. It returns false if the queue is full.
 func (q *reportQueue) addCrash(c *pb.Crash, now time.Time) bool {
 	key := crashKey{c.GetRequestDigest(), c.GetLeaf(), c.GetIncarnation()}
 	q.mu.Lock()
@@ -202,7 +204,7 @@
 	return !full
 }
 
-// take empties the queue.
+// take empties the queue and returns its contents.
 func (q *reportQueue) take() (map[departureKey]queuedDeparture, map[crashKey]queuedCrash) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -212,7 +214,7 @@
 	return departures, crashes
 }
 
-// requeue queues again what could not be sent; newer evidence of the same key stays.
+// requeue puts back what could not be sent. Newer evidence under the same key is kept.
 func (q *reportQueue) requeue(departures map[departureKey]queuedDeparture, crashes map[crashKey]queuedCrash) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
