--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -1,5 +1,6 @@
-// Package listing holds the platform's list of VMs and upstreams: its reading from JSON, and its
-// split into sections named by their SHA-256, so that only changed parts move between VMs.
+// Package listing holds the platform's list of VMs and upstreams: its parsing from JSON, and its
+// split into sections identified by their SHA-256 digests, so that only changed sections are
+// transferred between VMs.
 package listing
 
 import (
@@ -18,22 +19,22 @@
 // List is one revision of the platform's list. It is immutable.
 type List struct {
 	Revision uint64
-	// VMs and Upstreams are sorted by id. A VM's state is live or leaving.
+	// VMs and Upstreams are sorted by ID. A VM's state is live or leaving.
 	VMs       []*pb.Vm
 	Upstreams []*pb.Upstream
-	// Manifest names the sections.
+	// Manifest lists the digests of the sections.
 	Manifest *pb.ListManifest
-	// Sections by their digests.
+	// Sections holds the encoded sections by digest.
 	Sections map[bundle.Digest][]byte
 }
 
-// The states in the platform's JSON.
+// States of VMs and upstreams in the platform's JSON.
 const (
 	stateLive    = "live"
 	stateLeaving = "leaving"
 )
 
-// document is the platform's JSON.
+// document is the platform's JSON document.
 type document struct {
 	Revision uint64      `json:"revision"`
 	VMs      []vmEntry   `json:"vms"`
@@ -58,12 +59,12 @@
 	State   string `json:"state"`
 }
 
-// Parse reads the platform's JSON. Entries that can't be used are left out and counted in skipped:
-// one bad entry must not hide all others.
+// Parse decodes the platform's JSON. Invalid entries are left out and counted in skipped, so that
+// one bad entry does not hide all others.
 func Parse(text []byte) (list *List, skipped int, err error) {
 	var doc document
 	if err := json.Unmarshal(text, &doc); err != nil {
-		return nil, 0, eris.Wrap(err, "sync.listing: read list")
+		return nil, 0, eris.Wrap(err, "sync.listing: decode list")
 	}
 	var vms []*pb.Vm
 	var upstreams []*pb.Upstream
@@ -81,14 +82,14 @@
 	return list, len(doc.VMs) + len(doc.Leaves) - len(list.VMs) - len(list.Upstreams), nil
 }
 
-// New returns a list; of entries with one id the first is kept.
+// New returns a list. If several entries have the same ID, the first is kept.
 func New(revision uint64, vms []*pb.Vm, upstreams []*pb.Upstream) *List {
 	l := &List{Revision: revision, VMs: sortedByID(vms), Upstreams: sortedByID(upstreams)}
 	l.splitSections()
 	return l
 }
 
-// identified is what both kinds of entries have.
+// identified is implemented by both kinds of entries.
 type identified interface{ GetId() string }
 
 func sortedByID[T identified](entries []T) []T {
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -11,7 +11,7 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// document of n VMs and 6 leaves for each, with one VM's state given.
+// listText returns a list of n VMs with 6 leaves each. The first VM has the given state.
 func listText(n int, firstState string) []byte {
 	var vms, leaves []string
 	for i := range n {
@@ -36,7 +36,7 @@
 	return l
 }
 
-func TestSectionsGiveTheListBack(t *testing.T) {
+func TestSectionsReassembleToTheList(t *testing.T) {
 	for _, n := range []int{0, 1, 8, 530} {
 		is := is.New(t)
 		l := parse(t, listText(n, "leaving"))
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestOneChangeMovesOneSection(t *testing.T) {
+func TestOneChangeAffectsOneSection(t *testing.T) {
 	is := is.New(t)
 	before, after := parse(t, listText(530, "live")), parse(t, listText(530, "leaving"))
 	changed, bytes := 0, 0
@@ -62,7 +62,7 @@
 	is.True(bytes+proto.Size(after.Manifest) < 8<<10)
 }
 
-func TestBadEntriesAreLeftOut(t *testing.T) {
+func TestInvalidEntriesAreSkipped(t *testing.T) {
 	is := is.New(t)
 	l, skipped, err := Parse([]byte(`{"revision":1,
 		"vms":[{"id":"ok","zone":"az-1","address":"127.0.0.1","sync_port":1,"state":"live"},
@@ -78,7 +78,7 @@
 	is.True(err != nil)
 }
 
-func TestAssembleRefusesWhatIsNotWhole(t *testing.T) {
+func TestAssembleRejectsMissingSections(t *testing.T) {
 	is := is.New(t)
 	l := parse(t, listText(530, "live"))
 	for d := range l.Sections {
--- a/internal/listing/sections.go
+++ b/internal/listing/sections.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// entriesPerSection is about how many entries share a section: fewer make the manifest longer,
-	// more make a change of one entry move more.
+	// entriesPerSection is the approximate number of entries per section. Fewer make the manifest
+	// longer; more make a change of one entry transfer more.
 	entriesPerSection = 32
 	// maxSections bounds a manifest to 8 KiB.
 	maxSections = 256
 )
 
-// sectionCount returns the power of two that suits the number of entries.
+// sectionCount returns the number of sections for a number of entries, a power of two.
 func sectionCount(entries int) int {
 	sections := uint(entries / entriesPerSection)
 	return min(1<<bits.Len(sections), maxSections)
 }
 
-// splitSections fills in the sections. An entry's section depends on its id alone, so a change of one entry
-// changes one section.
+// splitSections fills in Manifest and Sections. An entry's section depends on its ID alone, so that
+// a change of one entry changes one section.
 func (l *List) splitSections() {
 	n := sectionCount(len(l.VMs) + len(l.Upstreams))
 	sections := make([]pb.ListSection, n)
@@ -48,15 +48,15 @@
 func (l *List) addSection(section *pb.ListSection) {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(section)
 	if err != nil {
-		panic(err) // only text that isn't UTF-8 can't be encoded, and names are checked
+		panic(err) // only text that is not valid UTF-8 cannot be encoded, and names are validated
 	}
 	d := bundle.SectionDigest(encoded)
 	l.Sections[d] = encoded
 	l.Manifest.Sections = append(l.Manifest.Sections, d[:])
 }
 
-// Assemble puts a list together from its manifest and sections; sections holds at least those that
-// the manifest names.
+// Assemble builds a list from its manifest and sections. sections must hold at least those that the
+// manifest lists.
 func Assemble(m *pb.ListManifest, sections map[bundle.Digest][]byte) (*List, error) {
 	if len(m.GetSections()) > maxSections {
 		return nil, eris.Errorf("sync.listing: manifest names %d sections", len(m.GetSections()))
@@ -70,7 +70,7 @@
 		}
 		var section pb.ListSection
 		if err := proto.Unmarshal(encoded, &section); err != nil {
-			return nil, eris.Wrapf(err, "sync.listing: section %d", i)
+			return nil, eris.Wrapf(err, "sync.listing: decode section %d", i)
 		}
 		l.Sections[d] = encoded
 		l.VMs = append(l.VMs, section.GetVms()...)
