--- a/internal/membership/doc_test.go
+++ b/internal/membership/doc_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// row returns a rule as docs/MEMBERSHIP.md shows it.
+// row formats a rule as a table row of docs/MEMBERSHIP.md.
 func row(r Rule) string {
 	return fmt.Sprintf("| %s | %s | %s | %s | %s | %s |", r.Subject, r.One, r.Other, r.Holds, r.Why, r.Package)
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,23 +6,23 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// Result says what a merge changed.
+// Result describes what a merge changed.
 type Result struct {
-	// Updated are the VMs of which something is new that the hash of the roster shows.
+	// Updated lists the VMs with a change that the hash of the roster covers.
 	Updated []string
-	// Judged are the VMs newly judged suspect or gone, and those of which that was withdrawn: the
-	// hash doesn't show it.
+	// Judged lists the VMs newly judged suspect or gone, and those whose judgement was withdrawn.
+	// The hash does not cover these changes.
 	Judged []string
-	// Outdated are the VMs of which the sender held a lower record that misjudges them.
+	// Outdated lists the VMs for which the sender holds a lower record that misjudges them.
 	Outdated []string
-	// Refuted is true where this VM raised its own heartbeat against a record of itself.
+	// Refuted is true if this VM raised its own heartbeat to refute a record of itself.
 	Refuted bool
 }
 
-// Any tells whether there is anything new.
+// Any reports whether the merge changed anything.
 func (r Result) Any() bool { return len(r.Updated)+len(r.Judged) > 0 }
 
-// add adds a VM of which something other than the heartbeat is new.
+// add adds a VM with a change other than its heartbeat.
 func (r *Result) add(id string, judged bool) {
 	if judged {
 		r.Judged = append(r.Judged, id)
@@ -31,7 +31,7 @@
 	}
 }
 
-// Merge takes records from another VM.
+// Merge merges records received from another VM.
 func (t *Table) Merge(records []*pb.Vm, now time.Time) Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,8 +47,8 @@
 	return res
 }
 
-// mergeSelf answers a record of this VM that is not its newest word: the VM raises its heartbeat
-// above one that would hold against its own. mu is held.
+// mergeSelf handles a record of this VM that is not its current one. If the received record would
+// prevail, the VM raises its heartbeat above it. mu must be held.
 func (t *Table) mergeSelf(r *pb.Vm, now time.Time, res *Result) {
 	own := t.entries[t.selfID].record
 	if Compare(r, own) <= 0 {
@@ -65,7 +65,7 @@
 	res.Refuted = true
 }
 
-// mergeOther takes a record of another VM if it is higher than the one held; mu is held.
+// mergeOther merges a record of another VM if it is higher than the one held. mu must be held.
 func (t *Table) mergeOther(r *pb.Vm, now time.Time, res *Result) {
 	e := t.entries[r.GetId()]
 	if e == nil {
@@ -82,8 +82,8 @@
 	t.replace(e, r, now, res)
 }
 
-// insert takes the first record of a VM. A judgement of a VM that is not even on the list says
-// nothing; mu is held.
+// insert adds the first record of a VM. It ignores a judgement of a VM that is not even on the
+// list. mu must be held.
 func (t *Table) insert(r *pb.Vm, now time.Time, res *Result) {
 	if judged(r) {
 		listed := t.listed[r.GetId()]
@@ -97,7 +97,7 @@
 	res.add(r.GetId(), judged(r))
 }
 
-// replace puts a higher record in place; mu is held.
+// replace replaces a record with a higher one. mu must be held.
 func (t *Table) replace(e *entry, r *pb.Vm, now time.Time, res *Result) {
 	before := e.record
 	if judged(r) {
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -17,35 +17,37 @@
 	ID, Zone string
 	// Address is HOST:PORT of its sync.
 	Address string
-	// Gone is true where it is judged gone and contacted only to see whether it is back.
+	// Gone is true if the VM is judged gone and contacted only to check whether it is back.
 	Gone bool
 }
 
-// Roster is the other VMs that can be contacted, those of the list and those that spoke, at one
-// moment. It is immutable.
+// Roster is a snapshot of the other VMs that can be contacted: those on the list and those that
+// sent records. It is immutable.
 type Roster struct {
-	// OwnZone and Other are the VMs of the own and of other zones that are not judged gone.
+	// OwnZone and OtherZones hold the VMs of this VM's zone and of other zones that are not judged
+	// gone.
 	OwnZone, OtherZones []Peer
 	Gone                []Peer
-	// Zones are the availability zones of Own and Other, each once.
+	// Zones holds the availability zones of OwnZone and OtherZones, each once.
 	Zones []string
 	// Hash is equal for tables that hold the same VMs in the same versions. Heartbeats, suspicions
-	// and VMs that are gone are left out: they differ between VMs in the calm as well.
+	// and VMs that are gone are left out, because they differ between VMs even without changes in
+	// the fleet.
 	Hash uint64
 
 	byID map[string]Peer
 }
 
-// PresentCount returns how many VMs are not judged gone.
+// PresentCount returns the number of VMs that are not judged gone.
 func (r *Roster) PresentCount() int { return len(r.OwnZone) + len(r.OtherZones) }
 
-// Peer returns a VM by its id and whether it is known.
+// Peer returns the VM with the ID and whether it is known.
 func (r *Roster) Peer(id string) (Peer, bool) {
 	p, ok := r.byID[id]
 	return p, ok
 }
 
-// Roster returns the VMs to contact. It is made anew only after a change.
+// Roster returns the VMs to contact. It is rebuilt only after a change.
 func (t *Table) Roster() *Roster {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +57,7 @@
 	return t.roster
 }
 
-// buildRoster makes the roster; mu is held.
+// buildRoster builds the roster. mu must be held.
 func (t *Table) buildRoster() *Roster {
 	r := &Roster{byID: make(map[string]Peer, len(t.entries)+len(t.listed))}
 	for id, e := range t.entries {
@@ -94,7 +96,7 @@
 	return r
 }
 
-// versionHash is what a record adds to the hash of the roster.
+// versionHash returns what a record contributes to the hash of the roster.
 func versionHash(r *pb.Vm) uint64 {
 	if r.GetState() == gone || r.GetHeartbeat() == 0 {
 		return 0
--- a/internal/membership/rules.go
+++ b/internal/membership/rules.go
@@ -2,10 +2,10 @@
 
 import pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 
-// Subject is what a rule decides on.
+// Subject is what a rule applies to.
 type Subject string
 
-// The subjects of rules.
+// Subjects of rules.
 const (
 	SubjectVM     Subject = "VM"
 	SubjectRecord Subject = "record of a VM"
@@ -14,17 +14,17 @@
 	SubjectList   Subject = "list"
 )
 
-// Claim is what one source says.
+// Claim is the statement of one source.
 type Claim string
 
-// What the platform's list says of a VM.
+// Claims of the platform's list about a VM.
 const (
 	ListLive    Claim = "list: live"
 	ListLeaving Claim = "list: leaving"
 	ListAbsent  Claim = "list: not named"
 )
 
-// What the evidence between VMs says of a VM.
+// Claims of the evidence between VMs about a VM.
 const (
 	EvidenceNone    Claim = "evidence: never heard of"
 	EvidenceLive    Claim = "evidence: live"
@@ -33,20 +33,20 @@
 	EvidenceLeaving Claim = "evidence: says itself that it leaves"
 )
 
-// Rule says what holds where two sources speak of one thing.
+// Rule defines which claim prevails if two sources make claims about the same subject.
 type Rule struct {
 	Subject    Subject
 	One, Other Claim
-	// State is what holds for a VM; other subjects have Holds alone.
+	// State is the resulting state of a VM. Rules on other subjects set only Holds.
 	State pb.VmState
-	// Holds says what holds.
+	// Holds describes the result.
 	Holds string
 	Why   string
-	// Package applies the rule.
+	// Package is the package that applies the rule.
 	Package string
 }
 
-// The states by short names, for the table.
+// Short names of the states, for the table of rules.
 const (
 	live    = pb.VmState_VM_STATE_LIVE
 	suspect = pb.VmState_VM_STATE_SUSPECT
@@ -54,7 +54,7 @@
 	gone    = pb.VmState_VM_STATE_GONE
 )
 
-// Rules is the one table of what holds where sources contradict or complete each other.
+// Rules is the single table of results where sources contradict or complete each other.
 // docs/MEMBERSHIP.md shows it; a test compares the two.
 var Rules = []Rule{
 	vmRule(ListLive, EvidenceNone, suspect, "the list may name a VM that has not started or is gone already; it is contacted, but gets no work before it speaks"),
@@ -96,13 +96,13 @@
 
 var stateNames = map[pb.VmState]string{live: "live", suspect: "suspect", leaving: "leaving", gone: "gone"}
 
-// States are those a VM can have.
+// States lists the states that a VM can have.
 var States = []pb.VmState{live, suspect, leaving, gone}
 
-// StateName returns the short name of a VM's state, for dumps and metrics.
+// StateName returns the short name of a VM's state for dumps and metrics.
 func StateName(s pb.VmState) string { return stateNames[s] }
 
-// claims is a pair of claims on a VM.
+// claims is a pair of claims about a VM.
 type claims struct{ list, evidence Claim }
 
 var vmStates = func() map[claims]pb.VmState {
@@ -115,10 +115,10 @@
 	return m
 }()
 
-// resolveState returns the state of a VM by the rules.
+// resolveState returns the state of a VM according to the rules.
 func resolveState(list, evidence Claim) pb.VmState { return vmStates[claims{list, evidence}] }
 
-// listClaim returns what the list says; listed is nil where it doesn't name the VM.
+// listClaim returns the claim of the list. listed is nil if the list does not contain the VM.
 func listClaim(listed *pb.Vm) Claim {
 	switch {
 	case listed == nil:
@@ -129,7 +129,7 @@
 	return ListLive
 }
 
-// evidenceClaim returns what a record says; nil is no record.
+// evidenceClaim returns the claim of a record. record is nil if there is none.
 func evidenceClaim(record *pb.Vm) Claim {
 	switch record.GetState() {
 	case live:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,6 +1,7 @@
-// Package membership knows the VMs of the fleet: the platform's lagging list joined with evidence
-// between VMs. There is no leader, no quorum and no shared write; each VM holds its own table, and
-// tables that heard the same records are equal. It is pure: the clock is an argument.
+// Package membership tracks the VMs of the fleet by joining the platform's lagging list with
+// evidence exchanged between VMs. There is no leader, no quorum and no shared write: each VM holds
+// its own table, and tables that merged the same records are equal. The package does no I/O and
+// takes the current time as an argument.
 package membership
 
 import (
@@ -13,37 +14,38 @@
 )
 
 const (
-	// SuspicionTimeout is how long a suspected VM has to raise its heartbeat before it counts as gone.
+	// SuspicionTimeout is how long a suspected VM has to raise its heartbeat before it counts as
+	// gone.
 	SuspicionTimeout = 3 * time.Second
 	// GoneRetention is how long a VM that is gone and not on the list is remembered.
 	GoneRetention = 10 * time.Minute
 )
 
-// Table is one VM's knowledge of all. It is safe for concurrent use.
+// Table is one VM's knowledge of all VMs. It is safe for concurrent use.
 type Table struct {
-	// selfID doesn't change.
+	// selfID does not change.
 	selfID string
 
 	mu sync.Mutex
-	// entries by VM id, one of them the VM's own; guarded by mu.
+	// entries holds the entries by VM ID, including this VM's own; guarded by mu.
 	entries map[string]*entry
-	// listed is the platform's list by id; guarded by mu.
+	// listed holds the platform's list by VM ID; guarded by mu.
 	listed map[string]*pb.Vm
-	// roster is nil after a change that it would show; guarded by mu.
+	// roster is the cached roster, nil after a change that affects it; guarded by mu.
 	roster *Roster
-	// conflicts counts records of this VM's id by another incarnation; guarded by mu.
+	// conflicts counts records of this VM's ID from another incarnation; guarded by mu.
 	conflicts uint64
 }
 
-// entry is what is known of one VM. Its owner is the table.
+// entry holds what is known of one VM. It is guarded by the table's mutex.
 type entry struct {
-	// record is replaced, never changed.
+	// record is replaced, never modified.
 	record *pb.Vm
-	// since is the local time from which the record's state counts.
+	// since is the local time from which the timeouts of the record's state count.
 	since time.Time
 }
 
-// New returns a table that knows its own VM alone. self names id, zone, address, ports and
+// New returns a table that knows only its own VM. self provides the ID, zone, address, ports and
 // incarnation.
 func New(self *pb.Vm, now time.Time) *Table {
 	own := proto.Clone(self).(*pb.Vm)
@@ -55,7 +57,7 @@
 	}
 }
 
-// SetList takes the VMs of the platform's list.
+// SetList replaces the VMs of the platform's list.
 func (t *Table) SetList(vms []*pb.Vm) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,7 +75,8 @@
 	t.updateSelf(now, func(*pb.Vm) {})
 }
 
-// SetOwnState changes the VM's own processes and whether it leaves, and tells whether that is news.
+// SetOwnState sets the VM's own processes and whether it is leaving. It reports whether that is a
+// change to publish.
 func (t *Table) SetOwnState(processes []*pb.Process, leaves bool, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +95,8 @@
 	return changed
 }
 
-// updateSelf makes a new record of the VM itself, with a higher heartbeat; mu is held.
+// updateSelf replaces the VM's own record with a changed one of a higher heartbeat. mu must be
+// held.
 func (t *Table) updateSelf(now time.Time, change func(*pb.Vm)) {
 	e := t.entries[t.selfID]
 	next := proto.Clone(e.record).(*pb.Vm)
@@ -111,7 +115,7 @@
 	return t.entries[t.selfID].record
 }
 
-// Record returns what is known of a VM between VMs, or nil.
+// Record returns the record of a VM from the exchange between VMs, or nil if there is none.
 func (t *Table) Record(id string) *pb.Vm {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,15 +125,15 @@
 	return nil
 }
 
-// Conflicts returns how often another incarnation claimed this VM's id.
+// Conflicts returns how often another incarnation claimed this VM's ID.
 func (t *Table) Conflicts() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.conflicts
 }
 
-// ObserveHeartbeat notes a packet that came from the VM itself, with its incarnation, heartbeat and version.
-// known is false where its whole record is needed, because another version of it is held.
+// ObserveHeartbeat records a packet received from the VM itself, with its incarnation, heartbeat
+// and version. known is false if the full record is needed, because another version of it is held.
 func (t *Table) ObserveHeartbeat(from *pb.Vm, now time.Time) (known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,7 +142,7 @@
 		return false
 	}
 	if judged(e.record) {
-		// The judgement hides whether the VM leaves: its own word is needed.
+		// The judgement hides whether the VM is leaving, so a record from the VM itself is needed.
 		return false
 	}
 	if from.GetHeartbeat() > e.record.GetHeartbeat() {
@@ -149,8 +153,8 @@
 	return true
 }
 
-// Suspect notes that nobody got an answer from a VM whose record had the heartbeat. It tells
-// whether that is news.
+// Suspect records that no VM got an answer from a VM whose record had the heartbeat. It reports
+// whether that is a change to publish.
 func (t *Table) Suspect(id string, heartbeat uint64, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,8 +174,8 @@
 	return true
 }
 
-// Tick turns suspicions that were not withdrawn in time into gone, and forgets VMs that are long
-// gone. It returns the VMs that are gone now.
+// Tick marks suspected VMs as gone if they did not refute the suspicion in time, and forgets VMs
+// that have been gone for GoneRetention. It returns the VMs newly gone.
 func (t *Table) Tick(now time.Time) (goneNow []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,8 +194,8 @@
 	return goneNow
 }
 
-// RestartSuspicionTimers starts the time of all suspicions anew: silence while this process did not run says
-// nothing of others.
+// RestartSuspicionTimers restarts the timeouts of all suspicions after a pause, because silence
+// while this process did not run says nothing about other VMs.
 func (t *Table) RestartSuspicionTimers(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -22,7 +22,7 @@
 
 func newTable() *Table { return New(vm("self", 1, 0, live), start) }
 
-// stateOf returns the joined state, unspecified for a VM that isn't shown.
+// stateOf returns the resolved state, or unspecified for a VM that the view does not contain.
 func stateOf(t *Table, id string) pb.VmState {
 	for _, v := range t.View() {
 		if v.GetId() == id {
@@ -56,21 +56,21 @@
 			}
 			want := r.State
 			if r.One == ListAbsent && r.State == gone {
-				want = pb.VmState_VM_STATE_UNSPECIFIED // not shown any more
+				want = pb.VmState_VM_STATE_UNSPECIFIED // no longer in the view
 			}
 			is.Equal(stateOf(tab, "x"), want)
 		})
 	}
-	is.New(t).Equal(seen, len(listed)*len(records)-1) // all pairs but the VM that nobody names
+	is.New(t).Equal(seen, len(listed)*len(records)-1) // all pairs except the VM that no source mentions
 }
 
 func TestSuspicionIsWithdrawnByAHigherHeartbeatAlone(t *testing.T) {
 	is := is.New(t)
 	tab := newTable()
 	tab.Merge([]*pb.Vm{vm("x", 5, 3, live)}, start)
-	is.True(!tab.Suspect("x", 2, start)) // it has been heard since
+	is.True(!tab.Suspect("x", 2, start)) // a higher heartbeat was received since
 	is.True(tab.Suspect("x", 3, start))
-	is.True(!tab.Suspect("x", 3, start)) // no news twice
+	is.True(!tab.Suspect("x", 3, start)) // a repeat is no change
 	tab.Merge([]*pb.Vm{vm("x", 5, 3, live)}, start)
 	is.Equal(stateOf(tab, "x"), suspect)
 	is.Equal(len(tab.Tick(start.Add(SuspicionTimeout-1))), 0)
@@ -103,15 +103,15 @@
 	}
 }
 
-func TestOutdatedWordOfThisVMIsAnsweredNotRefuted(t *testing.T) {
+func TestOutdatedRecordOfThisVMIsAnsweredNotRefuted(t *testing.T) {
 	is := is.New(t)
 	tab := newTable()
 	tab.SetOwnState([]*pb.Process{{Role: pb.ProcessRole_PROCESS_ROLE_ENTRY, Incarnation: 3}}, false, start)
-	res := tab.Merge([]*pb.Vm{{Id: "self"}}, start) // a VM that knows only the id
+	res := tab.Merge([]*pb.Vm{{Id: "self"}}, start) // from a VM that knows only the ID
 	is.Equal(res, Result{Outdated: []string{"self"}})
 }
 
-func TestHeardKeepsAVersionWhole(t *testing.T) {
+func TestObserveHeartbeatKeepsAVersionWhole(t *testing.T) {
 	is := is.New(t)
 	tab := newTable()
 	tab.Merge([]*pb.Vm{vm("x", 5, 3, live)}, start)
@@ -119,23 +119,23 @@
 	is.True(known)
 	is.Equal(tab.Record("x").GetHeartbeat(), uint64(7))
 	known = tab.ObserveHeartbeat(&pb.Vm{Id: "x", Incarnation: 5, Heartbeat: 9, Version: 4}, start)
-	is.True(!known) // its new word must not be hidden under a higher heartbeat
+	is.True(!known) // the new version must not be hidden under a higher heartbeat
 	is.Equal(tab.Record("x").GetHeartbeat(), uint64(7))
 	known = tab.ObserveHeartbeat(&pb.Vm{Id: "x", Incarnation: 6, Heartbeat: 9, Version: 3}, start)
 	is.True(!known) // another incarnation
 	tab.Suspect("x", 7, start)
 	known = tab.ObserveHeartbeat(&pb.Vm{Id: "x", Incarnation: 5, Heartbeat: 9, Version: 3}, start)
-	is.True(!known) // the suspicion hides whether it leaves
+	is.True(!known) // the suspicion hides whether it is leaving
 }
 
-func TestOnlyNewsIsNews(t *testing.T) {
+func TestOnlyChangesAreUpdates(t *testing.T) {
 	is := is.New(t)
 	tab := newTable()
 	entry := &pb.Process{Role: pb.ProcessRole_PROCESS_ROLE_ENTRY, Incarnation: 3, BundleVersion: 1}
 	is.True(tab.SetOwnState([]*pb.Process{entry}, false, start))
 	newer := proto.Clone(entry).(*pb.Process)
 	newer.BundleVersion = 2
-	is.True(!tab.SetOwnState([]*pb.Process{newer}, false, start)) // else each bundle would be news of all VMs
+	is.True(!tab.SetOwnState([]*pb.Process{newer}, false, start)) // otherwise each bundle would publish an update of every VM
 	is.True(tab.SetOwnState([]*pb.Process{newer}, true, start))
 	is.Equal(tab.Self().GetState(), leaving)
 	beat := vm("x", 5, 3, live)
@@ -151,12 +151,12 @@
 	tab.Merge([]*pb.Vm{vm("x", 5, 3, gone)}, start)
 	is.Equal(tab.Record("x"), nil)
 	tab.SetList([]*pb.Vm{vm("x", 0, 0, live)})
-	is.Equal(stateOf(tab, "x"), suspect) // listed, but nobody heard of it
+	is.Equal(stateOf(tab, "x"), suspect) // listed, but no record received
 	is.True(tab.Suspect("x", 0, start))
 	tab.Tick(start.Add(SuspicionTimeout))
 	is.Equal(stateOf(tab, "x"), gone)
 	p, _ := tab.Roster().Peer("x")
-	is.Equal(p.Address, "127.0.0.1:7402") // still reached by the list's address
+	is.Equal(p.Address, "127.0.0.1:7402") // still reachable at the list's address
 }
 
 func TestPauseAndForgetting(t *testing.T) {
@@ -173,7 +173,7 @@
 }
 
 // genRecord draws records of a few VMs. As in a fleet, the content of an incarnation at a heartbeat
-// is always the same, but for judgements.
+// is always the same, except for judgements.
 func genRecord(t *rapid.T) *pb.Vm {
 	id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id")
 	state := rapid.SampledFrom([]pb.VmState{live, live, suspect, gone}).Draw(t, "state")
@@ -184,7 +184,7 @@
 	return r
 }
 
-// orders returns what is known of each VM, as Compare orders it.
+// orders returns the records of the VMs in the form that Compare orders.
 func orders(t *Table) (out []string) {
 	for _, id := range []string{"a", "b"} {
 		if r := t.Record(id); r != nil {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// View returns the VMs with the states that hold by the rules, sorted by id, the own one among
-// them. VMs that are gone and not on the list are left out.
+// View returns the VMs, including this one, with their states according to the rules, sorted by ID.
+// VMs that are gone and not on the list are left out.
 func (t *Table) View() []*pb.Vm {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,7 +32,7 @@
 	return out
 }
 
-// Live returns the ids of the other VMs of a zone that are live by the rules.
+// Live returns the IDs of the other VMs of a zone that are live according to the rules.
 func (t *Table) Live(zone string) (ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,8 +45,8 @@
 	return ids
 }
 
-// resolvedRecord returns a copy of the record with the state that holds, and with the ports that a VM
-// doesn't say itself: the list's, or else the usual ones.
+// resolvedRecord returns a copy of the record with the resolved state. Ports that the VM does not
+// report are taken from the list, or else are the default ones.
 func resolvedRecord(r, listed *pb.Vm, state pb.VmState) *pb.Vm {
 	out := proto.Clone(r).(*pb.Vm)
 	out.State = state
@@ -57,8 +57,8 @@
 	return out
 }
 
-// Summary returns what this VM knows between VMs, without what a VM is but for the order of its
-// records. VMs that are gone are left out.
+// Summary returns the identity, heartbeat, version and state of each record, which suffice to
+// compare records. VMs that are gone are left out.
 func (t *Table) Summary() []*pb.Vm {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +74,8 @@
 	return out
 }
 
-// Wanted returns the VMs of a summary of which more than the heartbeat is newer there.
+// Wanted returns the VMs of another VM's summary whose record is newer there in more than the
+// heartbeat.
 func (t *Table) Wanted(summary []*pb.Vm) (ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +88,7 @@
 	return ids
 }
 
-// Records returns the records of VMs as they are sent.
+// Records returns the records of the VMs in their wire form.
 func (t *Table) Records(ids []string) []*pb.Vm {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +101,8 @@
 	return out
 }
 
-// Newer returns, as they are sent, the records of which more than the heartbeat is newer than in
-// the summary of another VM, and those that it lacks.
+// Newer returns, in wire form, the records that are newer here in more than the heartbeat than in
+// the summary of another VM, and those missing there.
 func (t *Table) Newer(summary []*pb.Vm) []*pb.Vm {
 	byID := make(map[string]*pb.Vm, len(summary))
 	for _, r := range summary {
