--- a/cmd/burdock-sync/main.go
+++ b/cmd/burdock-sync/main.go
@@ -1,7 +1,8 @@
 // Command burdock-sync reads the platform, spreads configuration and membership between VMs,
-// and feeds the entry and gather of its VM.
-// Exit codes: 0 the process ended in order or the settings are good, 1 it failed while running, 2
-// settings or command line are refused.
+// and feeds the entry and gather processes of its VM.
+//
+// Exit codes: 0 if the process ended in order or the settings are valid, 1 if it failed while
+// running, 2 if the settings or the command line were refused.
 package main
 
 import (
