--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -19,7 +19,7 @@
 	Refuted bool
 }
 
-// Any reports whether the merge changed anything.
+// Any reports whether Updated or Judged lists any VM.
 func (r Result) Any() bool { return len(r.Updated)+len(r.Judged) > 0 }
 
 // add adds a VM with a change other than its heartbeat.
