--- a/internal/feed/report.go
+++ b/internal/feed/report.go
@@ -14,16 +14,18 @@
 )
 
 const (
-	// reportPeriod is how often the process's state is reported without news.
+	// reportPeriod is the interval at which the process's state is reported if nothing else is
+	// queued.
 	reportPeriod = time.Second
 	// reportTimeout bounds one report.
 	reportTimeout = time.Second
-	// reportRetry is the wait after a report that failed.
-	reportRetry = 100 * time.Millisecond
-	// lastReportTimeout bounds the report at the end of the process.
-	lastReportTimeout = 300 * time.Millisecond
-	// maxPending bounds what waits for a sync that can't be reached.
-	maxPending = 1024
+	// reportRetryDelay is the delay after a failed report.
+	reportRetryDelay = 100 * time.Millisecond
+	// finalReportTimeout bounds the report at the end of the process.
+	finalReportTimeout = 300 * time.Millisecond
+	// maxQueued bounds the departures, and likewise the crashes, queued for a sync that cannot be
+	// reached.
+	maxQueued = 1024
 )
 
 // ReportDeparture implements Reporter.
@@ -45,91 +47,91 @@
 // SetState implements Reporter.
 func (m *Manager) SetState(s pb.ProcessState) { m.reports.setState(s) }
 
-// runReports sends what is queued, at once where there is news.
+// runReports sends queued reports, at once when something new is queued.
 func (m *Manager) runReports(ctx context.Context) {
 	t := time.NewTicker(reportPeriod)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			m.lastReport(ctx)
+			m.finalReport(ctx)
 			return
 		case <-t.C:
 		case <-m.reports.woken:
 		}
-		if err := m.report(ctx, reportTimeout); err != nil && wait.For(ctx, reportRetry) {
+		if err := m.report(ctx, reportTimeout); err != nil && wait.For(ctx, reportRetryDelay) {
 			m.reports.wake()
 		}
 	}
 }
 
-// lastReport sends what the process said just before its end.
-func (m *Manager) lastReport(ctx context.Context) {
-	_ = m.report(context.WithoutCancel(ctx), lastReportTimeout)
+// finalReport sends what the process queued just before its end.
+func (m *Manager) finalReport(ctx context.Context) {
+	_ = m.report(context.WithoutCancel(ctx), finalReportTimeout)
 }
 
-// report sends the queue, and puts it back where that fails.
-func (m *Manager) report(ctx context.Context, limit time.Duration) error {
+// report sends the queue and puts it back if that fails.
+func (m *Manager) report(ctx context.Context, timeout time.Duration) error {
 	departures, crashes := m.reports.take()
 	now := time.Now()
 	req := &pb.ReportRequest{Process: m.process()}
 	for _, d := range departures {
-		req.Departures = append(req.Departures, d.aged(now))
+		req.Departures = append(req.Departures, d.withAge(now))
 	}
 	for _, c := range crashes {
-		req.Crashes = append(req.Crashes, c.aged(now))
+		req.Crashes = append(req.Crashes, c.withAge(now))
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	_, err := m.service.Report(ctx, req)
 	if err != nil {
 		m.metrics.reports.WithLabelValues("failed").Inc()
-		m.reports.putBack(departures, crashes)
+		m.reports.requeue(departures, crashes)
 		return err
 	}
 	m.metrics.reports.WithLabelValues("sent").Inc()
 	return nil
 }
 
-// queuedDeparture is a departure with the time at which its age was right.
+// queuedDeparture is a departure and the time to which its age refers.
 type queuedDeparture struct {
-	d  *pb.Departure
-	at time.Time
+	departure *pb.Departure
+	at        time.Time
 }
 
-func (q queuedDeparture) aged(now time.Time) *pb.Departure {
-	d := proto.Clone(q.d).(*pb.Departure)
-	d.Age = durationpb.New(q.d.GetAge().AsDuration() + now.Sub(q.at))
+func (q queuedDeparture) withAge(now time.Time) *pb.Departure {
+	d := proto.Clone(q.departure).(*pb.Departure)
+	d.Age = durationpb.New(q.departure.GetAge().AsDuration() + now.Sub(q.at))
 	return d
 }
 
-// queuedCrash is a crash with the time at which its age was right.
+// queuedCrash is a crash and the time to which its age refers.
 type queuedCrash struct {
-	c  *pb.Crash
-	at time.Time
+	crash *pb.Crash
+	at    time.Time
 }
 
-func (q queuedCrash) aged(now time.Time) *pb.Crash {
-	c := proto.Clone(q.c).(*pb.Crash)
-	c.Age = durationpb.New(q.c.GetAge().AsDuration() + now.Sub(q.at))
+func (q queuedCrash) withAge(now time.Time) *pb.Crash {
+	c := proto.Clone(q.crash).(*pb.Crash)
+	c.Age = durationpb.New(q.crash.GetAge().AsDuration() + now.Sub(q.at))
 	return c
 }
 
-// departureKey names evidence of which the newest is enough.
+// departureKey identifies departures of which only the newest is kept.
 type departureKey struct {
 	leaf        string
 	incarnation uint64
 	source      pb.DepartureSource
 }
 
-// crashKey names one crash of one request.
+// crashKey identifies one crash of one request.
 type crashKey struct {
 	digest      uint64
 	leaf        string
 	incarnation uint64
 }
 
-// reportQueue holds what the sync has not taken yet.
+// reportQueue holds the reports that the sync has not accepted yet.
 type reportQueue struct {
 	// woken holds a value while a report is due at once.
 	woken chan struct{}
@@ -174,12 +176,12 @@
 	}
 }
 
-// addDeparture queues d; false where the queue is full.
+// addDeparture queues d. It returns false if the queue is full.
 func (q *reportQueue) addDeparture(d *pb.Departure, now time.Time) bool {
 	key := departureKey{d.GetLeaf(), d.GetIncarnation(), d.GetSource()}
 	q.mu.Lock()
 	_, held := q.departures[key]
-	full := !held && len(q.departures) >= maxPending
+	full := !held && len(q.departures) >= maxQueued
 	if !full {
 		q.departures[key] = queuedDeparture{d, now}
 	}
@@ -188,12 +190,12 @@
 	return !full
 }
 
-// addCrash queues c; false where the queue is full.
+// addCrash queues c. It returns false if the queue is full.
 func (q *reportQueue) addCrash(c *pb.Crash, now time.Time) bool {
 	key := crashKey{c.GetRequestDigest(), c.GetLeaf(), c.GetIncarnation()}
 	q.mu.Lock()
 	_, held := q.crashes[key]
-	full := !held && len(q.crashes) >= maxPending
+	full := !held && len(q.crashes) >= maxQueued
 	if !full {
 		q.crashes[key] = queuedCrash{c, now}
 	}
@@ -202,7 +204,7 @@
 	return !full
 }
 
-// take empties the queue.
+// take empties the queue and returns its contents.
 func (q *reportQueue) take() (map[departureKey]queuedDeparture, map[crashKey]queuedCrash) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -212,8 +214,8 @@
 	return departures, crashes
 }
 
-// putBack queues again what could not be sent; newer evidence of the same key stays.
-func (q *reportQueue) putBack(departures map[departureKey]queuedDeparture, crashes map[crashKey]queuedCrash) {
+// requeue puts back what could not be sent. Newer evidence under the same key is kept.
+func (q *reportQueue) requeue(departures map[departureKey]queuedDeparture, crashes map[crashKey]queuedCrash) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for k, d := range departures {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// View returns the VMs with the states that hold by the rules, sorted by id, the own one among
-// them. VMs that are gone and not on the list are left out.
+// View returns the VMs, including this one, with their states according to the rules, sorted by ID.
+// VMs that are gone and not on the list are left out.
 func (t *Table) View() []*pb.Vm {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -21,23 +21,23 @@
 		if listed == nil && e.record.GetState() == gone {
 			continue
 		}
-		out = append(out, joined(e.record, listed, join(listClaim(listed), evidenceClaim(e.record))))
+		out = append(out, resolvedRecord(e.record, listed, resolveState(listClaim(listed), evidenceClaim(e.record))))
 	}
 	for id, listed := range t.listed {
 		if t.entries[id] == nil {
-			out = append(out, joined(listed, listed, join(listClaim(listed), EvidenceNone)))
+			out = append(out, resolvedRecord(listed, listed, resolveState(listClaim(listed), EvidenceNone)))
 		}
 	}
 	slices.SortFunc(out, func(a, b *pb.Vm) int { return cmp.Compare(a.GetId(), b.GetId()) })
 	return out
 }
 
-// Live returns the ids of the other VMs of a zone that are live by the rules.
+// Live returns the IDs of the other VMs of a zone that are live according to the rules.
 func (t *Table) Live(zone string) (ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		state := join(listClaim(t.listed[id]), evidenceClaim(e.record))
+		state := resolveState(listClaim(t.listed[id]), evidenceClaim(e.record))
 		if id != t.selfID && e.record.GetZone() == zone && state == live {
 			ids = append(ids, id)
 		}
@@ -45,9 +45,9 @@
 	return ids
 }
 
-// joined returns a copy of the record with the state that holds, and with the ports that a VM
-// doesn't say itself: the list's, or else the usual ones.
-func joined(r, listed *pb.Vm, state pb.VmState) *pb.Vm {
+// resolvedRecord returns a copy of the record with the resolved state. Ports that the VM does not
+// report are taken from the list, or else are the default ones.
+func resolvedRecord(r, listed *pb.Vm, state pb.VmState) *pb.Vm {
 	out := proto.Clone(r).(*pb.Vm)
 	out.State = state
 	out.EntryPort = cmp.Or(r.GetEntryPort(), listed.GetEntryPort(), settings.DefaultEntryPort)
@@ -57,8 +57,8 @@
 	return out
 }
 
-// Summary returns what this VM knows between VMs, without what a VM is but for the order of its
-// records. VMs that are gone are left out.
+// Summary returns the identity, heartbeat, version and state of each record, which suffice to
+// compare records. VMs that are gone are left out.
 func (t *Table) Summary() []*pb.Vm {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,34 +74,35 @@
 	return out
 }
 
-// Wanted returns the VMs of a summary of which more than the heartbeat is newer there.
+// Wanted returns the VMs of another VM's summary whose record is newer there in more than the
+// heartbeat.
 func (t *Table) Wanted(summary []*pb.Vm) (ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range summary {
 		e := t.entries[r.GetId()]
-		if e == nil || order(r, e.record) > 0 && newsworthy(e.record, r) {
+		if e == nil || compareSummary(r, e.record) > 0 && differsBeyondHeartbeat(e.record, r) {
 			ids = append(ids, r.GetId())
 		}
 	}
 	return ids
 }
 
-// Whole returns the records of VMs as they are sent.
-func (t *Table) Whole(ids []string) []*pb.Vm {
+// Records returns the records of the VMs in their wire form.
+func (t *Table) Records(ids []string) []*pb.Vm {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.Vm
 	for _, id := range ids {
 		if e := t.entries[id]; e != nil {
-			out = append(out, ForTravel(e.record))
+			out = append(out, WireForm(e.record))
 		}
 	}
 	return out
 }
 
-// Newer returns, as they are sent, the records of which more than the heartbeat is newer than in
-// the summary of another VM, and those that it lacks.
+// Newer returns, in wire form, the records that are newer here in more than the heartbeat than in
+// the summary of another VM, and those missing there.
 func (t *Table) Newer(summary []*pb.Vm) []*pb.Vm {
 	byID := make(map[string]*pb.Vm, len(summary))
 	for _, r := range summary {
@@ -111,11 +112,11 @@
 	defer t.mu.Unlock()
 	var out []*pb.Vm
 	for id, e := range t.entries {
-		their := byID[id]
-		lacks := their == nil && e.record.GetState() != gone
-		newer := their != nil && order(e.record, their) > 0 && newsworthy(their, e.record)
+		theirs := byID[id]
+		lacks := theirs == nil && e.record.GetState() != gone
+		newer := theirs != nil && compareSummary(e.record, theirs) > 0 && differsBeyondHeartbeat(theirs, e.record)
 		if e.record.GetHeartbeat() > 0 && (lacks || newer) {
-			out = append(out, ForTravel(e.record))
+			out = append(out, WireForm(e.record))
 		}
 	}
 	return out
--- a/internal/spread/catchup.go
+++ b/internal/spread/catchup.go
@@ -8,31 +8,32 @@
 	"github.com/burdockplank/burdockplank/internal/membership"
 )
 
-// catchUpPeers is how many peers are asked at once to catch up.
+// catchUpPeers is the number of peers queried in parallel to catch up.
 const catchUpPeers = 4
 
-// askTimeout is how long a peer that is asked has for its first answer.
-const askTimeout = 700 * time.Millisecond
+// catchUpPeerTimeout bounds the time a queried peer has for its first answer.
+const catchUpPeerTimeout = 700 * time.Millisecond
 
-// catchUpGrace is how long further answers are waited for after the first.
-const catchUpGrace = 250 * time.Millisecond
+// catchUpGracePeriod is the time to wait for further answers after the first one.
+const catchUpGracePeriod = 250 * time.Millisecond
 
-// CaughtUp tells whether peers or the platform were heard since the start and the newest pause.
+// CaughtUp reports whether peers or the platform have been queried since the start and the most
+// recent pause.
 func (m *Manager) CaughtUp() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.caughtUp
 }
 
-// Pauses returns how many pauses of the process there were, for SetCaughtUp.
+// Pauses returns the number of process pauses so far. Pass it to SetCaughtUp.
 func (m *Manager) Pauses() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.pauses
 }
 
-// SetCaughtUp ends the catching up that began after the given number of pauses. It does nothing
-// where another pause came since.
+// SetCaughtUp ends the catch-up that began when the number of pauses was the given one. It does
+// nothing if another pause has occurred since.
 func (m *Manager) SetCaughtUp(pauses uint64) {
 	m.mu.Lock()
 	m.caughtUp = m.caughtUp || pauses == m.pauses
@@ -40,51 +41,52 @@
 	m.cfg.Changed.Fire()
 }
 
-// Paused follows a pause of the process: what it knew and what waits in its buffers may be old.
-func (m *Manager) Paused(now time.Time) {
+// HandlePause resets the state after a pause of the process: what the process knew and the packets
+// in its buffers may be outdated.
+func (m *Manager) HandlePause(now time.Time) {
 	m.mu.Lock()
 	m.caughtUp = false
 	m.pauses++
-	m.probes.drop()
-	clear(m.differ)
+	m.probes.reset()
+	clear(m.differences)
 	m.mu.Unlock()
-	m.cfg.Members.Paused(now)
+	m.cfg.Members.RestartSuspicionTimers(now)
 	m.metrics.pauses.Inc()
 	m.cfg.Changed.Fire()
 }
 
-// AskPeers asks a few random peers, or the seeds where none is known, for all they hold. asked is
-// how many were asked, answered how many answered with all of it. It doesn't wait long for more
-// once one answered.
-func (m *Manager) AskPeers(ctx context.Context) (asked, answered int) {
+// QueryPeers queries a few random peers, or the seeds if no peer is known, for their whole state.
+// asked is the number of peers queried, answered the number that returned their whole state. After
+// the first answer it waits for the others for at most catchUpGracePeriod.
+func (m *Manager) QueryPeers(ctx context.Context) (asked, answered int) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	addresses := m.addressesToAsk()
+	addresses := m.catchUpAddresses()
 	results := make(chan bool, len(addresses))
 	for _, a := range addresses {
-		go func() { results <- m.ask(ctx, a) }()
+		go func() { results <- m.catchUpFrom(ctx, a) }()
 	}
 	for range addresses {
 		if <-results {
 			answered++
-			time.AfterFunc(catchUpGrace, cancel)
+			time.AfterFunc(catchUpGracePeriod, cancel)
 		}
 	}
 	return len(addresses), answered
 }
 
-// ask tells whether the peer gave all it holds. One that is out of reach shows soon, so that others
-// can be asked in time.
-func (m *Manager) ask(ctx context.Context, address string) bool {
-	soon, cancel := context.WithTimeout(ctx, askTimeout)
+// catchUpFrom fetches the whole state of a peer and reports whether that succeeded. Its timeout is
+// short, so that an unreachable peer leaves time to query others.
+func (m *Manager) catchUpFrom(ctx context.Context, address string) bool {
+	peerCtx, cancel := context.WithTimeout(ctx, catchUpPeerTimeout)
 	defer cancel()
-	order := exchangeOrder{peer: membership.Peer{ID: address, Address: address}, vms: true, evidence: true}
-	return m.exchange(soon, order) == nil && m.fetch(ctx, address) == nil
+	task := exchangeTask{peer: membership.Peer{ID: address, Address: address}, vms: true, evidence: true}
+	return m.exchange(peerCtx, task) == nil && m.fetch(ctx, address) == nil
 }
 
-func (m *Manager) addressesToAsk() []string {
+func (m *Manager) catchUpAddresses() []string {
 	roster := m.cfg.Members.Roster()
-	peers := pickSome(roster, catchUpPeers, "")
+	peers := pickPeers(roster, catchUpPeers, "")
 	if len(peers) == 0 {
 		peers = roster.Gone[:min(len(roster.Gone), catchUpPeers)]
 	}
@@ -98,52 +100,53 @@
 	return out
 }
 
-// NoteContact notes that this VM reached the platform.
-func (m *Manager) NoteContact(now time.Time) { m.noteContact(now) }
+// RecordPlatformContact records that this VM reached the platform.
+func (m *Manager) RecordPlatformContact(now time.Time) { m.recordPlatformContact(now) }
 
-func (m *Manager) noteContact(at time.Time) {
+func (m *Manager) recordPlatformContact(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if at.After(m.contact) {
-		m.contact = at
+	if at.After(m.platformContact) {
+		m.platformContact = at
 	}
 }
 
-// PlatformAge returns the time since any VM that was heard of reached the platform; known is false
-// for never.
+// PlatformAge returns the time since any known VM last reached the platform. known is false if none
+// ever did.
 func (m *Manager) PlatformAge(now time.Time) (age time.Duration, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.contact), !m.contact.IsZero()
+	return now.Sub(m.platformContact), !m.platformContact.IsZero()
 }
 
-// HighestVersion returns the highest version of a bundle that a peer said it holds.
+// HighestVersion returns the highest bundle version that any peer has announced.
 func (m *Manager) HighestVersion() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.highest
+	return m.highestVersion
 }
 
-// SetOwn spreads the states of the VM's own processes, and whether the VM leaves.
-func (m *Manager) SetOwn(processes []*pb.Process, leaves bool, now time.Time) {
-	if !m.cfg.Members.SetOwn(processes, leaves, now) {
+// SetOwnState publishes the states of this VM's processes and whether the VM is leaving.
+func (m *Manager) SetOwnState(processes []*pb.Process, leaves bool, now time.Time) {
+	if !m.cfg.Members.SetOwnState(processes, leaves, now) {
 		return
 	}
 	m.mu.Lock()
-	m.news.addVMs(membership.Result{News: []string{m.cfg.Self}})
+	m.updates.addVMs(membership.Result{Updated: []string{m.cfg.Self}})
 	m.mu.Unlock()
 	m.cfg.Changed.Fire()
 	m.Push()
 }
 
-// TakeEvidence takes what a process of this VM saw, and spreads what is new.
-func (m *Manager) TakeEvidence(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
-	m.mergeWhole(nil, departures, crashes, now)
+// MergeEvidence merges what a process of this VM observed and publishes what is new.
+func (m *Manager) MergeEvidence(departures []*pb.Departure, crashes []*pb.Crash, now time.Time) {
+	m.mergeExchanged(nil, departures, crashes, now)
 }
 
-// PushNow pushes news without regard to the bounded rate, at the end of the process.
+// PushNow sends pending updates at once and bypasses the push rate limit. It is called when the
+// process ends.
 func (m *Manager) PushNow(now time.Time) {
-	for _, p := range pickSome(m.cfg.Members.Roster(), pushFanout, "") {
+	for _, p := range pickPeers(m.cfg.Members.Roster(), pushFanout, "") {
 		m.send(p, message{}, now)
 	}
 }
--- a/internal/spread/fetch.go
+++ b/internal/spread/fetch.go
@@ -17,10 +17,10 @@
 	// manifestTimeout and sectionsTimeout bound one call to a peer.
 	manifestTimeout = 2 * time.Second
 	sectionsTimeout = 3 * time.Second
-	// sectionsPerCall bounds the digests of one call.
-	sectionsPerCall = 256
-	// refusedFor is how long a bundle that was not accepted is not fetched again.
-	refusedFor = 30 * time.Second
+	// maxSectionsPerCall bounds the number of digests in one call.
+	maxSectionsPerCall = 256
+	// refetchDelay is the time for which a refused bundle is not fetched again.
+	refetchDelay = 30 * time.Second
 )
 
 func refusedKeyOf(version uint64, digest []byte) refusedKey {
@@ -29,7 +29,7 @@
 	return k
 }
 
-// runFetches fetches from one peer after the other.
+// runFetches fetches from one peer after the other until ctx ends.
 func (m *Manager) runFetches(ctx context.Context) {
 	for {
 		select {
@@ -43,7 +43,7 @@
 	}
 }
 
-// fetch brings bundle and list to what the peer holds, if that is higher.
+// fetch brings the bundle and the list up to those of the peer if the peer's are higher.
 func (m *Manager) fetch(ctx context.Context, address string) error {
 	peer := m.cfg.Dial(address)
 	begun := time.Now()
@@ -52,20 +52,20 @@
 	resp, err := peer.Manifest(mctx, &pb.ManifestRequest{Fleet: m.cfg.Fleet})
 	if err != nil {
 		m.metrics.fetches.WithLabelValues("manifest", "failed").Inc()
-		return eris.Wrapf(err, "sync.spread: manifest of %s", address)
+		return eris.Wrapf(err, "sync.spread: fetch manifest from %s", address)
 	}
 	select {
-	case m.fetching <- struct{}{}:
-		defer func() { <-m.fetching }()
+	case m.fetchSlot <- struct{}{}:
+		defer func() { <-m.fetchSlot }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	from := Origin{From: address, Asked: begun}
+	from := Origin{From: address, RequestedAt: begun}
 	if err := m.fetchBundle(ctx, peer, resp.GetManifest(), from); err != nil {
-		return eris.Wrapf(err, "sync.spread: bundle of %s", address)
+		return eris.Wrapf(err, "sync.spread: fetch bundle from %s", address)
 	}
 	if err := m.fetchList(ctx, peer, resp.GetList()); err != nil {
-		return eris.Wrapf(err, "sync.spread: list of %s", address)
+		return eris.Wrapf(err, "sync.spread: fetch list from %s", address)
 	}
 	return nil
 }
@@ -76,30 +76,31 @@
 	}
 	missing, wanted, err := m.cfg.Content.MissingBundle(signed)
 	if err != nil {
-		m.refuse(signed)
+		m.rememberRefused(signed)
 		return err
 	}
 	if !wanted {
 		return nil
 	}
-	sections, err := m.sections(ctx, peer, missing)
+	sections, err := m.fetchSections(ctx, peer, missing)
 	if err != nil {
 		return err
 	}
-	return m.TakeBundle(signed, sections, from)
+	return m.ApplyBundle(signed, sections, from)
 }
 
-// Origin is where a bundle came from.
+// Origin describes where a bundle came from.
 type Origin struct {
 	// From is the address of the peer, or "platform".
 	From string
-	// Asked is when its manifest was asked for, or came where it was watched for.
-	Asked time.Time
+	// RequestedAt is when the manifest was requested, or when it arrived if it came from a watch.
+	RequestedAt time.Time
 }
 
-// TakeBundle puts a bundle in force, if it is higher, from the sections fetched and those held. It is passed on
-// before the check whether it can work, which each VM does for itself.
-func (m *Manager) TakeBundle(signed *pb.SignedManifest, sections [][]byte, from Origin) error {
+// ApplyBundle puts a higher bundle in force, built from the fetched sections and those already
+// held. The bundle is offered to others before the check whether it is usable, because each VM runs
+// that check itself.
+func (m *Manager) ApplyBundle(signed *pb.SignedManifest, sections [][]byte, from Origin) error {
 	offer, err := m.cfg.Content.OfferBundle(signed, sections)
 	if offer == nil {
 		return err
@@ -107,11 +108,11 @@
 	m.Push()
 	begun := time.Now()
 	m.cfg.Log.Info("bundle offered", zap.Uint64("version", offer.Version), zap.Int("bytes", len(offer.Text)),
-		zap.String("from", from.From), zap.Int("sections", len(sections)), zap.Duration("read", begun.Sub(from.Asked)))
+		zap.String("from", from.From), zap.Int("sections", len(sections)), zap.Duration("read", begun.Sub(from.RequestedAt)))
 	changed, err := m.cfg.Content.ApplyOffer(offer)
 	var refused *bundle.RefusedError
 	if errors.As(err, &refused) {
-		m.refuse(signed)
+		m.rememberRefused(signed)
 	}
 	if changed {
 		m.cfg.Log.Info("bundle in force", zap.Uint64("version", offer.Version), zap.Int("bytes", len(offer.Text)),
@@ -120,15 +121,16 @@
 	return err
 }
 
-// refuse remembers a bundle that was not accepted, so that it isn't fetched with each packet.
-func (m *Manager) refuse(signed *pb.SignedManifest) {
+// rememberRefused records a refused bundle, so that it is not fetched again on each packet that
+// announces it.
+func (m *Manager) rememberRefused(signed *pb.SignedManifest) {
 	m.metrics.fetches.WithLabelValues("bundle", "refused").Inc()
 	digest := bundle.ManifestDigest(signed.GetManifest())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	for k, at := range m.refused {
-		if now.Sub(at) >= refusedFor {
+		if now.Sub(at) >= refetchDelay {
 			delete(m.refused, k)
 		}
 	}
@@ -140,7 +142,7 @@
 	if !wanted {
 		return nil
 	}
-	sections, err := m.sections(ctx, peer, missing)
+	sections, err := m.fetchSections(ctx, peer, missing)
 	if err != nil {
 		return err
 	}
@@ -151,19 +153,19 @@
 	return err
 }
 
-// ListChanged takes the VMs of a list that came just now and spreads it at once.
+// ListChanged applies the VMs of a list that has just arrived and pushes the change at once.
 func (m *Manager) ListChanged() {
 	m.cfg.Members.SetList(m.cfg.Content.List().VMs)
 	m.cfg.Changed.Fire()
 	m.Push()
 }
 
-// sections fetches sections from a peer.
-func (m *Manager) sections(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
+// fetchSections fetches sections from a peer, at most maxSectionsPerCall per call.
+func (m *Manager) fetchSections(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
 	var out [][]byte
 	for len(digests) > 0 {
-		n := min(len(digests), sectionsPerCall)
-		got, err := m.sectionsOnce(ctx, peer, digests[:n])
+		n := min(len(digests), maxSectionsPerCall)
+		got, err := m.fetchSectionBatch(ctx, peer, digests[:n])
 		if err != nil {
 			m.metrics.fetches.WithLabelValues("sections", "failed").Inc()
 			return nil, err
@@ -176,7 +178,7 @@
 	return out, nil
 }
 
-func (m *Manager) sectionsOnce(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
+func (m *Manager) fetchSectionBatch(ctx context.Context, peer burdockv1connect.PeerServiceClient, digests []bundle.Digest) ([][]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, sectionsTimeout)
 	defer cancel()
 	req := new(pb.SectionsRequest)
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// MaxPacket is the longest packet sent, so that it fits any path without fragments.
-	MaxPacket = 1150
-	// digestPrefix is how much of a bundle's digest a packet carries.
-	digestPrefix = 8
-	// hopAllowance is added to an age that came from another VM, for the way: without it an age
-	// that goes round and round would grow too slowly.
+	// MaxPacketBytes is the maximum size of a packet sent. It fits any network path without
+	// fragmentation.
+	MaxPacketBytes = 1150
+	// digestPrefixLen is the number of bytes of a bundle's digest in a packet.
+	digestPrefixLen = 8
+	// hopAllowance is added to an age received from another VM to account for the network delay.
+	// Without it, an age relayed from VM to VM in circles would grow too slowly.
 	hopAllowance = 2 * time.Millisecond
-	// itemOverhead is what the framing adds to an item.
+	// itemOverhead is the number of bytes that the framing adds to an item.
 	itemOverhead = 4
 )
 
-// message is what a packet carries besides this VM's state and news.
+// message is the content of a packet besides this VM's state and pending updates.
 type message struct {
 	replyWanted bool
-	// probe names the VM that the receiver should contact.
+	// probe is the ID of the VM that the receiver should contact.
 	probe string
-	// about are VMs whose records go first.
-	about []string
+	// include lists the IDs of the VMs whose records go first.
+	include []string
 }
 
-// send sends one packet to a peer. A packet that can't be sent counts as lost.
+// send sends one packet to a peer. A packet that cannot be sent is treated as lost.
 func (m *Manager) send(to membership.Peer, msg message, now time.Time) {
-	packet, err := proto.Marshal(m.digest(msg, to.Zone, now))
+	packet, err := proto.Marshal(m.buildDigest(msg, to.Zone, now))
 	if err == nil {
 		err = m.cfg.Transport.Send(to.Address, packet)
 	}
@@ -45,8 +46,8 @@
 	m.metrics.packets.WithLabelValues(outcome).Inc()
 }
 
-// digest builds a packet to a VM of the zone with as much news as fits.
-func (m *Manager) digest(msg message, zone string, now time.Time) *pb.Digest {
+// buildDigest builds a packet for a VM in the zone with as many updates as fit.
+func (m *Manager) buildDigest(msg message, zone string, now time.Time) *pb.Digest {
 	self := m.cfg.Members.Self()
 	d := &pb.Digest{
 		Fleet: m.cfg.Fleet, From: self.GetId(), Incarnation: self.GetIncarnation(),
@@ -55,7 +56,7 @@
 		MembersHash: m.cfg.Members.Roster().Hash, EvidenceHash: m.cfg.Evidence.Hash(now),
 	}
 	if b := m.cfg.Content.Offered(); b != nil {
-		d.BundleVersion, d.BundleDigest = b.Version, b.Digest[:digestPrefix]
+		d.BundleVersion, d.BundleDigest = b.Version, b.Digest[:digestPrefixLen]
 	}
 	if l := m.cfg.Content.List(); l != nil {
 		d.ListRevision = l.Revision
@@ -63,50 +64,51 @@
 	if age, known := m.PlatformAge(now); known {
 		d.PlatformAge = durationpb.New(age.Truncate(time.Millisecond))
 	}
-	for _, id := range msg.about {
+	for _, id := range msg.include {
 		if r := m.cfg.Members.Record(id); r != nil {
-			d.News = append(d.News, membership.ForTravel(r))
+			d.News = append(d.News, membership.WireForm(r))
 		} else {
 			d.News = append(d.News, &pb.Vm{Id: id})
 		}
 	}
-	m.addNews(d, zone, now)
+	m.addUpdates(d, zone, now)
 	return d
 }
 
-// addNews fills a packet with what has been sent least.
-func (m *Manager) addNews(d *pb.Digest, zone string, now time.Time) {
+// addUpdates fills a packet with updates, the least sent first.
+func (m *Manager) addUpdates(d *pb.Digest, zone string, now time.Time) {
 	q := quotaFor(m.cfg.Members.Roster())
-	left := MaxPacket - proto.Size(d)
+	remaining := MaxPacketBytes - proto.Size(d)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.news.each(func(it *newsItem) (keep, goOn bool) {
-		if !it.wanted(zone, q) {
+	m.updates.forEach(func(it *updateItem) (keep, more bool) {
+		if !it.neededIn(zone, q) {
 			return true, true // kept for another zone
 		}
-		size, add := m.item(d, it.key, now)
+		size, add := m.prepareItem(d, it.key, now)
 		if add == nil {
 			return false, true
 		}
-		if size > left || !m.newsBytes.AllowN(now, size) {
+		if size > remaining || !m.updateBudget.AllowN(now, size) {
 			return true, false
 		}
 		add()
-		left -= size
-		it.count(1, zone)
-		return !it.enough(q), true
+		remaining -= size
+		it.addSends(1, zone)
+		return !it.delivered(q), true
 	})
 }
 
-// item returns the size of an item of news and what adds it to d; nil where it is no more.
-func (m *Manager) item(d *pb.Digest, key newsKey, now time.Time) (size int, add func()) {
+// prepareItem returns the size of an update in bytes and a function that adds it to d. add is nil
+// if the item no longer exists.
+func (m *Manager) prepareItem(d *pb.Digest, key updateKey, now time.Time) (size int, add func()) {
 	switch {
 	case key.vm != "":
 		r := m.cfg.Members.Record(key.vm)
 		if r == nil {
 			return 0, nil
 		}
-		r = membership.ForTravel(r)
+		r = membership.WireForm(r)
 		return itemSize(r), func() { d.News = append(d.News, r) }
 	case key.crash.Leaf != "":
 		c := m.cfg.Evidence.Crash(key.crash, now)
--- a/internal/spread/service.go
+++ b/internal/spread/service.go
@@ -15,7 +15,7 @@
 
 var _ burdockv1connect.PeerServiceHandler = (*Manager)(nil)
 
-// errOtherFleet refuses a sync that belongs to another fleet.
+// errOtherFleet returns the error for a sync that belongs to another fleet.
 func errOtherFleet(fleet string) error {
 	return connect.NewError(connect.CodeFailedPrecondition, eris.Errorf("sync.spread: fleet %q is another one", fleet))
 }
@@ -35,10 +35,10 @@
 	return resp, nil
 }
 
-// Sections implements the PeerService. Sections that are not held are left out.
+// Sections implements the PeerService. Sections that this VM does not hold are omitted.
 func (m *Manager) Sections(_ context.Context, req *pb.SectionsRequest) (*pb.SectionsResponse, error) {
-	if n := len(req.GetDigests()); n > sectionsPerCall {
-		return nil, connect.NewError(connect.CodeInvalidArgument, eris.Errorf("sync.spread: %d sections asked for at once, at most %d", n, sectionsPerCall))
+	if n := len(req.GetDigests()); n > maxSectionsPerCall {
+		return nil, connect.NewError(connect.CodeInvalidArgument, eris.Errorf("sync.spread: %d sections asked for at once, at most %d", n, maxSectionsPerCall))
 	}
 	resp := new(pb.SectionsResponse)
 	for _, raw := range req.GetDigests() {
@@ -58,19 +58,19 @@
 		return nil, errOtherFleet(f)
 	}
 	now := time.Now()
-	resp, whole := new(pb.ExchangeResponse), req.GetVms()
+	resp, records := new(pb.ExchangeResponse), req.GetVms()
 	if req.GetSummary() {
 		resp.Vms, resp.Wanted = m.cfg.Members.Newer(req.GetVms()), m.cfg.Members.Wanted(req.GetVms())
-		whole = nil
+		records = nil
 	}
 	if req.GetAllEvidence() {
-		resp.Departures, resp.Crashes = m.lacking(req, now)
+		resp.Departures, resp.Crashes = m.missingEvidence(req, now)
 	}
-	m.mergeWhole(whole, req.GetDepartures(), req.GetCrashes(), now)
+	m.mergeExchanged(records, req.GetDepartures(), req.GetCrashes(), now)
 	return resp, nil
 }
 
-// versionOf returns the version a manifest claims, 0 where it can't be read.
+// versionOf returns the version that a manifest claims, or 0 if the manifest cannot be decoded.
 func versionOf(signed *pb.SignedManifest) uint64 {
 	var manifest pb.Manifest
 	if proto.Unmarshal(signed.GetManifest(), &manifest) != nil {
--- a/internal/syncd/drain.go
+++ b/internal/syncd/drain.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// drainTick is how often the drain looks at the VM's processes.
-	drainTick = 100 * time.Millisecond
-	// restartGrace is how long the drain waits for a process of the VM to drain as well. Where none
-	// does, the sync alone is restarted.
-	restartGrace = 2 * time.Second
+	// drainCheckPeriod is the interval at which the drain checks the VM's processes.
+	drainCheckPeriod = 100 * time.Millisecond
+	// restartGracePeriod is how long the drain waits for a process of the VM to start draining as
+	// well. If none does, only the sync is being restarted.
+	restartGracePeriod = 2 * time.Second
 )
 
-// Drain stays as long as a process of the VM drains, for it needs the sync until its end, and tells
-// the other VMs that this one leaves once none of its processes is ready.
+// Drain blocks while a process of the VM is draining, because that process needs the sync until it
+// ends. Once none of the VM's processes is ready, the other VMs are notified that this one is
+// leaving.
 func (m *Manager) Drain(ctx context.Context) {
 	m.mu.Lock()
 	m.draining = true
@@ -26,13 +27,13 @@
 	started := time.Now()
 	for {
 		now := time.Now()
-		m.publishOwn(now)
+		m.publishOwnState(now)
 		busy := m.processes.any(now, pb.ProcessState_PROCESS_STATE_DRAINING)
 		ready := m.processes.any(now, pb.ProcessState_PROCESS_STATE_READY, pb.ProcessState_PROCESS_STATE_STARTING)
-		if !busy && (!ready || now.Sub(started) >= restartGrace) {
+		if !busy && (!ready || now.Sub(started) >= restartGracePeriod) {
 			break
 		}
-		if !wait.For(ctx, drainTick) {
+		if !wait.For(ctx, drainCheckPeriod) {
 			break
 		}
 	}
--- a/internal/syncd/feed.go
+++ b/internal/syncd/feed.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// feedHeartbeat is how often a view is sent without a change.
-	feedHeartbeat = 500 * time.Millisecond
-	// feedGap is the least time between two views, so that a burst of changes is one view.
-	feedGap = 20 * time.Millisecond
+	// feedHeartbeatPeriod is the interval at which a view is sent without a change.
+	feedHeartbeatPeriod = 500 * time.Millisecond
+	// minFeedInterval is the minimum time between two views, so that a burst of changes results in
+	// one view.
+	minFeedInterval = 20 * time.Millisecond
 )
 
-// feedServer serves the processes of this VM.
+// feedServer serves the feed to the processes of this VM.
 type feedServer struct {
 	m *Manager
 	// stopping is closed when streams have to end.
@@ -30,27 +31,27 @@
 
 var _ burdockv1connect.FeedServiceHandler = (*feedServer)(nil)
 
-// feedStream is what was sent on one stream.
+// feedStream records what has been sent on one stream.
 type feedStream struct {
 	out *connect.ServerStream[pb.View]
-	// bundle held by the process, or sent to it, by version and digest.
+	// bundleVersion and bundleDigest identify the bundle that the process holds or was sent.
 	bundleVersion uint64
 	bundleDigest  bundle.Digest
-	// brought is true where it was sent on this stream.
-	brought bool
-	// epoch of the lists that were sent; sent is false before the first view.
+	// sentHere is true if that bundle was sent on this stream.
+	sentHere bool
+	// epoch is that of the lists sent last; sent is false before the first view.
 	epoch uint64
 	sent  bool
 }
 
 // Watch implements the FeedService.
 func (f *feedServer) Watch(ctx context.Context, req *pb.WatchRequest, out *connect.ServerStream[pb.View]) error {
-	if !feedRole(req.GetProcess().GetRole()) {
+	if !isFeedRole(req.GetProcess().GetRole()) {
 		return errRole(req.GetProcess().GetRole())
 	}
-	release := f.m.processes.connected(req.GetProcess(), time.Now())
+	release := f.m.processes.streamOpened(req.GetProcess(), time.Now())
 	defer func() { release(time.Now()) }()
-	f.m.publishOwn(time.Now())
+	f.m.publishOwnState(time.Now())
 	s := &feedStream{out: out, bundleVersion: req.GetBundleVersion()}
 	copy(s.bundleDigest[:], req.GetBundleDigest())
 	for {
@@ -64,7 +65,7 @@
 	}
 }
 
-// sendIfCaughtUp sends a view, unless what is known may be from before a pause.
+// sendIfCaughtUp sends a view unless the sync's state may predate a pause.
 func (f *feedServer) sendIfCaughtUp(s *feedStream) error {
 	f.m.checkPause(time.Now())
 	if !f.m.spread.CaughtUp() {
@@ -73,9 +74,9 @@
 	return s.send(f.m)
 }
 
-// wait returns at a change or when a heartbeat is due; false where the stream has to end.
+// wait returns true at a change or when a heartbeat is due, and false when the stream has to end.
 func (f *feedServer) wait(ctx context.Context, changed <-chan struct{}) bool {
-	t := time.NewTimer(feedHeartbeat)
+	t := time.NewTimer(feedHeartbeatPeriod)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -86,17 +87,17 @@
 		return true
 	case <-changed:
 	}
-	return wait.For(ctx, feedGap)
+	return wait.For(ctx, minFeedInterval)
 }
 
-// send sends what the process doesn't have yet.
+// send sends what the process does not have yet.
 func (s *feedStream) send(m *Manager) error {
 	view, epoch := m.views.get(time.Now())
 	if s.sent && s.epoch == epoch {
 		view = m.views.unchanged(time.Now())
 	}
 	b := m.content.Offered()
-	due := s.due(b)
+	due := s.bundleDue(b)
 	if due {
 		view = withBundle(view, b.Signed, b.Text)
 	}
@@ -105,27 +106,27 @@
 	}
 	s.epoch, s.sent = epoch, true
 	if due {
-		s.bundleVersion, s.bundleDigest, s.brought = b.Version, b.Digest, true
+		s.bundleVersion, s.bundleDigest, s.sentHere = b.Version, b.Digest, true
 	}
 	return nil
 }
 
-// due tells whether the process gets the bundle: a higher one, or the one that is offered again after that sent
-// last was found not to work.
-func (s *feedStream) due(b *content.Offer) bool {
-	return b != nil && (b.Above(s.bundleVersion, s.bundleDigest) || s.brought && b.Digest != s.bundleDigest)
+// bundleDue reports whether the bundle has to be sent: it is higher than the one the process holds,
+// or it is offered again after the one sent last proved unusable.
+func (s *feedStream) bundleDue(b *content.Offer) bool {
+	return b != nil && (b.Above(s.bundleVersion, s.bundleDigest) || s.sentHere && b.Digest != s.bundleDigest)
 }
 
 // Report implements the FeedService.
 func (f *feedServer) Report(_ context.Context, req *pb.ReportRequest) (*pb.ReportResponse, error) {
-	if !feedRole(req.GetProcess().GetRole()) {
+	if !isFeedRole(req.GetProcess().GetRole()) {
 		return nil, errRole(req.GetProcess().GetRole())
 	}
 	now := time.Now()
 	f.m.checkPause(now)
 	f.m.processes.report(req.GetProcess(), now)
-	f.m.publishOwn(now)
-	f.m.spread.TakeEvidence(req.GetDepartures(), req.GetCrashes(), now)
+	f.m.publishOwnState(now)
+	f.m.spread.MergeEvidence(req.GetDepartures(), req.GetCrashes(), now)
 	return &pb.ReportResponse{}, nil
 }
 
--- a/internal/syncd/processes.go
+++ b/internal/syncd/processes.go
@@ -12,79 +12,83 @@
 )
 
 const (
-	// silentAfter is how long a process may go without a report before its state counts as
-	// unknown; it reports each second.
-	silentAfter = 3 * time.Second
-	// goneAfter is how long a process may be without a stream before it counts as gone: a process
-	// that lives opens the next one within a fraction of this.
-	goneAfter = time.Second
+	// reportTimeout is how long a process may go without a report before its state counts as
+	// unknown. Processes report every second.
+	reportTimeout = 3 * time.Second
+	// streamTimeout is how long a process may be without a stream before it counts as gone. A live
+	// process opens the next one within a fraction of this.
+	streamTimeout = time.Second
 )
 
-// processes are those of this VM, as they report themselves. It is safe for concurrent use.
+// processes holds the processes of this VM as they report themselves. It is safe for concurrent
+// use.
 type processes struct {
 	mu sync.Mutex
 	// byRole is guarded by mu.
 	byRole map[pb.ProcessRole]*localProcess
 }
 
-// localProcess is one process. Its owner is processes.
+// localProcess is one process of this VM. It is guarded by the mutex of processes.
 type localProcess struct {
-	reported *pb.Process
-	heard    time.Time
-	// streams counts its open ones; ended is when the last one ended.
-	streams int
-	ended   time.Time
+	reported   *pb.Process
+	lastReport time.Time
+	// streams is the number of open streams; lastStreamEnd is when the last one ended.
+	streams       int
+	lastStreamEnd time.Time
 }
 
 func newProcesses() *processes { return &processes{byRole: make(map[pb.ProcessRole]*localProcess)} }
 
-// feedRole tells whether a role is fed by the sync.
-func feedRole(r pb.ProcessRole) bool {
+// isFeedRole reports whether processes of the role receive the feed.
+func isFeedRole(r pb.ProcessRole) bool {
 	return r == pb.ProcessRole_PROCESS_ROLE_ENTRY || r == pb.ProcessRole_PROCESS_ROLE_GATHER
 }
 
-// report takes what a process says of itself.
+// report records what a process reports of itself.
 func (p *processes) report(proc *pb.Process, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noted(proc, now)
+	p.record(proc, now)
 }
 
-// noted returns the entry of a process, anew for a new incarnation; mu is held.
-func (p *processes) noted(proc *pb.Process, now time.Time) *localProcess {
+// record returns the entry of a process and creates a new one for a new incarnation. mu must be
+// held.
+func (p *processes) record(proc *pb.Process, now time.Time) *localProcess {
 	l := p.byRole[proc.GetRole()]
 	if l == nil || l.reported.GetIncarnation() != proc.GetIncarnation() {
-		l = &localProcess{ended: now}
+		l = &localProcess{lastStreamEnd: now}
 		p.byRole[proc.GetRole()] = l
 	}
-	l.reported, l.heard = proc, now
+	l.reported, l.lastReport = proc, now
 	return l
 }
 
-// connected notes a stream of a process; the function returned notes its end.
-func (p *processes) connected(proc *pb.Process, now time.Time) (release func(time.Time)) {
+// streamOpened records a new stream of a process. The returned function records the end of the
+// stream.
+func (p *processes) streamOpened(proc *pb.Process, now time.Time) (release func(time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.noted(proc, now)
+	l := p.record(proc, now)
 	l.streams++
 	return func(now time.Time) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		l.streams--
-		l.ended = now
+		l.lastStreamEnd = now
 	}
 }
 
-// paused starts the time of all processes anew: their silence may have been this process's own.
-func (p *processes) paused(now time.Time) {
+// restartTimers restarts the timeouts of all processes after a pause, because their silence may
+// have been caused by this process's own pause.
+func (p *processes) restartTimers(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.byRole {
-		l.heard, l.ended = now, now
+		l.lastReport, l.lastStreamEnd = now, now
 	}
 }
 
-// list returns the processes in their states, by role.
+// list returns the processes with their current states, sorted by role.
 func (p *processes) list(now time.Time) []*pb.Process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,21 +102,21 @@
 	return out
 }
 
-// state returns the state a process counts as.
+// state returns the current state of a process, with its timeouts applied.
 func (l *localProcess) state(now time.Time) pb.ProcessState {
-	said := l.reported.GetState()
+	reported := l.reported.GetState()
 	switch {
-	case said == pb.ProcessState_PROCESS_STATE_GONE:
-		return said
-	case l.streams == 0 && now.Sub(l.ended) >= goneAfter:
+	case reported == pb.ProcessState_PROCESS_STATE_GONE:
+		return reported
+	case l.streams == 0 && now.Sub(l.lastStreamEnd) >= streamTimeout:
 		return pb.ProcessState_PROCESS_STATE_GONE
-	case now.Sub(l.heard) >= silentAfter:
+	case now.Sub(l.lastReport) >= reportTimeout:
 		return pb.ProcessState_PROCESS_STATE_UNSPECIFIED
 	}
-	return said
+	return reported
 }
 
-// any tells whether a process is in one of the states.
+// any reports whether a process is in one of the states.
 func (p *processes) any(now time.Time, states ...pb.ProcessState) bool {
 	return slices.ContainsFunc(p.list(now), func(proc *pb.Process) bool {
 		return slices.Contains(states, proc.GetState())
