--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -92,9 +92,9 @@
 	s.door.with(func(g *gate) { g.ended(now, s.kind, now.Sub(s.started), r) })
 }
 
-// Keep drops the state of callers and services that the bundle doesn't name. It is cheap where the
+// Prune drops the state of callers and services that the bundle doesn't name. It is cheap where the
 // bundle is the same as before.
-func (c *Controller) Keep(b *bundle.Bundle) {
+func (c *Controller) Prune(b *bundle.Bundle) {
 	if c.kept.Swap(b) == b {
 		return
 	}
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -90,7 +90,7 @@
 		other, err := c.Admit(ctx, request("b")) // another caller has its own
 		is.True(err == nil)
 		other.Done(ResultOK)
-		c.Keep(&bundle.Bundle{})
+		c.Prune(&bundle.Bundle{})
 		is.Equal(len(c.callers.byName), 0)
 	})
 }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -24,8 +24,8 @@
 const (
 	// ResultOK is an answer, whole or partial, that lacks nothing for load.
 	ResultOK Result = iota
-	// ResultShort is an answer that lacks shards for load.
-	ResultShort
+	// ResultPartialOverload is an answer that lacks shards for load.
+	ResultPartialOverload
 	// ResultOverload is a refusal for load.
 	ResultOverload
 	// ResultDeadline is a request that ran out of time.
@@ -178,7 +178,7 @@
 // ended takes the end of a request that was admitted. took is 0 where it never ran.
 func (g *gate) ended(now time.Time, kind string, took time.Duration, r Result) {
 	g.inFlight--
-	if r == ResultOK || r == ResultShort || r == ResultDeadline {
+	if r == ResultOK || r == ResultPartialOverload || r == ResultDeadline {
 		g.estimateOf(kind).add(now, took)
 		g.all.add(now, took)
 	}
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -252,7 +252,7 @@
 		"not above the highest":          {[]Result{ResultOK}, true, 9, 24},
 		"keeps while unused":             {[]Result{ResultOK}, false, 9, 20},
 		"a slot less for each overload":  {[]Result{ResultOK, ResultOverload}, true, 1, 18},
-		"and for each short answer":      {[]Result{ResultOK, ResultShort}, true, 1, 18},
+		"and for each short answer":      {[]Result{ResultOK, ResultPartialOverload}, true, 1, 18},
 		"bounded in a window":            {[]Result{ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload}, true, 1, 14},
 		"falls on deadlines":             {[]Result{ResultOK, ResultDeadline}, true, 1, 14},
 		"not below the lowest":           {[]Result{ResultOverload}, true, 50, 4},
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -52,7 +52,7 @@
 	switch r {
 	case ResultCancelled:
 		return
-	case ResultOverload, ResultShort:
+	case ResultOverload, ResultPartialOverload:
 		// One slot too many was used.
 		l.fall(1)
 	case ResultDeadline:
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -26,8 +26,8 @@
 	forgetAfter = 10 * time.Minute
 )
 
-// SuspectSooner divides the hedge delay of a call to a suspect leaf.
-const SuspectSooner = 3
+// SuspectHedgeDivisor divides the hedge delay of a call to a suspect leaf.
+const SuspectHedgeDivisor = 3
 
 // NoHedge is a hedge delay longer than any call.
 const NoHedge = time.Hour
@@ -100,7 +100,7 @@
 		begun: now, late: b.groupDelay(now, candidates), suspect: c.leaf.late > 0,
 	}
 	if made.suspect {
-		made.late /= SuspectSooner
+		made.late /= SuspectHedgeDivisor
 	}
 	return made, true
 }
--- a/internal/entry/manager.go
+++ b/internal/entry/manager.go
@@ -135,7 +135,7 @@
 // hasReached tells whether every service has had a gather by now. One that is lost later doesn't
 // take the entry out of the balancer's rotation: it answers so, and other services go on.
 func (m *Manager) hasReached(v *feed.View) bool {
-	if !m.reached.Load() && route.Reaches(v) {
+	if !m.reached.Load() && route.AllServicesReachable(v) {
 		m.reached.Store(true)
 	}
 	return m.reached.Load()
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -124,7 +124,7 @@
 	}
 	ctx, cancel := withDeadline(ctx, c, kind)
 	defer cancel()
-	m.admission.Keep(c.view.Bundle)
+	m.admission.Prune(c.view.Bundle)
 	slot, e := m.admission.Admit(ctx, admission.Request{Service: svc.Name, Kind: kind, Caller: c.caller})
 	if e != nil {
 		return e
@@ -162,7 +162,7 @@
 	}
 	for _, shard := range s.GetCoverage().GetMissing() {
 		if shard.GetReason() == pb.Reason_REASON_OVERLOAD {
-			return admission.ResultShort
+			return admission.ResultPartialOverload
 		}
 	}
 	return admission.ResultOK
--- a/internal/route/reach.go
+++ b/internal/route/reach.go
@@ -2,8 +2,8 @@
 
 import "github.com/burdockplank/burdockplank/internal/feed"
 
-// Reaches tells whether the view names a gather that takes new work for each service of its bundle.
-func Reaches(v *feed.View) bool {
+// AllServicesReachable tells whether the view names a gather that takes new work for each service of its bundle.
+func AllServicesReachable(v *feed.View) bool {
 	if v.Bundle == nil {
 		return false
 	}
--- a/internal/search/calls.go
+++ b/internal/search/calls.go
@@ -49,7 +49,7 @@
 func (r *run) hedgeAfter(s *shard, call balance.Call) time.Duration {
 	d := r.q.replicas.HedgeAfter(s.replicas)
 	if call.Suspect() {
-		return d / balance.SuspectSooner
+		return d / balance.SuspectHedgeDivisor
 	}
 	return d
 }
--- a/internal/search/sim_test.go
+++ b/internal/search/sim_test.go
@@ -188,7 +188,7 @@
 	}
 	for _, m := range a.GetCoverage().GetMissing() {
 		if m.GetReason() == pb.Reason_REASON_OVERLOAD {
-			result = admission.ResultShort
+			result = admission.ResultPartialOverload
 		}
 	}
 	return a, nil
