--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -13,8 +13,8 @@
 
 // callers holds the allowance of each caller at this entry.
 type callers struct {
-	most   time.Duration
-	random Random
+	maxRetryAfter time.Duration
+	random        Random
 
 	mu sync.Mutex
 	// byName is guarded by mu.
@@ -24,11 +24,11 @@
 // allowance is one caller's token bucket, and when its refused requests may come back.
 type allowance struct {
 	limiter *rate.Limiter
-	returns returns
+	retries retrySchedule
 }
 
 func newCallers(s Settings, random Random) *callers {
-	return &callers{most: s.MaxRetryAfter.D(), random: random, byName: make(map[string]*allowance)}
+	return &callers{maxRetryAfter: s.MaxRetryAfter.D(), random: random, byName: make(map[string]*allowance)}
 }
 
 // take spends one request of the caller's allowance, or returns the refusal.
@@ -38,19 +38,19 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.of(now, caller)
+	a := c.allowanceOf(now, caller)
 	if a.limiter.AllowN(now, 1) {
 		return nil
 	}
 	e := outcome.NotRun(pb.Reason_REASON_CALLER_LIMIT, step, "more than %g requests a second", caller.Rate)
-	return e.After(a.returns.after(now, 0, caller.Rate, c.random()))
+	return e.After(a.retries.retryAfter(now, 0, caller.Rate, c.random()))
 }
 
-// of returns the caller's allowance as its bundle says now; mu is held.
-func (c *callers) of(now time.Time, caller *bundle.Caller) *allowance {
+// allowanceOf returns the caller's allowance as its bundle says now; mu is held.
+func (c *callers) allowanceOf(now time.Time, caller *bundle.Caller) *allowance {
 	a := c.byName[caller.Name]
 	if a == nil {
-		a = &allowance{limiter: rate.NewLimiter(rate.Limit(caller.Rate), caller.Burst), returns: returns{most: c.most}}
+		a = &allowance{limiter: rate.NewLimiter(rate.Limit(caller.Rate), caller.Burst), retries: retrySchedule{maxWait: c.maxRetryAfter}}
 		c.byName[caller.Name] = a
 	}
 	if a.limiter.Limit() != rate.Limit(caller.Rate) {
@@ -62,8 +62,8 @@
 	return a
 }
 
-// keep drops the allowances of callers that the bundle doesn't name.
-func (c *callers) keep(b *bundle.Bundle) {
+// prune drops the allowances of callers that the bundle doesn't name.
+func (c *callers) prune(b *bundle.Bundle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name := range c.byName {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -31,36 +31,36 @@
 	random   Random
 	callers  *callers
 	metrics  *metrics
-	// kept is the bundle by which unused state was last dropped.
-	kept atomic.Pointer[bundle.Bundle]
+	// pruned is the bundle by which unused state was last dropped.
+	pruned atomic.Pointer[bundle.Bundle]
 
 	mu sync.Mutex
-	// doors is guarded by mu.
-	doors map[string]*door
+	// limiters is guarded by mu.
+	limiters map[string]*syncLimiter
 }
 
-// door is a gate with what serializes it and the timer of its next expiry.
-type door struct {
+// syncLimiter is a gate with what serializes it and the timer of its next expiry.
+type syncLimiter struct {
 	clock  Clock
 	gauges gauges
 
 	mu sync.Mutex
-	// gate and timer are guarded by mu.
-	gate  *gate
-	timer *time.Timer
+	// limiter and timer are guarded by mu.
+	limiter *limiter
+	timer   *time.Timer
 }
 
 // New returns a controller that has admitted nothing.
 func New(s Settings, reg prometheus.Registerer, clock Clock, random Random) *Controller {
 	return &Controller{
 		settings: s, clock: clock, random: random, callers: newCallers(s, random),
-		metrics: newMetrics(reg), doors: make(map[string]*door),
+		metrics: newMetrics(reg), limiters: make(map[string]*syncLimiter),
 	}
 }
 
 // Slot is the right to run one request. Done has to be called once.
 type Slot struct {
-	door    *door
+	limiter *syncLimiter
 	kind    string
 	started time.Time
 }
@@ -73,37 +73,37 @@
 		c.metrics.refused(r, err)
 		return nil, err
 	}
-	d := c.door(r.Service)
+	sl := c.limiterOf(r.Service)
 	w := newWaiter(ctx, r, now)
-	d.arrive(w)
-	err := d.await(ctx, w)
+	sl.arrive(w)
+	err := sl.await(ctx, w)
 	ended := c.clock()
 	c.metrics.waited.WithLabelValues(r.Service).Observe(ended.Sub(now).Seconds())
 	if err != nil {
 		c.metrics.refused(r, err)
 		return nil, err
 	}
-	return &Slot{door: d, kind: r.Kind.Name, started: ended}, nil
+	return &Slot{limiter: sl, kind: r.Kind.Name, started: ended}, nil
 }
 
 // Done ends the request.
 func (s *Slot) Done(r Result) {
-	now := s.door.clock()
-	s.door.with(func(g *gate) { g.ended(now, s.kind, now.Sub(s.started), r) })
+	now := s.limiter.clock()
+	s.limiter.with(func(l *limiter) { l.finish(now, s.kind, now.Sub(s.started), r) })
 }
 
 // Prune drops the state of callers and services that the bundle doesn't name. It is cheap where the
 // bundle is the same as before.
 func (c *Controller) Prune(b *bundle.Bundle) {
-	if c.kept.Swap(b) == b {
+	if c.pruned.Swap(b) == b {
 		return
 	}
-	c.callers.keep(b)
+	c.callers.prune(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, d := range c.doors {
-		if b.Services[name] == nil && d.idle() {
-			delete(c.doors, name)
+	for name, sl := range c.limiters {
+		if b.Services[name] == nil && sl.idle() {
+			delete(c.limiters, name)
 		}
 	}
 }
@@ -112,64 +112,64 @@
 	deadline, _ := ctx.Deadline()
 	return &waiter{
 		caller: r.Caller.Name, share: float64(max(1, r.Caller.Share)), kind: r.Kind.Name, weight: r.Kind.Weight,
-		arrived: now, deadline: deadline, verdict: make(chan verdict, 1),
+		arrived: now, deadline: deadline, decision: make(chan decision, 1),
 	}
 }
 
-// door returns the service's door.
-func (c *Controller) door(service string) *door {
+// limiterOf returns the service's door.
+func (c *Controller) limiterOf(service string) *syncLimiter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.doors[service]
-	if d == nil {
-		d = &door{clock: c.clock, gauges: c.metrics.gauges(service), gate: newGate(c.settings, c.random)}
-		d.timer = time.AfterFunc(time.Hour, d.expire)
-		d.timer.Stop()
-		c.doors[service] = d
+	sl := c.limiters[service]
+	if sl == nil {
+		sl = &syncLimiter{clock: c.clock, gauges: c.metrics.gauges(service), limiter: newLimiter(c.settings, c.random)}
+		sl.timer = time.AfterFunc(time.Hour, sl.expire)
+		sl.timer.Stop()
+		c.limiters[service] = sl
 	}
-	return d
+	return sl
 }
 
-func (d *door) arrive(w *waiter) {
-	d.with(func(g *gate) { g.arrive(w.arrived, w) })
+func (sl *syncLimiter) arrive(w *waiter) {
+	sl.with(func(l *limiter) { l.arrive(w.arrived, w) })
 }
 
-func (d *door) expire() {
-	now := d.clock()
-	d.with(func(g *gate) { g.expire(now) })
+func (sl *syncLimiter) expire() {
+	now := sl.clock()
+	sl.with(func(l *limiter) { l.expire(now) })
 }
 
 // with runs f on the gate, then sets the timer and the gauges by what f left.
-func (d *door) with(f func(*gate)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f(d.gate)
-	now := d.clock()
-	if at, some := d.gate.nextExpiry(now); some {
-		d.timer.Reset(max(at.Sub(now), timerFloor))
+func (sl *syncLimiter) with(f func(*limiter)) {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	f(sl.limiter)
+	now := sl.clock()
+	if at, ok := sl.limiter.nextExpiry(now); ok {
+		sl.timer.Reset(max(at.Sub(now), minTimerDelay))
 	} else {
-		d.timer.Stop()
+		sl.timer.Stop()
 	}
-	d.gauges.show(d.gate)
+	sl.gauges.set(sl.limiter)
 }
 
-// timerFloor keeps a timer whose time is past from firing without a pause.
-const timerFloor = 100 * time.Microsecond
+// minTimerDelay keeps a timer whose time is past from firing without a pause.
+const minTimerDelay = 100 * time.Microsecond
 
 // await returns the decision about w, or the outcome where ctx ends first.
-func (d *door) await(ctx context.Context, w *waiter) *outcome.Error {
+func (sl *syncLimiter) await(ctx context.Context, w *waiter) *outcome.Error {
 	select {
-	case v := <-w.verdict:
+	case v := <-w.decision:
 		return v.err
 	case <-ctx.Done():
 	}
 	waiting := false
-	d.with(func(g *gate) { waiting = g.leave(w) })
+	sl.with(func(l *limiter) { waiting = l.cancel(w) })
 	if !waiting {
 		// The decision came at the same moment; a slot goes back unused.
-		if v := <-w.verdict; v.err == nil {
-			now := d.clock()
-			d.with(func(g *gate) { g.ended(now, w.kind, 0, ResultCancelled) })
+		if v := <-w.decision; v.err == nil {
+			now := sl.clock()
+			sl.with(func(l *limiter) { l.finish(now, w.kind, 0, ResultCancelled) })
 		}
 	}
 	reason := pb.Reason_REASON_CANCELLED
@@ -180,8 +180,8 @@
 }
 
 // idle tells whether nothing runs or waits.
-func (d *door) idle() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.gate.inFlight == 0 && d.gate.queue.length == 0
+func (sl *syncLimiter) idle() bool {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	return sl.limiter.inFlight == 0 && sl.limiter.queue.length == 0
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -25,7 +25,7 @@
 	return Request{Service: "s", Kind: &bundle.Kind{Name: "k", Weight: 1}, Caller: &bundle.Caller{Name: caller, Share: 1}}
 }
 
-func TestWaitingEndsAtOnce(t *testing.T) {
+func TestWaitEndsImmediately(t *testing.T) {
 	tests := map[string]struct {
 		timeout, cancelAfter time.Duration
 		want                 pb.Reason
@@ -40,9 +40,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newController(1)
-				hold, err := c.Admit(t.Context(), request("a"))
+				unbounded, err := c.Admit(t.Context(), request("a"))
 				is.True(err != nil) // without a deadline nothing is admitted
-				is.Equal(hold, nil)
+				is.Equal(unbounded, nil)
 				long, cancelLong := context.WithTimeout(t.Context(), time.Hour)
 				defer cancelLong()
 				slot, err := c.Admit(long, request("a"))
@@ -95,10 +95,10 @@
 	})
 }
 
-// TestResendsAtOnceDoNotKeepAnOverloadAlive runs callers that never wait when refused against a
+// TestImmediateResendsDoNotSustainOverload runs callers that never wait when refused against a
 // service that is 20 times slower for two seconds: what is done in the second after is within a
 // tenth of what was done in the second before.
-func TestResendsAtOnceDoNotKeepAnOverloadAlive(t *testing.T) {
+func TestImmediateResendsDoNotSustainOverload(t *testing.T) {
 	const (
 		slots   = 10
 		clients = 60
@@ -145,9 +145,9 @@
 		is.True(storm > 1000) // there was a storm
 		service.Store(int64(quick))
 		count(slow + time.Second)
-		after, left := count(time.Second)
+		after, refusedAfter := count(time.Second)
 		is.True(after*10 >= before*9)
-		is.True(left*10 <= after)
+		is.True(refusedAfter*10 <= after)
 		cancel()
 		time.Sleep(time.Second)
 	})
--- a/internal/admission/dump.go
+++ b/internal/admission/dump.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// gateState is what the dump shows of one service.
-type gateState struct {
+// limiterState is what the dump shows of one service.
+type limiterState struct {
 	InFlight   int  `json:"in_flight"`
 	Limit      int  `json:"limit"`
 	Queued     int  `json:"queued"`
@@ -19,27 +19,27 @@
 // Dump implements operator.Dumper: the state of each service's gate.
 func (c *Controller) Dump() any {
 	c.mu.Lock()
-	doors := make(map[string]*door, len(c.doors))
-	for name, d := range c.doors {
-		doors[name] = d
+	limiters := make(map[string]*syncLimiter, len(c.limiters))
+	for name, sl := range c.limiters {
+		limiters[name] = sl
 	}
 	c.mu.Unlock()
-	states := make(map[string]gateState, len(doors))
-	for name, d := range doors {
-		states[name] = d.state()
+	states := make(map[string]limiterState, len(limiters))
+	for name, sl := range limiters {
+		states[name] = sl.state()
 	}
 	return states
 }
 
-func (d *door) state() gateState {
+func (d *syncLimiter) state() limiterState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now, g := d.clock(), d.gate
-	s := gateState{
+	now, g := d.clock(), d.limiter
+	s := limiterState{
 		InFlight: g.inFlight, Limit: g.limit.slots(), Queued: g.queue.length, Overloaded: g.overloaded(),
-		LimitMoved: g.limit.decision, Drain: g.drain(now), Typical: make(map[string]string, len(g.took)),
+		LimitMoved: g.limit.decision, Drain: g.drainRate(now), Typical: make(map[string]string, len(g.byKind)),
 	}
-	for kind, e := range g.took {
+	for kind, e := range g.byKind {
 		s.Typical[kind] = e.typical().Round(time.Microsecond).String()
 	}
 	return s
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// estimateShare is the weight of a new sample.
-	estimateShare = 0.1
+	// sampleWeight is the weight of a new sample.
+	sampleWeight = 0.1
 	// estimateHalfLife is how fast an estimate without new samples is forgotten, so that a service
 	// that was slow is tried again.
 	estimateHalfLife = time.Second
-	// surelyDeviations is how far below the mean a time must be to count as surely too short.
-	surelyDeviations = 2
+	// minTimeDeviations is how far below the mean a time must be to count as surely too short.
+	minTimeDeviations = 2
 )
 
 // estimate is the mean and the mean deviation of a time.
@@ -27,8 +27,8 @@
 	if e.updated.IsZero() {
 		e.mean, e.deviation = x, x/2
 	} else {
-		e.deviation += estimateShare * (math.Abs(x-e.mean) - e.deviation)
-		e.mean += estimateShare * (x - e.mean)
+		e.deviation += sampleWeight * (math.Abs(x-e.mean) - e.deviation)
+		e.mean += sampleWeight * (x - e.mean)
 	}
 	e.updated = now
 }
@@ -36,22 +36,22 @@
 // typical returns the mean, 0 before the first sample.
 func (e *estimate) typical() time.Duration { return time.Duration(e.mean) }
 
-// least returns a time in which a request surely can't be done, 0 where nothing is known.
-func (e *estimate) least(now time.Time) time.Duration {
+// lowerBound returns a time in which a request surely can't be done, 0 where nothing is known.
+func (e *estimate) lowerBound(now time.Time) time.Duration {
 	if e.updated.IsZero() {
 		return 0
 	}
 	age := math.Exp2(-float64(now.Sub(e.updated)) / float64(estimateHalfLife))
-	return time.Duration(max(0, e.mean-surelyDeviations*e.deviation) * age)
+	return time.Duration(max(0, e.mean-minTimeDeviations*e.deviation) * age)
 }
 
 const (
-	// rateTime is the time constant of an eventRate.
-	rateTime = time.Second
-	// rateLeast is the shortest time over which a rate is worked out.
-	rateLeast = 50 * time.Millisecond
-	// rateIdle is how long without an event a rate starts anew.
-	rateIdle = 5 * rateTime
+	// rateTimeConstant is the time constant of an eventRate.
+	rateTimeConstant = time.Second
+	// minRateSpan is the shortest time over which a rate is worked out.
+	minRateSpan = 50 * time.Millisecond
+	// rateResetAfter is how long without an event a rate starts anew.
+	rateResetAfter = 5 * rateTimeConstant
 )
 
 // eventRate counts events a second, forgetting the old.
@@ -62,23 +62,23 @@
 
 // add takes one event.
 func (r *eventRate) add(now time.Time) {
-	if r.updated.IsZero() || now.Sub(r.updated) > rateIdle {
+	if r.updated.IsZero() || now.Sub(r.updated) > rateResetAfter {
 		*r = eventRate{started: now}
 	}
-	r.count = r.left(now) + 1
+	r.count = r.decayed(now) + 1
 	r.updated = now
 }
 
-// left returns the weight of the events so far.
-func (r *eventRate) left(now time.Time) float64 {
-	return r.count * math.Exp(-float64(now.Sub(r.updated))/float64(rateTime))
+// decayed returns the weight of the events so far.
+func (r *eventRate) decayed(now time.Time) float64 {
+	return r.count * math.Exp(-float64(now.Sub(r.updated))/float64(rateTimeConstant))
 }
 
-// at returns the events a second, over the time since the first where that is short.
-func (r *eventRate) at(now time.Time) float64 {
+// perSecond returns the events a second, over the time since the first where that is short.
+func (r *eventRate) perSecond(now time.Time) float64 {
 	if r.updated.IsZero() {
 		return 0
 	}
-	age := max(rateLeast, now.Sub(r.started))
-	return r.left(now) / (rateTime.Seconds() * (1 - math.Exp(-float64(age)/float64(rateTime))))
+	age := max(minRateSpan, now.Sub(r.started))
+	return r.decayed(now) / (rateTimeConstant.Seconds() * (1 - math.Exp(-float64(age)/float64(rateTimeConstant))))
 }
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -11,29 +11,29 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// bench drives a gate by hand in its own time.
-type bench struct {
-	gate *gate
+// harness drives a gate by hand in its own time.
+type harness struct {
+	gate *limiter
 	now  time.Time
 }
 
-// newBench returns a gate with a fixed limit and a queue of the given lengths.
-func newBench(slots, queue int) *bench {
+// newHarness returns a gate with a fixed limit and a queue of the given lengths.
+func newHarness(slots, queue int) *harness {
 	s := DefaultSettings()
 	s.MinConcurrency, s.InitialConcurrency, s.MaxConcurrency, s.Queue = slots, slots, slots, queue
-	return &bench{gate: newGate(s, func() float64 { return 0 }), now: time.Unix(0, 0)}
+	return &harness{gate: newLimiter(s, func() float64 { return 0 }), now: time.Unix(0, 0)}
 }
 
-func (b *bench) pass(d time.Duration) {
+func (b *harness) pass(d time.Duration) {
 	b.now = b.now.Add(d)
 	b.gate.expire(b.now)
 }
 
 // send lets a request arrive; its kind is named after its weight.
-func (b *bench) send(caller string, weight int, left time.Duration) *waiter {
+func (b *harness) send(caller string, weight int, left time.Duration) *waiter {
 	w := &waiter{
 		caller: caller, share: 1, kind: "k", weight: weight, arrived: b.now, deadline: b.now.Add(left),
-		verdict: make(chan verdict, 1),
+		decision: make(chan decision, 1),
 	}
 	if caller == "double" {
 		w.share = 2
@@ -43,13 +43,13 @@
 }
 
 // end ends one running request.
-func (b *bench) end(took time.Duration, r Result) { b.gate.ended(b.now, "k", took, r) }
+func (b *harness) end(elapsed time.Duration, r Result) { b.gate.finish(b.now, "k", elapsed, r) }
 
 // state says runs, waits, or why the request was refused.
 func state(w *waiter) string {
 	select {
-	case v := <-w.verdict:
-		w.verdict <- v
+	case v := <-w.decision:
+		w.decision <- v
 		if v.err == nil {
 			return "runs"
 		}
@@ -83,7 +83,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(1, 100)
+			b := newHarness(1, 100)
 			b.send("first", 1, time.Minute)
 			var waiting []*waiter
 			for _, s := range test.sent {
@@ -97,9 +97,9 @@
 	}
 }
 
-func TestOverloadBeginsWithAStandingQueueAndEndsWithoutRefusals(t *testing.T) {
+func TestOverloadBeginsWithPersistentQueueAndEndsWithoutRefusals(t *testing.T) {
 	is := is.New(t)
-	b := newBench(1, 2)
+	b := newHarness(1, 2)
 	after := b.gate.settings.OverloadAfter.D()
 	b.send("a", 1, time.Minute)
 	b.send("a", 1, time.Minute)
@@ -109,15 +109,15 @@
 	b.now = b.now.Add(after / 2)
 	b.send("a", 1, time.Minute)
 	is.True(b.gate.overloaded())
-	b.pass(calmAfter*after - 1)
+	b.pass(overloadEndFactor*after - 1)
 	b.send("a", 1, time.Minute)
 	is.True(b.gate.overloaded()) // the last refusal was less than that ago
-	b.pass(calmAfter * after)
+	b.pass(overloadEndFactor * after)
 	b.end(0, ResultFailed)
 	is.True(!b.gate.overloaded())
 }
 
-func TestRations(t *testing.T) {
+func TestQuotas(t *testing.T) {
 	const all = -1
 	tests := map[string]struct {
 		capacity float64
@@ -140,7 +140,7 @@
 			for i := range test.demands {
 				demands[i] = &test.demands[i]
 			}
-			ration(test.capacity, demands)
+			allocate(test.capacity, demands)
 			for i, d := range demands {
 				if test.want[i] == all {
 					is.True(math.IsInf(d.allowed, 1))
@@ -171,7 +171,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(1, len(test.waiting))
+			b := newHarness(1, len(test.waiting))
 			b.send("first", 1, time.Minute)
 			var waiting []*waiter
 			for _, c := range test.waiting {
@@ -185,9 +185,9 @@
 	}
 }
 
-func TestWorkThatCanNotBeDoneInTimeIsRefusedAtTheDoor(t *testing.T) {
+func TestRequestThatCannotFinishInTimeIsRefusedOnArrival(t *testing.T) {
 	is := is.New(t)
-	b := newBench(2, 10)
+	b := newHarness(2, 10)
 	is.Equal(state(b.send("a", 1, 50*time.Millisecond)), "runs") // nothing is known yet
 	for range 30 {
 		b.send("a", 1, time.Minute)
@@ -205,9 +205,9 @@
 	is.Equal(state(b.send("a", 1, 50*time.Millisecond)), "runs") // what was slow once is tried again
 }
 
-func TestLongWaitIsRefusedAtTheDoor(t *testing.T) {
+func TestLongWaitIsRefusedOnArrival(t *testing.T) {
 	is := is.New(t)
-	b := newBench(1, 100)
+	b := newHarness(1, 100)
 	b.send("a", 1, time.Minute)
 	b.end(40*time.Millisecond, ResultOK)
 	for range 4 { // one runs, three wait for 0, 40 and 80 ms
@@ -215,30 +215,30 @@
 	}
 	w := b.send("a", 1, time.Minute) // 120 ms is above the longest wait
 	is.Equal(state(w), full)
-	v := <-w.verdict
+	v := <-w.decision
 	is.Equal(v.err.Kind, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN)
 	is.True(v.err.RetryAfter >= 3*40*time.Millisecond) // not before the queue has drained
 }
 
-func TestReturnsAreSpreadAtTheRateOfTheDrain(t *testing.T) {
+func TestRetryAfterIsSpreadAtTheDrainRate(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	r := returns{most: time.Second}
+	r := retrySchedule{maxWait: time.Second}
 	last := time.Duration(0)
 	for range 50 {
-		d := r.after(now, 0, 100, 0)
+		d := r.retryAfter(now, 0, 100, 0)
 		is.Equal(d-last >= 10*time.Millisecond, true) // 100 a second
 		last = d
 	}
-	is.Equal(last, returnSoonest+50*10*time.Millisecond)
+	is.Equal(last, minRetryAfter+50*10*time.Millisecond)
 	for range 100 {
-		last = r.after(now, 0, 100, 0.5)
+		last = r.retryAfter(now, 0, 100, 0.5)
 	}
 	is.Equal(last, 750*time.Millisecond) // beyond the longest wait: spread over its later half
-	is.Equal(r.after(now.Add(time.Hour), 0, 100, 0), returnSoonest+10*time.Millisecond)
+	is.Equal(r.retryAfter(now.Add(time.Hour), 0, 100, 0), minRetryAfter+10*time.Millisecond)
 }
 
-func TestLimitFollowsTheGathers(t *testing.T) {
+func TestLimitFollowsReportedOverload(t *testing.T) {
 	s := DefaultSettings()
 	s.MinConcurrency, s.InitialConcurrency, s.MaxConcurrency = 4, 20, 24
 	tests := map[string]struct {
@@ -262,18 +262,18 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := newLimit(s)
+			l := newConcurrencyLimit(s)
 			now := time.Unix(0, 0)
-			l.started = now
+			l.windowStart = now
 			for range test.windows {
 				if test.used {
-					l.used()
+					l.markSaturated()
 				}
-				for i := range max(windowSamples, len(test.ends)) {
-					l.ended(now, test.ends[i%len(test.ends)])
+				for i := range max(minWindowSamples, len(test.ends)) {
+					l.observe(now, test.ends[i%len(test.ends)])
 				}
-				now = now.Add(windowTime)
-				l.ended(now, test.ends[0])
+				now = now.Add(minWindowTime)
+				l.observe(now, test.ends[0])
 			}
 			is.True(math.Abs(l.value-test.want) < 1e-9)
 		})
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -12,12 +12,12 @@
 	arrived, deadline time.Time
 	// cost is what the request takes of its caller's share, in seconds of a slot.
 	cost float64
-	// verdict gets the decision; it has room for one.
-	verdict chan verdict
+	// decision gets the decision; it has room for one.
+	decision chan decision
 }
 
-// line is what one caller has waiting in a class, oldest first.
-type line struct {
+// callerQueue is what one caller has waiting in a class, oldest first.
+type callerQueue struct {
 	caller  string
 	share   float64
 	waiting []*waiter
@@ -25,77 +25,77 @@
 	start float64
 }
 
-// surplus compares how much callers have waiting, by their shares.
-func (l *line) surplus() float64 { return float64(len(l.waiting)) / l.share }
+// backlog compares how much callers have waiting, by their shares.
+func (q *callerQueue) backlog() float64 { return float64(len(q.waiting)) / q.share }
 
-// class holds the requests of one weight. Callers take turns by virtual time: each request moves its
+// weightClass holds the requests of one weight. Callers take turns by virtual time: each request moves its
 // caller's by cost over share, and the caller furthest behind goes next.
-type class struct {
-	weight int
-	lines  []*line
-	length int
-	// now is the virtual time of the class: the start of the request that went last.
-	now float64
+type weightClass struct {
+	weight  int
+	callers []*callerQueue
+	length  int
+	// virtualTime is the virtual time of the class: the start of the request that went last.
+	virtualTime float64
 }
 
-// lineOf returns the caller's line. One that was idle starts at the class's time: it gets no credit.
-func (c *class) lineOf(w *waiter) *line {
-	for _, l := range c.lines {
-		if l.caller == w.caller {
-			l.share = w.share
-			return l
+// queueOf returns the caller's line. One that was idle starts at the class's time: it gets no credit.
+func (c *weightClass) queueOf(w *waiter) *callerQueue {
+	for _, q := range c.callers {
+		if q.caller == w.caller {
+			q.share = w.share
+			return q
 		}
 	}
-	l := &line{caller: w.caller, share: w.share, start: c.now}
-	c.lines = append(c.lines, l)
-	return l
+	q := &callerQueue{caller: w.caller, share: w.share, start: c.virtualTime}
+	c.callers = append(c.callers, q)
+	return q
 }
 
 // push adds a waiter.
-func (c *class) push(w *waiter) {
-	l := c.lineOf(w)
-	if len(l.waiting) == 0 {
-		l.start = max(l.start, c.now)
+func (c *weightClass) push(w *waiter) {
+	q := c.queueOf(w)
+	if len(q.waiting) == 0 {
+		q.start = max(q.start, c.virtualTime)
 	}
-	l.waiting = append(l.waiting, w)
+	q.waiting = append(q.waiting, w)
 	c.length++
 }
 
 // pop takes the next waiter out, the oldest of the caller furthest behind, and charges its caller. The
 // class must not be empty.
-func (c *class) pop() *waiter {
-	l := c.next()
-	w := l.waiting[0]
-	c.cut(l, 0)
-	c.now = max(c.now, l.start)
-	l.start += w.cost / l.share
-	c.tidy()
+func (c *weightClass) pop() *waiter {
+	q := c.next()
+	w := q.waiting[0]
+	c.removeAt(q, 0)
+	c.virtualTime = max(c.virtualTime, q.start)
+	q.start += w.cost / q.share
+	c.dropIdle()
 	return w
 }
 
 // next returns the line whose turn it is.
-func (c *class) next() *line {
-	var first *line
-	for _, l := range c.lines {
-		if len(l.waiting) > 0 && (first == nil || l.start < first.start) {
-			first = l
+func (c *weightClass) next() *callerQueue {
+	var first *callerQueue
+	for _, q := range c.callers {
+		if len(q.waiting) > 0 && (first == nil || q.start < first.start) {
+			first = q
 		}
 	}
 	return first
 }
 
-// cut takes out the waiter at i.
-func (c *class) cut(l *line, i int) {
-	l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+// removeAt takes out the waiter at i.
+func (c *weightClass) removeAt(q *callerQueue, i int) {
+	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 	c.length--
 }
 
 // remove takes the waiter out, and tells whether it was there. Its caller isn't charged.
-func (c *class) remove(w *waiter) bool {
-	for _, l := range c.lines {
-		for i, x := range l.waiting {
+func (c *weightClass) remove(w *waiter) bool {
+	for _, q := range c.callers {
+		for i, x := range q.waiting {
 			if x == w {
-				c.cut(l, i)
+				c.removeAt(q, i)
 				return true
 			}
 		}
@@ -103,35 +103,35 @@
 	return false
 }
 
-// fullest returns the line with the most waiting by share, or nil.
-func (c *class) fullest() *line {
-	var most *line
-	for _, l := range c.lines {
-		if len(l.waiting) > 0 && (most == nil || l.surplus() > most.surplus()) {
-			most = l
+// longestBacklog returns the line with the most waiting by share, or nil.
+func (c *weightClass) longestBacklog() *callerQueue {
+	var longest *callerQueue
+	for _, q := range c.callers {
+		if len(q.waiting) > 0 && (longest == nil || q.backlog() > longest.backlog()) {
+			longest = q
 		}
 	}
-	return most
+	return longest
 }
 
-// surplusWith returns what the caller of w would have waiting by share if w were added.
-func (c *class) surplusWith(w *waiter) float64 {
-	for _, l := range c.lines {
-		if l.caller == w.caller {
-			return l.surplus() + 1/w.share
+// backlogWith returns what the caller of w would have waiting by share if w were added.
+func (c *weightClass) backlogWith(w *waiter) float64 {
+	for _, q := range c.callers {
+		if q.caller == w.caller {
+			return q.backlog() + 1/w.share
 		}
 	}
 	return 1 / w.share
 }
 
-// tidy forgets callers that wait for nothing and owe nothing.
-func (c *class) tidy() {
-	kept := c.lines[:0]
-	for _, l := range c.lines {
-		if len(l.waiting) > 0 || l.start > c.now {
-			kept = append(kept, l)
+// dropIdle forgets callers that wait for nothing and owe nothing.
+func (c *weightClass) dropIdle() {
+	kept := c.callers[:0]
+	for _, q := range c.callers {
+		if len(q.waiting) > 0 || q.start > c.virtualTime {
+			kept = append(kept, q)
 		}
 	}
-	clear(c.lines[len(kept):])
-	c.lines = kept
+	clear(c.callers[len(kept):])
+	c.callers = kept
 }
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// show sets the gauges by the state of the gate.
-func (g gauges) show(gate *gate) {
+// set sets the gauges by the state of the gate.
+func (g gauges) set(gate *limiter) {
 	g.queued.Set(float64(gate.queue.length))
 	g.inFlight.Set(float64(gate.inFlight))
 	g.limit.Set(float64(gate.limit.slots()))
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -7,17 +7,17 @@
 
 // queue holds the waiting requests of one service by weight, heaviest first.
 type queue struct {
-	classes []*class
+	classes []*weightClass
 	length  int
-	// filledAt is when the queue was last empty.
-	filledAt time.Time
+	// nonEmptySince is when the queue was last empty.
+	nonEmptySince time.Time
 }
 
 // classOf returns the class of the weight.
-func (q *queue) classOf(weight int) *class {
-	i, found := slices.BinarySearchFunc(q.classes, weight, func(c *class, w int) int { return w - c.weight })
+func (q *queue) classOf(weight int) *weightClass {
+	i, found := slices.BinarySearchFunc(q.classes, weight, func(c *weightClass, w int) int { return w - c.weight })
 	if !found {
-		q.classes = slices.Insert(q.classes, i, &class{weight: weight})
+		q.classes = slices.Insert(q.classes, i, &weightClass{weight: weight})
 	}
 	return q.classes[i]
 }
@@ -25,18 +25,18 @@
 // push adds a waiter.
 func (q *queue) push(now time.Time, w *waiter) {
 	if q.length == 0 {
-		q.filledAt = now
+		q.nonEmptySince = now
 	}
 	q.classOf(w.weight).push(w)
 	q.length++
 }
 
-// standing returns how long the queue has not been empty.
-func (q *queue) standing(now time.Time) time.Duration {
+// nonEmptyFor returns how long the queue has not been empty.
+func (q *queue) nonEmptyFor(now time.Time) time.Duration {
 	if q.length == 0 {
 		return 0
 	}
-	return now.Sub(q.filledAt)
+	return now.Sub(q.nonEmptySince)
 }
 
 // pop takes the next request out: the heaviest first, callers in turn; nil where none waits.
@@ -65,7 +65,7 @@
 }
 
 // lightest returns the lightest class with requests.
-func (q *queue) lightest() *class {
+func (q *queue) lightest() *weightClass {
 	for i := len(q.classes) - 1; i >= 0; i-- {
 		if q.classes[i].length > 0 {
 			return q.classes[i]
@@ -93,13 +93,13 @@
 	if c == nil || c.weight > w.weight {
 		return nil
 	}
-	l := c.fullest()
-	if c.weight == w.weight && l.surplus() <= c.surplusWith(w) {
+	longest := c.longestBacklog()
+	if c.weight == w.weight && longest.backlog() <= c.backlogWith(w) {
 		return nil
 	}
-	out := l.waiting[0]
-	q.remove(out)
-	return out
+	displaced := longest.waiting[0]
+	q.remove(displaced)
+	return displaced
 }
 
 // remove takes the waiter out, and tells whether it was there.
@@ -114,8 +114,8 @@
 // each calls f with every waiter.
 func (q *queue) each(f func(*waiter)) {
 	for _, c := range q.classes {
-		for _, l := range c.lines {
-			for _, w := range l.waiting {
+		for _, cq := range c.callers {
+			for _, w := range cq.waiting {
 				f(w)
 			}
 		}
--- a/internal/admission/returns.go
+++ b/internal/admission/returns.go
@@ -3,34 +3,34 @@
 import "time"
 
 const (
-	// returnSoonest is the shortest wait told to a refused caller.
-	returnSoonest = 50 * time.Millisecond
-	// slowestDrain, in requests a second, bounds waits when nothing drains.
-	slowestDrain = 1
+	// minRetryAfter is the shortest wait told to a refused caller.
+	minRetryAfter = 50 * time.Millisecond
+	// minDrainRate, in requests a second, bounds waits when nothing drains.
+	minDrainRate = 1
 )
 
-// returns gives each refused caller a time of its own to come back, one after the other at the rate
+// retrySchedule gives each refused caller a time of its own to come back, one after the other at the rate
 // at which the queue drains, so that they don't come back in one wave.
-type returns struct {
-	most time.Duration
-	// next is the time given to the caller refused last.
-	next time.Time
+type retrySchedule struct {
+	maxWait time.Duration
+	// latest is the time given to the caller refused last.
+	latest time.Time
 }
 
-// after returns when to come back: after the work that is ahead, and after those refused before.
+// retryAfter returns when to come back: after the work that is ahead, and after those refused before.
 // The random number, in [0,1), moves it within its place in the row, or spreads it over the later
 // half of the longest wait where the row is longer than that.
-func (r *returns) after(now time.Time, ahead int, drain, random float64) time.Duration {
-	place := time.Duration(float64(time.Second) / max(drain, slowestDrain))
-	soonest := now.Add(returnSoonest + time.Duration(ahead)*place)
-	if r.next.Before(soonest) {
-		r.next = soonest
+func (s *retrySchedule) retryAfter(now time.Time, ahead int, drain, random float64) time.Duration {
+	interval := time.Duration(float64(time.Second) / max(drain, minDrainRate))
+	earliest := now.Add(minRetryAfter + time.Duration(ahead)*interval)
+	if s.latest.Before(earliest) {
+		s.latest = earliest
 	}
-	r.next = r.next.Add(place)
-	wait := r.next.Sub(now) - time.Duration(random*float64(place))
-	if wait <= r.most {
+	s.latest = s.latest.Add(interval)
+	wait := s.latest.Sub(now) - time.Duration(random*float64(interval))
+	if wait <= s.maxWait {
 		return wait
 	}
-	r.next = now.Add(r.most)
-	return r.most - time.Duration(random*float64(r.most)/2)
+	s.latest = now.Add(s.maxWait)
+	return s.maxWait - time.Duration(random*float64(s.maxWait)/2)
 }
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -67,6 +67,6 @@
 	checkTime(c, table+".max_retry_after", s.MaxRetryAfter.D(), maxRetryAfter)
 }
 
-func checkTime(c *settings.Checker, key string, d, most time.Duration) {
-	c.Require(d >= time.Millisecond && d <= most, key, "want 1ms to %s, got %s", most, d)
+func checkTime(c *settings.Checker, key string, d, maximum time.Duration) {
+	c.Require(d >= time.Millisecond && d <= maximum, key, "want 1ms to %s, got %s", maximum, d)
 }
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -36,7 +36,7 @@
 type stream struct {
 	caller string
 	weight int
-	part   float64
+	share  float64
 	// sent, done, shed and the waits of the refused are counted after the start.
 	sent, done, shed int
 	waits            []time.Duration
@@ -45,7 +45,7 @@
 // simulation runs a gate against a service with so many slots and a queue, which sheds beyond, in its
 // own time.
 type simulation struct {
-	*bench
+	*harness
 	slots, running int
 	queue          []func()
 	random         *rand.Rand
@@ -79,7 +79,7 @@
 		}
 		w := &waiter{
 			caller: x.caller, share: 1, kind: "k", weight: x.weight, arrived: s.now,
-			deadline: s.now.Add(500 * time.Millisecond), verdict: make(chan verdict, 1),
+			deadline: s.now.Add(500 * time.Millisecond), decision: make(chan decision, 1),
 		}
 		s.waiting[w] = x
 		s.gate.arrive(s.now, w)
@@ -87,20 +87,20 @@
 	})
 }
 
-// tick lets waits run out.
-func (s *simulation) tick() {
+// expireEachMillisecond lets waits run out.
+func (s *simulation) expireEachMillisecond() {
 	s.gate.expire(s.now)
-	s.after(time.Millisecond, s.tick)
+	s.after(time.Millisecond, s.expireEachMillisecond)
 }
 
-// settle takes the decisions that were made.
-func (s *simulation) settle() {
+// applyDecisions takes the decisions that were made.
+func (s *simulation) applyDecisions() {
 	for w, x := range s.waiting {
 		if state(w) == "waits" {
 			continue
 		}
 		delete(s.waiting, w)
-		if v := <-w.verdict; v.err == nil {
+		if v := <-w.decision; v.err == nil {
 			s.run(x)
 		} else if s.at >= simStart {
 			x.waits = append(x.waits, s.now.Sub(w.arrived))
@@ -110,10 +110,10 @@
 
 // run brings an admitted request to the service.
 func (s *simulation) run(x *stream) {
-	came := s.at
+	admitted := s.at
 	serve := func() {
 		s.running++
-		s.after(time.Duration(float64(simService)*math.Exp(simSigma*s.random.NormFloat64())), func() { s.done(x, came) })
+		s.after(time.Duration(float64(simService)*math.Exp(simSigma*s.random.NormFloat64())), func() { s.done(x, admitted) })
 	}
 	switch {
 	case s.running < s.slots:
@@ -122,11 +122,11 @@
 		s.queue = append(s.queue, serve)
 	default:
 		x.shed++
-		s.after(time.Millisecond, func() { s.gate.ended(s.now, "k", time.Millisecond, ResultOverload) })
+		s.after(time.Millisecond, func() { s.gate.finish(s.now, "k", time.Millisecond, ResultOverload) })
 	}
 }
 
-func (s *simulation) done(x *stream, came time.Duration) {
+func (s *simulation) done(x *stream, admitted time.Duration) {
 	s.running--
 	if len(s.queue) > 0 {
 		serve := s.queue[0]
@@ -136,26 +136,26 @@
 	if s.at >= simStart {
 		x.done++
 	}
-	s.gate.ended(s.now, "k", s.at-came, ResultOK)
+	s.gate.finish(s.now, "k", s.at-admitted, ResultOK)
 }
 
 // simulate offers the streams at so many times the capacity.
 func simulate(slots int, over float64, streams []*stream) {
-	g := newGate(DefaultSettings(), func() float64 { return 0 })
+	g := newLimiter(DefaultSettings(), func() float64 { return 0 })
 	s := &simulation{
-		bench: &bench{gate: g, now: time.Unix(0, 0)}, slots: slots,
+		harness: &harness{gate: g, now: time.Unix(0, 0)}, slots: slots,
 		random: rand.New(rand.NewPCG(1, 2)), waiting: make(map[*waiter]*stream),
 	}
 	start := s.now
 	for _, x := range streams {
-		s.arrivals(x, capacityOf(slots)*over*x.part)
+		s.arrivals(x, capacityOf(slots)*over*x.share)
 	}
-	s.tick()
+	s.expireEachMillisecond()
 	for s.at < simEnd {
 		e := heap.Pop(&s.events).(event)
 		s.at, s.now = e.at, start.Add(e.at)
 		e.do()
-		s.settle()
+		s.applyDecisions()
 	}
 }
 
@@ -164,8 +164,8 @@
 		for _, over := range []float64{0.8, 1.5, 3, 10} {
 			t.Run(fmt.Sprintf("%d slots, %g times", slots, over), func(t *testing.T) {
 				is := is.New(t)
-				desk, flood := &stream{caller: "desk", weight: 10, part: 0.3}, &stream{caller: "flood", weight: 10, part: 0.3}
-				bulk, portal := &stream{caller: "flood", weight: 1, part: 0.3}, &stream{caller: "portal", weight: 1, part: 0.1}
+				desk, flood := &stream{caller: "desk", weight: 10, share: 0.3}, &stream{caller: "flood", weight: 10, share: 0.3}
+				bulk, portal := &stream{caller: "flood", weight: 1, share: 0.3}, &stream{caller: "portal", weight: 1, share: 0.1}
 				simulate(slots, over, []*stream{desk, flood, bulk, portal})
 				done := desk.done + flood.done + bulk.done + portal.done
 				could := capacityOf(slots) * (simEnd - simStart).Seconds()
