--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -11,7 +11,7 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// callers holds the allowance of each caller at this entry.
+// callers holds the rate limit of each caller at this entry. It is safe for concurrent use.
 type callers struct {
 	maxRetryAfter time.Duration
 	random        Random
@@ -21,7 +21,8 @@
 	byName map[string]*allowance
 }
 
-// allowance is one caller's token bucket, and when its refused requests may come back.
+// allowance is one caller's token bucket and the retry schedule of its refused requests. The mutex of
+// callers guards it.
 type allowance struct {
 	limiter *rate.Limiter
 	retries retrySchedule
@@ -31,7 +32,8 @@
 	return &callers{maxRetryAfter: s.MaxRetryAfter.D(), random: random, byName: make(map[string]*allowance)}
 }
 
-// take spends one request of the caller's allowance, or returns the refusal.
+// take takes one token from the caller's bucket, or returns the refusal. A caller without a rate is not
+// limited.
 func (c *callers) take(now time.Time, caller *bundle.Caller) *outcome.Error {
 	if caller.Rate <= 0 {
 		return nil
@@ -46,7 +48,8 @@
 	return e.After(a.retries.retryAfter(now, 0, caller.Rate, c.random()))
 }
 
-// allowanceOf returns the caller's allowance as its bundle says now; mu is held.
+// allowanceOf returns the caller's allowance, updated to the rate and burst in the caller's present
+// configuration. It requires mu.
 func (c *callers) allowanceOf(now time.Time, caller *bundle.Caller) *allowance {
 	a := c.byName[caller.Name]
 	if a == nil {
@@ -62,7 +65,7 @@
 	return a
 }
 
-// prune drops the allowances of callers that the bundle doesn't name.
+// prune drops the allowances of callers that are not in the bundle.
 func (c *callers) prune(b *bundle.Bundle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -14,32 +14,32 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// Clock gives the time; time.Now in the running process.
+// Clock returns the time; it is time.Now in the running process.
 type Clock func() time.Time
 
-// Request is what the decision about one request rests on.
+// Request holds the properties of a request on which its admission depends.
 type Request struct {
 	Service string
 	Kind    *bundle.Kind
 	Caller  *bundle.Caller
 }
 
-// Controller admits requests for all services. It is safe for concurrent use.
+// Controller admits the requests of all services. It is safe for concurrent use.
 type Controller struct {
 	settings Settings
 	clock    Clock
 	random   Random
 	callers  *callers
 	metrics  *metrics
-	// pruned is the bundle by which unused state was last dropped.
+	// pruned is the bundle of the last call to Prune.
 	pruned atomic.Pointer[bundle.Bundle]
 
 	mu sync.Mutex
-	// limiters is guarded by mu.
+	// limiters holds the limiter of each service; it is guarded by mu.
 	limiters map[string]*syncLimiter
 }
 
-// syncLimiter is a gate with what serializes it and the timer of its next expiry.
+// syncLimiter is a limiter with the mutex that serializes its calls and the timer of its next expiry.
 type syncLimiter struct {
 	clock  Clock
 	gauges gauges
@@ -50,7 +50,7 @@
 	timer   *time.Timer
 }
 
-// New returns a controller that has admitted nothing.
+// New returns a Controller without requests that registers its metrics with reg.
 func New(s Settings, reg prometheus.Registerer, clock Clock, random Random) *Controller {
 	return &Controller{
 		settings: s, clock: clock, random: random, callers: newCallers(s, random),
@@ -58,15 +58,16 @@
 	}
 }
 
-// Slot is the right to run one request. Done has to be called once.
+// Slot is the permission to run one request. Done must be called exactly once.
 type Slot struct {
 	limiter *syncLimiter
 	kind    string
 	started time.Time
 }
 
-// Admit waits for the right to run. The error says why not, and is final; it comes at once, also when
-// the caller goes away or the time left no longer suffices. ctx must have a deadline.
+// Admit waits until the request may run and returns its slot. The error says why the request is refused,
+// and is final. Admit returns it as soon as the refusal is certain, also when the caller goes away or
+// the remaining time no longer suffices. ctx must have a deadline.
 func (c *Controller) Admit(ctx context.Context, r Request) (*Slot, *outcome.Error) {
 	now := c.clock()
 	if err := c.callers.take(now, r.Caller); err != nil {
@@ -86,14 +87,14 @@
 	return &Slot{limiter: sl, kind: r.Kind.Name, started: ended}, nil
 }
 
-// Done ends the request.
+// Done reports how the request ended and frees the slot.
 func (s *Slot) Done(r Result) {
 	now := s.limiter.clock()
 	s.limiter.with(func(l *limiter) { l.finish(now, s.kind, now.Sub(s.started), r) })
 }
 
-// Prune drops the state of callers and services that the bundle doesn't name. It is cheap where the
-// bundle is the same as before.
+// Prune drops the state of callers that are not in the bundle, and of services that are not in it and
+// have no requests. It returns immediately if the bundle is the one of the last call.
 func (c *Controller) Prune(b *bundle.Bundle) {
 	if c.pruned.Swap(b) == b {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// limiterOf returns the service's door.
+// limiterOf returns the service's limiter and creates it on first use.
 func (c *Controller) limiterOf(service string) *syncLimiter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +140,7 @@
 	sl.with(func(l *limiter) { l.expire(now) })
 }
 
-// with runs f on the gate, then sets the timer and the gauges by what f left.
+// with runs f on the limiter under mu, then sets the timer and the gauges from the limiter's new state.
 func (sl *syncLimiter) with(f func(*limiter)) {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
@@ -153,10 +154,11 @@
 	sl.gauges.set(sl.limiter)
 }
 
-// minTimerDelay keeps a timer whose time is past from firing without a pause.
+// minTimerDelay prevents a busy loop of the timer when its time is already past.
 const minTimerDelay = 100 * time.Microsecond
 
-// await returns the decision about w, or the outcome where ctx ends first.
+// await waits for the decision about w and returns its refusal, nil where w is admitted. If ctx ends
+// first, it takes w out of the queue and returns the outcome of that.
 func (sl *syncLimiter) await(ctx context.Context, w *waiter) *outcome.Error {
 	select {
 	case v := <-w.decision:
@@ -166,7 +168,7 @@
 	waiting := false
 	sl.with(func(l *limiter) { waiting = l.cancel(w) })
 	if !waiting {
-		// The decision came at the same moment; a slot goes back unused.
+		// The decision was made at the same moment; a granted slot is returned unused.
 		if v := <-w.decision; v.err == nil {
 			now := sl.clock()
 			sl.with(func(l *limiter) { l.finish(now, w.kind, 0, ResultCancelled) })
@@ -179,7 +181,7 @@
 	return outcome.NotRun(reason, step, "the request ended while it waited")
 }
 
-// idle tells whether nothing runs or waits.
+// idle reports whether no request runs or waits.
 func (sl *syncLimiter) idle() bool {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -20,7 +20,7 @@
 	return New(s, prometheus.NewRegistry(), time.Now, func() float64 { return 0 })
 }
 
-// request is of the one kind, by the named caller.
+// request returns a request of kind k by the named caller.
 func request(caller string) Request {
 	return Request{Service: "s", Kind: &bundle.Kind{Name: "k", Weight: 1}, Caller: &bundle.Caller{Name: caller, Share: 1}}
 }
@@ -31,9 +31,9 @@
 		want                 pb.Reason
 		after                time.Duration
 	}{
-		"the caller goes away":     {time.Minute, 7 * time.Millisecond, pb.Reason_REASON_CANCELLED, 7 * time.Millisecond},
-		"the deadline passes":      {30 * time.Millisecond, time.Minute, pb.Reason_REASON_DEADLINE, 30 * time.Millisecond},
-		"the longest wait is over": {time.Minute, time.Minute, pb.Reason_REASON_QUEUE_FULL, 100 * time.Millisecond},
+		"the caller goes away":        {time.Minute, 7 * time.Millisecond, pb.Reason_REASON_CANCELLED, 7 * time.Millisecond},
+		"the deadline passes":         {30 * time.Millisecond, time.Minute, pb.Reason_REASON_DEADLINE, 30 * time.Millisecond},
+		"the longest wait has passed": {time.Minute, time.Minute, pb.Reason_REASON_QUEUE_FULL, 100 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 		is.Equal(admitted(), 3)
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(admitted(), 2)
-		other, err := c.Admit(ctx, request("b")) // another caller has its own
+		other, err := c.Admit(ctx, request("b")) // another caller has its own bucket
 		is.True(err == nil)
 		other.Done(ResultOK)
 		c.Prune(&bundle.Bundle{})
@@ -95,9 +95,10 @@
 	})
 }
 
-// TestImmediateResendsDoNotSustainOverload runs callers that never wait when refused against a
-// service that is 20 times slower for two seconds: what is done in the second after is within a
-// tenth of what was done in the second before.
+// TestImmediateResendsDoNotSustainOverload guards against an overload that resends keep up after its
+// cause is gone. Callers that resend immediately when refused run against a service that is 20 times
+// slower for two seconds. Once that is over, the requests completed per second must be at least nine
+// tenths of those before.
 func TestImmediateResendsDoNotSustainOverload(t *testing.T) {
 	const (
 		slots   = 10
@@ -121,7 +122,7 @@
 					rctx, stop := context.WithTimeout(ctx, 300*time.Millisecond)
 					if s, err := c.Admit(rctx, request("a")); err != nil {
 						refused.Add(1)
-						time.Sleep(time.Millisecond) // the way there and back
+						time.Sleep(time.Millisecond) // the round trip
 					} else {
 						time.Sleep(time.Duration(service.Load()))
 						s.Done(ResultOK)
@@ -142,7 +143,7 @@
 		before, _ := count(time.Second)
 		service.Store(int64(slow))
 		_, storm := count(2 * time.Second)
-		is.True(storm > 1000) // there was a storm
+		is.True(storm > 1000) // the resends flooded the limiter
 		service.Store(int64(quick))
 		count(slow + time.Second)
 		after, refusedAfter := count(time.Second)
--- a/internal/admission/dump.go
+++ b/internal/admission/dump.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// limiterState is what the dump shows of one service.
+// limiterState is one service's entry in the dump.
 type limiterState struct {
 	InFlight   int  `json:"in_flight"`
 	Limit      int  `json:"limit"`
 	Queued     int  `json:"queued"`
 	Overloaded bool `json:"overloaded"`
-	// LimitMoved is how the limit was last changed: rise, fall or keep.
+	// LimitMoved is the last decision about the limit: rise, fall or keep.
 	LimitMoved string `json:"limit_moved,omitempty"`
-	// Drain is requests ended a second.
+	// Drain is the rate at which requests complete, in requests per second.
 	Drain float64 `json:"drain_per_second"`
-	// Typical time of a request by kind.
+	// Typical is the mean time of a request by kind.
 	Typical map[string]string `json:"typical"`
 }
 
-// Dump implements operator.Dumper: the state of each service's gate.
+// Dump implements operator.Dumper. It returns the state of each service's limiter.
 func (c *Controller) Dump() any {
 	c.mu.Lock()
 	limiters := make(map[string]*syncLimiter, len(c.limiters))
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// sampleWeight is the weight of a new sample.
+	// sampleWeight is the weight of a new sample in the moving averages.
 	sampleWeight = 0.1
-	// estimateHalfLife is how fast an estimate without new samples is forgotten, so that a service
-	// that was slow is tried again.
+	// estimateHalfLife is the half-life of a lower bound without new samples. The decay lets requests
+	// to a service that was slow through again.
 	estimateHalfLife = time.Second
-	// minTimeDeviations is how far below the mean a time must be to count as surely too short.
+	// minTimeDeviations is how many mean deviations below the mean the lower bound of a time lies.
 	minTimeDeviations = 2
 )
 
-// estimate is the mean and the mean deviation of a time.
+// estimate holds moving averages of a time and of its absolute deviation, in nanoseconds.
 type estimate struct {
 	mean, deviation float64
 	updated         time.Time
 }
 
-// add takes one sample.
+// add adds a sample.
 func (e *estimate) add(now time.Time, d time.Duration) {
 	x := float64(d)
 	if e.updated.IsZero() {
@@ -33,10 +33,11 @@
 	e.updated = now
 }
 
-// typical returns the mean, 0 before the first sample.
+// typical returns the mean, or 0 before the first sample.
 func (e *estimate) typical() time.Duration { return time.Duration(e.mean) }
 
-// lowerBound returns a time in which a request surely can't be done, 0 where nothing is known.
+// lowerBound returns the time below which a request is assumed not to finish, or 0 before the first
+// sample.
 func (e *estimate) lowerBound(now time.Time) time.Duration {
 	if e.updated.IsZero() {
 		return 0
@@ -46,21 +47,21 @@
 }
 
 const (
-	// rateTimeConstant is the time constant of an eventRate.
+	// rateTimeConstant is the time in which the weight of an event in an eventRate falls to 1/e.
 	rateTimeConstant = time.Second
-	// minRateSpan is the shortest time over which a rate is worked out.
+	// minRateSpan is the shortest time over which a rate is computed.
 	minRateSpan = 50 * time.Millisecond
-	// rateResetAfter is how long without an event a rate starts anew.
+	// rateResetAfter is the time without an event after which a rate starts over.
 	rateResetAfter = 5 * rateTimeConstant
 )
 
-// eventRate counts events a second, forgetting the old.
+// eventRate estimates the events per second, with weights that decay exponentially.
 type eventRate struct {
 	count            float64
 	started, updated time.Time
 }
 
-// add takes one event.
+// add counts one event.
 func (r *eventRate) add(now time.Time) {
 	if r.updated.IsZero() || now.Sub(r.updated) > rateResetAfter {
 		*r = eventRate{started: now}
@@ -69,12 +70,13 @@
 	r.updated = now
 }
 
-// decayed returns the weight of the events so far.
+// decayed returns the sum of the weights that the events so far have at now.
 func (r *eventRate) decayed(now time.Time) float64 {
 	return r.count * math.Exp(-float64(now.Sub(r.updated))/float64(rateTimeConstant))
 }
 
-// perSecond returns the events a second, over the time since the first where that is short.
+// perSecond returns the events per second. Shortly after the first event it corrects for the short time
+// of observation.
 func (r *eventRate) perSecond(now time.Time) float64 {
 	if r.updated.IsZero() {
 		return 0
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -10,10 +10,10 @@
 const step = "entry.admission"
 
 const (
-	// minWaiting is how many requests should wait under overload at the least, so that a freed slot
-	// finds work that the rations let in.
+	// minWaiting is the least number of requests that should wait under overload, so that a freed slot
+	// finds a request that the quotas let in.
 	minWaiting = 3
-	// overloadEndFactor is how many times OverloadAfter must pass without a refusal for load until the
+	// overloadEndFactor times OverloadAfter is how long no request must be refused for load until the
 	// overload counts as over.
 	overloadEndFactor = 10
 )
@@ -22,43 +22,46 @@
 type Result int
 
 const (
-	// ResultOK is an answer, whole or partial, that lacks nothing for load.
+	// ResultOK is a complete answer, or a partial one that lacks no shard because of load.
 	ResultOK Result = iota
-	// ResultPartialOverload is an answer that lacks shards for load.
+	// ResultPartialOverload is an answer that lacks shards because of load.
 	ResultPartialOverload
-	// ResultOverload is a refusal for load.
+	// ResultOverload is a refusal because of load.
 	ResultOverload
-	// ResultDeadline is a request that ran out of time.
+	// ResultDeadline is a request whose deadline passed.
 	ResultDeadline
-	// ResultFailed is any other failure; it says nothing of load.
+	// ResultFailed is any other failure; it gives no information about load.
 	ResultFailed
 	// ResultCancelled is a request whose caller went away.
 	ResultCancelled
 )
 
-// decision is the decision about one request: refused where err is set.
+// decision is the decision about one request: admitted where err is nil, else refused.
 type decision struct{ err *outcome.Error }
 
-// Random gives a number in [0,1).
+// Random returns a number in [0,1).
 type Random func() float64
 
-// limiter admits the requests of one service. It is pure: calls give the time, and decisions go into the
-// waiters' channels, which have room. The caller serializes calls.
+// limiter admits the requests of one service. It has no clock and no goroutine: each call passes the
+// time, and decisions go into the waiters' channels, which have room, so that a send never blocks. The
+// caller serializes the calls.
 type limiter struct {
 	settings Settings
 	random   Random
 	limit    *concurrencyLimit
 	inFlight int
 	queue    *queue
-	// byKind estimates the time of each kind, and all of them together.
+	// byKind holds the estimated time of each kind, and overall that of all kinds together.
 	byKind  map[string]*estimate
 	overall estimate
-	// completions counts ends other than refusals for load; saturated is when the limit was last reached from below, zero below it.
+	// completions counts the requests that ended, without those refused for load or cancelled.
+	// saturatedSince is when the requests in flight last reached the limit, zero while they are below
+	// it.
 	completions    eventRate
 	saturatedSince time.Time
 	retries        retrySchedule
-	// quotas hold under overload, which began at overload, zero while there is none; excess is when
-	// a request was last refused for load.
+	// quotas apply under overload. overloadSince is when overload began, zero while there is none;
+	// lastLoadRefusal is when a request was last refused for load, or overload began if that is later.
 	quotas          quotaTable
 	overloadSince   time.Time
 	lastLoadRefusal time.Time
@@ -71,7 +74,7 @@
 	}
 }
 
-// arrive takes a request in: it runs, waits or is refused.
+// arrive handles a new request: it is admitted, queued or refused.
 func (l *limiter) arrive(now time.Time, w *waiter) {
 	l.updateOverload(now)
 	l.expire(now)
@@ -87,8 +90,8 @@
 	}
 }
 
-// refusal returns why the request is refused at the door, or nil. In a full queue another may have to
-// go in its place.
+// refusal returns the refusal of a request on arrival, or nil. Where the queue is full, another request
+// may be refused in its place.
 func (l *limiter) refusal(now time.Time, w *waiter) *outcome.Error {
 	quota := l.quotas.record(now, w)
 	if l.inFlight < l.limit.slots() && l.queue.length == 0 {
@@ -118,8 +121,8 @@
 	return nil
 }
 
-// capacity returns how many requests a second are let in under overload: about as many as end, more
-// while fewer wait than should, less while more do.
+// capacity returns how many requests per second are let in under overload: about as many as complete,
+// more while the queue is below its target length and fewer while it is above.
 func (l *limiter) capacity(now time.Time) float64 {
 	drain := l.completions.perSecond(now)
 	target := max(minWaiting, drain*l.settings.OverloadWait.D().Seconds())
@@ -127,7 +130,8 @@
 	return drain * (1 + capacitySwing*max(-1, shortfall))
 }
 
-// refuseTooLate refuses a request that can't be done in the time it has left, after the given wait.
+// refuseTooLate returns the refusal of a request that can't finish before its deadline after the given
+// wait, or nil.
 func (l *limiter) refuseTooLate(now time.Time, w *waiter, wait time.Duration) *outcome.Error {
 	if remaining := w.deadline.Sub(now); remaining > 0 && remaining >= wait+l.minTime(now, w.kind) {
 		return nil
@@ -136,18 +140,18 @@
 	return e.After(l.retryAfter(now))
 }
 
-// refuseForLoad refuses a request for load.
+// refuseForLoad returns a refusal because of load and records its time.
 func (l *limiter) refuseForLoad(now time.Time, why string) *outcome.Error {
 	l.lastLoadRefusal = now
 	return outcome.NotRun(pb.Reason_REASON_QUEUE_FULL, step, "%s", why).After(l.retryAfter(now))
 }
 
-// retryAfter returns when a refused caller should come back.
+// retryAfter returns the time after which a refused caller should retry.
 func (l *limiter) retryAfter(now time.Time) time.Duration {
 	return l.retries.retryAfter(now, l.queue.length, l.drainRate(now), l.random())
 }
 
-// admit lets waiting requests run while there are slots.
+// admit admits waiting requests while there are free slots.
 func (l *limiter) admit(now time.Time) {
 	for l.inFlight < l.limit.slots() {
 		w := l.next()
@@ -165,9 +169,9 @@
 	}
 }
 
-// next takes the next request out of the queue. Under overload the rations have chosen by weight and
-// share already, and what they let in goes in the order in which it came: an order by weight would let
-// the lighter ones wait in vain.
+// next removes the next request from the queue. Under overload the quotas have already selected by
+// weight and share, and the requests they let in run in order of arrival: an order by weight would let
+// the lighter ones wait until they expire.
 func (l *limiter) next() *waiter {
 	if l.overloaded() {
 		return l.queue.popOldest()
@@ -175,7 +179,7 @@
 	return l.queue.pop()
 }
 
-// finish takes the end of a request that was admitted. took is 0 where it never ran.
+// finish records the end of an admitted request. elapsed is 0 where it never ran.
 func (l *limiter) finish(now time.Time, kind string, elapsed time.Duration, r Result) {
 	l.inFlight--
 	if r == ResultOK || r == ResultPartialOverload || r == ResultDeadline {
@@ -191,10 +195,10 @@
 	l.admit(now)
 }
 
-// cancel takes out a request whose caller went away, and tells whether it still waited.
+// cancel removes a request whose caller went away, and reports whether it was still waiting.
 func (l *limiter) cancel(w *waiter) bool { return l.queue.remove(w) }
 
-// expire refuses the waiting requests whose time is up.
+// expire refuses the waiting requests whose time in the queue is over.
 func (l *limiter) expire(now time.Time) {
 	var expired []*waiter
 	l.queue.each(func(w *waiter) {
@@ -208,7 +212,8 @@
 	}
 }
 
-// expiry returns when the time of a waiting request is up.
+// expiry returns when a waiting request expires: after the longest wait, or when the remaining time no
+// longer suffices for the work, whichever comes first.
 func (l *limiter) expiry(now time.Time, w *waiter) time.Time {
 	longest := w.arrived.Add(l.settings.MaxWait.D())
 	if latest := w.deadline.Add(-l.minTime(now, w.kind)); latest.Before(longest) {
@@ -217,7 +222,7 @@
 	return longest
 }
 
-// expired is the outcome of a request whose time in the queue is up.
+// expired returns the outcome of a waiting request that expired.
 func (l *limiter) expired(now time.Time, w *waiter) *outcome.Error {
 	if err := l.refuseTooLate(now, w, 0); err != nil {
 		return err
@@ -225,7 +230,7 @@
 	return l.refuseForLoad(now, "no slot came free in the time allowed for waiting")
 }
 
-// nextExpiry returns when expire has to be called next, and whether anything waits.
+// nextExpiry returns when expire must be called next, and whether any request waits.
 func (l *limiter) nextExpiry(now time.Time) (next time.Time, ok bool) {
 	l.queue.each(func(w *waiter) {
 		if at := l.expiry(now, w); !ok || at.Before(next) {
@@ -235,8 +240,8 @@
 	return next, ok
 }
 
-// updateOverload notes when overload begins, once the queue has stood for too long, and when it ends, once
-// nothing has been refused for load for a while.
+// updateOverload detects overload. It begins when the queue has not been empty for OverloadAfter, and
+// ends when no request has been refused for load for overloadEndFactor times that.
 func (l *limiter) updateOverload(now time.Time) {
 	after := l.settings.OverloadAfter.D()
 	switch {
@@ -247,7 +252,7 @@
 	}
 }
 
-// overloaded tells whether work comes faster than it is done.
+// overloaded reports whether requests arrive faster than they complete.
 func (l *limiter) overloaded() bool { return !l.overloadSince.IsZero() }
 
 // estimateWait estimates how long a new request waits for a slot.
@@ -259,8 +264,9 @@
 	return 0
 }
 
-// drainRate returns how many requests a second the gate ends when it is busy: as counted where it has
-// been busy for a while, else from its limit and the usual time of a request. 0 is not known.
+// drainRate returns how many requests per second complete while all slots are in use: as counted where
+// they have been in use for rateTimeConstant, else at least the limit divided by the typical time of a
+// request. 0 means that the rate is not known.
 func (l *limiter) drainRate(now time.Time) float64 {
 	counted := l.completions.perSecond(now)
 	if !l.saturatedSince.IsZero() && now.Sub(l.saturatedSince) >= rateTimeConstant {
@@ -272,7 +278,7 @@
 	return counted
 }
 
-// estimateOf returns the estimate of a kind.
+// estimateOf returns the estimate of a kind and creates it on first use.
 func (l *limiter) estimateOf(kind string) *estimate {
 	e := l.byKind[kind]
 	if e == nil {
@@ -282,15 +288,15 @@
 	return e
 }
 
-// minTime returns a time in which a request of the kind surely can't be done.
+// minTime returns the time below which a request of the kind is assumed not to finish.
 func (l *limiter) minTime(now time.Time, kind string) time.Duration {
 	return l.estimateOf(kind).lowerBound(now)
 }
 
-// defaultCost, in seconds, is charged for a kind of which nothing is known.
+// defaultCost, in seconds, is the cost of a kind without samples.
 const defaultCost = 0.01
 
-// cost returns what a request of the kind takes of its caller's share.
+// cost returns the slot time, in seconds, that a request of the kind is charged to its caller.
 func (l *limiter) cost(kind string) float64 {
 	if t := l.estimateOf(kind).typical(); t > 0 {
 		return t.Seconds()
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -11,25 +11,25 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// harness drives a gate by hand in its own time.
+// harness drives a limiter with a manual clock.
 type harness struct {
-	gate *limiter
-	now  time.Time
+	limiter *limiter
+	now     time.Time
 }
 
-// newHarness returns a gate with a fixed limit and a queue of the given lengths.
+// newHarness returns a harness whose limiter has a fixed limit and a queue of the given length.
 func newHarness(slots, queue int) *harness {
 	s := DefaultSettings()
 	s.MinConcurrency, s.InitialConcurrency, s.MaxConcurrency, s.Queue = slots, slots, slots, queue
-	return &harness{gate: newLimiter(s, func() float64 { return 0 }), now: time.Unix(0, 0)}
+	return &harness{limiter: newLimiter(s, func() float64 { return 0 }), now: time.Unix(0, 0)}
 }
 
 func (b *harness) pass(d time.Duration) {
 	b.now = b.now.Add(d)
-	b.gate.expire(b.now)
+	b.limiter.expire(b.now)
 }
 
-// send lets a request arrive; its kind is named after its weight.
+// send lets a request of kind k arrive that has the given time left until its deadline.
 func (b *harness) send(caller string, weight int, left time.Duration) *waiter {
 	w := &waiter{
 		caller: caller, share: 1, kind: "k", weight: weight, arrived: b.now, deadline: b.now.Add(left),
@@ -38,14 +38,14 @@
 	if caller == "double" {
 		w.share = 2
 	}
-	b.gate.arrive(b.now, w)
+	b.limiter.arrive(b.now, w)
 	return w
 }
 
-// end ends one running request.
-func (b *harness) end(elapsed time.Duration, r Result) { b.gate.finish(b.now, "k", elapsed, r) }
+// end ends one running request after the given time.
+func (b *harness) end(elapsed time.Duration, r Result) { b.limiter.finish(b.now, "k", elapsed, r) }
 
-// state says runs, waits, or why the request was refused.
+// state returns "runs", "waits", or the reason of the refusal.
 func state(w *waiter) string {
 	select {
 	case v := <-w.decision:
@@ -71,14 +71,14 @@
 	}
 	tests := map[string]struct {
 		sent []sent
-		// want is the order in which the sent ones run, by index.
+		// want is the order in which the requests run, as indexes into sent.
 		want []int
 	}{
-		"oldest first while calm": {[]sent{{"a", 1}, {"a", 1}, {"a", 1}}, []int{0, 1, 2}},
-		"heavier first":           {[]sent{{"a", 1}, {"a", 9}, {"a", 5}}, []int{1, 2, 0}},
-		"callers in turn":         {[]sent{{"a", 1}, {"a", 1}, {"a", 1}, {"b", 1}}, []int{0, 3, 1, 2}},
-		"callers by share":        {[]sent{{"a", 1}, {"a", 1}, {"double", 1}, {"double", 1}, {"double", 1}, {"double", 1}}, []int{0, 2, 3, 1, 4, 5}},
-		"weight before turns":     {[]sent{{"a", 9}, {"a", 9}, {"b", 1}}, []int{0, 1, 2}},
+		"oldest first":           {[]sent{{"a", 1}, {"a", 1}, {"a", 1}}, []int{0, 1, 2}},
+		"heavier first":          {[]sent{{"a", 1}, {"a", 9}, {"a", 5}}, []int{1, 2, 0}},
+		"callers alternate":      {[]sent{{"a", 1}, {"a", 1}, {"a", 1}, {"b", 1}}, []int{0, 3, 1, 2}},
+		"callers by share":       {[]sent{{"a", 1}, {"a", 1}, {"double", 1}, {"double", 1}, {"double", 1}, {"double", 1}}, []int{0, 2, 3, 1, 4, 5}},
+		"weight before fairness": {[]sent{{"a", 9}, {"a", 9}, {"b", 1}}, []int{0, 1, 2}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -100,21 +100,21 @@
 func TestOverloadBeginsWithPersistentQueueAndEndsWithoutRefusals(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(1, 2)
-	after := b.gate.settings.OverloadAfter.D()
+	after := b.limiter.settings.OverloadAfter.D()
 	b.send("a", 1, time.Minute)
 	b.send("a", 1, time.Minute)
 	b.pass(after / 2)
-	is.True(!b.gate.overloaded())
+	is.True(!b.limiter.overloaded())
 	b.send("a", 1, time.Minute)
 	b.now = b.now.Add(after / 2)
 	b.send("a", 1, time.Minute)
-	is.True(b.gate.overloaded())
+	is.True(b.limiter.overloaded())
 	b.pass(overloadEndFactor*after - 1)
 	b.send("a", 1, time.Minute)
-	is.True(b.gate.overloaded()) // the last refusal was less than that ago
+	is.True(b.limiter.overloaded()) // the last refusal was a moment less than overloadEndFactor*after ago
 	b.pass(overloadEndFactor * after)
 	b.end(0, ResultFailed)
-	is.True(!b.gate.overloaded())
+	is.True(!b.limiter.overloaded())
 }
 
 func TestQuotas(t *testing.T) {
@@ -122,16 +122,16 @@
 	tests := map[string]struct {
 		capacity float64
 		demands  []demand
-		// want is what each is allowed; all stands for no ration.
+		// want is what each demand is allowed; all stands for no bound.
 		want []float64
 	}{
-		"all fits":                {100, []demand{{"a", 1, 9, 40, 0}, {"b", 1, 1, 60, 0}}, []float64{all, all}},
-		"heavier first":           {100, []demand{{"a", 1, 9, 95, 0}, {"a", 1, 1, 50, 0}}, []float64{all, 5}},
-		"by share in a weight":    {90, []demand{{"a", 1, 1, 100, 0}, {"b", 2, 1, 100, 0}}, []float64{30, 60}},
-		"what one leaves others":  {90, []demand{{"a", 1, 1, 10, 0}, {"b", 1, 1, 300, 0}}, []float64{all, 80}},
-		"a part by share alone":   {100, []demand{{"a", 1, 9, 500, 0}, {"b", 1, 1, 500, 0}}, []float64{95, 5}},
-		"small wants of the part": {100, []demand{{"a", 1, 9, 500, 0}, {"b", 1, 1, 2, 0}}, []float64{98, all}},
-		"nothing is done":         {0, []demand{{"a", 1, 9, 5, 0}}, []float64{0}},
+		"all demands fit":               {100, []demand{{"a", 1, 9, 40, 0}, {"b", 1, 1, 60, 0}}, []float64{all, all}},
+		"heavier first":                 {100, []demand{{"a", 1, 9, 95, 0}, {"a", 1, 1, 50, 0}}, []float64{all, 5}},
+		"by share in a weight":          {90, []demand{{"a", 1, 1, 100, 0}, {"b", 2, 1, 100, 0}}, []float64{30, 60}},
+		"unused share goes to others":   {90, []demand{{"a", 1, 1, 10, 0}, {"b", 1, 1, 300, 0}}, []float64{all, 80}},
+		"fair part by share alone":      {100, []demand{{"a", 1, 9, 500, 0}, {"b", 1, 1, 500, 0}}, []float64{95, 5}},
+		"small demand met by fair part": {100, []demand{{"a", 1, 9, 500, 0}, {"b", 1, 1, 2, 0}}, []float64{98, all}},
+		"no capacity":                   {0, []demand{{"a", 1, 9, 5, 0}}, []float64{0}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -157,16 +157,16 @@
 		waiting []string
 		caller  string
 		weight  int
-		// want is the state of the one that comes, and gone the index of the waiting one that left.
+		// want is the state of the new request, and gone the index of the displaced one, -1 for none.
 		want string
 		gone int
 	}{
-		"lighter is refused":                {[]string{"a", "a"}, "b", 0, full, -1},
-		"heavier takes the place":           {[]string{"a", "a"}, "a", 9, "waits", 0},
-		"own place isn't taken":             {[]string{"a", "a"}, "a", 1, full, -1},
-		"the fullest caller gives a place":  {[]string{"b", "a", "a"}, "c", 1, "waits", 1},
-		"not below the share of the others": {[]string{"a", "b"}, "c", 1, full, -1},
-		"the share counts":                  {[]string{"double", "double", "a"}, "b", 1, full, -1},
+		"lighter is refused":           {[]string{"a", "a"}, "b", 0, full, -1},
+		"heavier displaces":            {[]string{"a", "a"}, "a", 9, "waits", 0},
+		"not one of its own caller":    {[]string{"a", "a"}, "a", 1, full, -1},
+		"longest backlog is displaced": {[]string{"b", "a", "a"}, "c", 1, "waits", 1},
+		"not for an equal backlog":     {[]string{"a", "b"}, "c", 1, full, -1},
+		"share counts":                 {[]string{"double", "double", "a"}, "b", 1, full, -1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -188,7 +188,7 @@
 func TestRequestThatCannotFinishInTimeIsRefusedOnArrival(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(2, 10)
-	is.Equal(state(b.send("a", 1, 50*time.Millisecond)), "runs") // nothing is known yet
+	is.Equal(state(b.send("a", 1, 50*time.Millisecond)), "runs") // no estimate yet
 	for range 30 {
 		b.send("a", 1, time.Minute)
 		b.end(100*time.Millisecond, ResultOK)
@@ -198,11 +198,11 @@
 	waits := b.send("a", 1, 185*time.Millisecond)
 	is.Equal(state(waits), "waits")
 	b.pass(98 * time.Millisecond)
-	is.Equal(state(waits), tooLate) // at once, with time left on its deadline
+	is.Equal(state(waits), tooLate) // immediately, before its deadline
 	b.end(100*time.Millisecond, ResultOK)
 	b.end(100*time.Millisecond, ResultOK)
 	b.pass(3 * estimateHalfLife)
-	is.Equal(state(b.send("a", 1, 50*time.Millisecond)), "runs") // what was slow once is tried again
+	is.Equal(state(b.send("a", 1, 50*time.Millisecond)), "runs") // the estimate has decayed, so the service is tried again
 }
 
 func TestLongWaitIsRefusedOnArrival(t *testing.T) {
@@ -227,14 +227,14 @@
 	last := time.Duration(0)
 	for range 50 {
 		d := r.retryAfter(now, 0, 100, 0)
-		is.Equal(d-last >= 10*time.Millisecond, true) // 100 a second
+		is.Equal(d-last >= 10*time.Millisecond, true) // 100 per second
 		last = d
 	}
 	is.Equal(last, minRetryAfter+50*10*time.Millisecond)
 	for range 100 {
 		last = r.retryAfter(now, 0, 100, 0.5)
 	}
-	is.Equal(last, 750*time.Millisecond) // beyond the longest wait: spread over its later half
+	is.Equal(last, 750*time.Millisecond) // beyond the longest wait: jitter over its later half
 	is.Equal(r.retryAfter(now.Add(time.Hour), 0, 100, 0), minRetryAfter+10*time.Millisecond)
 }
 
@@ -247,17 +247,17 @@
 		windows int
 		want    float64
 	}{
-		"rises while used":               {[]Result{ResultOK}, true, 1, 20.4},
-		"rises faster and faster":        {[]Result{ResultOK}, true, 2, 20.4 + 2*0.408},
-		"not above the highest":          {[]Result{ResultOK}, true, 9, 24},
-		"keeps while unused":             {[]Result{ResultOK}, false, 9, 20},
-		"a slot less for each overload":  {[]Result{ResultOK, ResultOverload}, true, 1, 18},
-		"and for each short answer":      {[]Result{ResultOK, ResultPartialOverload}, true, 1, 18},
-		"bounded in a window":            {[]Result{ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload}, true, 1, 14},
-		"falls on deadlines":             {[]Result{ResultOK, ResultDeadline}, true, 1, 14},
-		"not below the lowest":           {[]Result{ResultOverload}, true, 50, 4},
-		"failures say nothing":           {[]Result{ResultFailed}, false, 9, 20},
-		"callers that go away as little": {[]Result{ResultCancelled}, true, 9, 20},
+		"rises while saturated":           {[]Result{ResultOK}, true, 1, 20.4},
+		"rises in growing steps":          {[]Result{ResultOK}, true, 2, 20.4 + 2*0.408},
+		"not above the maximum":           {[]Result{ResultOK}, true, 9, 24},
+		"unchanged while unsaturated":     {[]Result{ResultOK}, false, 9, 20},
+		"one slot less for each overload": {[]Result{ResultOK, ResultOverload}, true, 1, 18},
+		"and for each partial answer":     {[]Result{ResultOK, ResultPartialOverload}, true, 1, 18},
+		"fall bounded within a window":    {[]Result{ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload, ResultOverload}, true, 1, 14},
+		"falls on deadlines":              {[]Result{ResultOK, ResultDeadline}, true, 1, 14},
+		"not below the minimum":           {[]Result{ResultOverload}, true, 50, 4},
+		"failures don't count":            {[]Result{ResultFailed}, false, 9, 20},
+		"nor do cancellations":            {[]Result{ResultCancelled}, true, 9, 20},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -3,35 +3,40 @@
 import "time"
 
 const (
-	// minWindowTime and windowSamples are the least that a decision about the limit rests on.
+	// minWindowTime and minWindowSamples are the least time and number of samples of a window, after
+	// which the limit is decided on.
 	minWindowTime    = 100 * time.Millisecond
 	minWindowSamples = 5
-	// maxFallShare bounds the fall within a window, as a share of the limit.
+	// maxFallShare is the most by which the limit falls within a window, as a share of the limit at the
+	// window's start.
 	maxFallShare = 0.3
-	// deadlineMissShare is the share of requests out of time above which the limit falls.
+	// deadlineMissShare is the share of a window's requests that miss their deadline above which the
+	// limit falls.
 	deadlineMissShare = 0.05
-	// riseShare is the share by which the limit grows when it is used up, riseLeast the least in requests.
-	// Each window without a fall adds another such step, mostRise steps at the most, so that the limit
-	// is steady under lasting pressure and yet back soon after a fault.
+	// riseShare is the share by which the limit rises when it was reached, minRise the least rise in
+	// requests. Each window without a fall adds another such step, up to maxRiseSteps steps, so that the
+	// limit is steady under lasting load and still recovers soon after a fault.
 	riseShare    = 0.02
 	minRise      = 0.2
 	maxRiseSteps = 8
 )
 
-// concurrencyLimit is how many requests may run at once. It follows what the gathers say of their load and
-// whether requests run out of time, not latency as such: a straggler makes every request slower
-// without taking away capacity, and then more of them have to run at once, not fewer.
+// concurrencyLimit bounds how many requests run at once. It follows the overload that gathers report and
+// the share of requests that miss their deadline, not latency as such: a straggler makes every request
+// slower without reducing capacity, and then more of them must run at once, not fewer.
 type concurrencyLimit struct {
 	minValue, maxValue float64
 	value              float64
 
-	// The window that is being filled, and the limit at its start.
+	// The fields of the current window: its start, its samples, the deadlines missed in it, whether a
+	// request had to wait for a slot, and the limit at its start.
 	windowStart    time.Time
 	samples        int
 	deadlineMisses int
 	saturated      bool
 	windowValue    float64
-	// riseSteps counts windows since the limit last fell, and decision names the last move.
+	// riseSteps counts the windows since the limit last fell, up to maxRiseSteps. decision names the
+	// last change for the dump.
 	riseSteps int
 	decision  string
 }
@@ -41,19 +46,19 @@
 	return &concurrencyLimit{minValue: float64(s.MinConcurrency), maxValue: float64(s.MaxConcurrency), value: first, windowValue: first}
 }
 
-// slots returns the limit as a whole number.
+// slots returns the limit, rounded down to whole requests.
 func (l *concurrencyLimit) slots() int { return int(l.value) }
 
-// markSaturated notes that a request had to wait for a slot.
+// markSaturated records that a request had to wait for a slot.
 func (l *concurrencyLimit) markSaturated() { l.saturated = true }
 
-// observe takes the end of one request. A request whose caller went away says nothing.
+// observe records the end of one request. A request whose caller went away gives no information.
 func (l *concurrencyLimit) observe(now time.Time, r Result) {
 	switch r {
 	case ResultCancelled:
 		return
 	case ResultOverload, ResultPartialOverload:
-		// One slot too many was used.
+		// The service had room for one request fewer.
 		l.fall(1)
 	case ResultDeadline:
 		l.deadlineMisses++
@@ -68,13 +73,13 @@
 	}
 }
 
-// fall lowers the limit, within the bound of the window.
+// fall lowers the limit, by at most maxFallShare within a window.
 func (l *concurrencyLimit) fall(by float64) {
 	l.value = max(l.minValue, l.windowValue*(1-maxFallShare), l.value-by)
 	l.riseSteps, l.decision = -1, "fall"
 }
 
-// closeWindow moves the limit at the end of a window.
+// closeWindow adjusts the limit at the end of a window.
 func (l *concurrencyLimit) closeWindow() {
 	if float64(l.deadlineMisses) > deadlineMissShare*float64(l.samples) {
 		l.fall(l.value * maxFallShare)
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// waiter is one request at a gate.
+// waiter is one request at a limiter.
 type waiter struct {
 	caller string
 	share  float64
 	kind   string
 	weight int
-	// arrived and deadline are times of this process.
+	// arrived and deadline are times by the clock of this process.
 	arrived, deadline time.Time
-	// cost is what the request takes of its caller's share, in seconds of a slot.
+	// cost is the slot time, in seconds, that the request is charged to its caller.
 	cost float64
-	// decision gets the decision; it has room for one.
+	// decision receives the decision; its buffer holds one.
 	decision chan decision
 }
 
-// callerQueue is what one caller has waiting in a class, oldest first.
+// callerQueue holds the waiting requests of one caller in a class, oldest first.
 type callerQueue struct {
 	caller  string
 	share   float64
 	waiting []*waiter
-	// start is the virtual time at which the caller's next request may go.
+	// start is the virtual time at which the caller's next request may run.
 	start float64
 }
 
-// backlog compares how much callers have waiting, by their shares.
+// backlog returns the number of waiting requests divided by the caller's share.
 func (q *callerQueue) backlog() float64 { return float64(len(q.waiting)) / q.share }
 
-// weightClass holds the requests of one weight. Callers take turns by virtual time: each request moves its
-// caller's by cost over share, and the caller furthest behind goes next.
+// weightClass holds the waiting requests of one weight. It schedules callers by weighted fair queueing:
+// each request advances its caller's virtual time by cost over share, and the caller with the lowest
+// virtual time is next.
 type weightClass struct {
 	weight  int
 	callers []*callerQueue
 	length  int
-	// virtualTime is the virtual time of the class: the start of the request that went last.
+	// virtualTime is the highest start of the requests taken out so far.
 	virtualTime float64
 }
 
-// queueOf returns the caller's line. One that was idle starts at the class's time: it gets no credit.
+// queueOf returns the caller's queue. A new one starts at the class's virtual time, so a caller gets no
+// credit for idle time.
 func (c *weightClass) queueOf(w *waiter) *callerQueue {
 	for _, q := range c.callers {
 		if q.caller == w.caller {
@@ -51,7 +53,7 @@
 	return q
 }
 
-// push adds a waiter.
+// push adds a request to its caller's queue.
 func (c *weightClass) push(w *waiter) {
 	q := c.queueOf(w)
 	if len(q.waiting) == 0 {
@@ -61,8 +63,8 @@
 	c.length++
 }
 
-// pop takes the next waiter out, the oldest of the caller furthest behind, and charges its caller. The
-// class must not be empty.
+// pop removes and returns the oldest request of the caller with the lowest virtual time, and charges
+// that caller. The class must not be empty.
 func (c *weightClass) pop() *waiter {
 	q := c.next()
 	w := q.waiting[0]
@@ -73,7 +75,7 @@
 	return w
 }
 
-// next returns the line whose turn it is.
+// next returns the non-empty queue with the lowest virtual time.
 func (c *weightClass) next() *callerQueue {
 	var first *callerQueue
 	for _, q := range c.callers {
@@ -84,13 +86,13 @@
 	return first
 }
 
-// removeAt takes out the waiter at i.
+// removeAt removes the request at index i of the queue.
 func (c *weightClass) removeAt(q *callerQueue, i int) {
 	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 	c.length--
 }
 
-// remove takes the waiter out, and tells whether it was there. Its caller isn't charged.
+// remove removes the request, and reports whether it was there. Its caller isn't charged.
 func (c *weightClass) remove(w *waiter) bool {
 	for _, q := range c.callers {
 		for i, x := range q.waiting {
@@ -103,7 +105,7 @@
 	return false
 }
 
-// longestBacklog returns the line with the most waiting by share, or nil.
+// longestBacklog returns the non-empty queue with the highest backlog, or nil.
 func (c *weightClass) longestBacklog() *callerQueue {
 	var longest *callerQueue
 	for _, q := range c.callers {
@@ -114,7 +116,7 @@
 	return longest
 }
 
-// backlogWith returns what the caller of w would have waiting by share if w were added.
+// backlogWith returns the backlog that the caller of w would have if w were added.
 func (c *weightClass) backlogWith(w *waiter) float64 {
 	for _, q := range c.callers {
 		if q.caller == w.caller {
@@ -124,7 +126,7 @@
 	return 1 / w.share
 }
 
-// dropIdle forgets callers that wait for nothing and owe nothing.
+// dropIdle drops the queues that are empty and whose virtual time is not ahead of the class's.
 func (c *weightClass) dropIdle() {
 	kept := c.callers[:0]
 	for _, q := range c.callers {
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -6,10 +6,10 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// waitBuckets span the time in the queue, in seconds.
+// waitBuckets are the histogram buckets of the time in the queue, in seconds.
 var waitBuckets = []float64{.0001, .0005, .001, .002, .005, .01, .02, .05, .1, .2, .5, 1}
 
-// metrics of the duty, by service and kind.
+// metrics holds the admission metrics, labelled by service, and the refusals also by kind and reason.
 type metrics struct {
 	refusals   *prometheus.CounterVec
 	queued     *prometheus.GaugeVec
@@ -46,7 +46,7 @@
 	m.refusals.WithLabelValues(r.Service, r.Kind.Name, outcome.ReasonName(e.Reason)).Inc()
 }
 
-// gauges of one service.
+// gauges holds the gauges of one service.
 type gauges struct{ queued, inFlight, limit, overloaded prometheus.Gauge }
 
 func (m *metrics) gauges(service string) gauges {
@@ -56,13 +56,13 @@
 	}
 }
 
-// set sets the gauges by the state of the gate.
-func (g gauges) set(gate *limiter) {
-	g.queued.Set(float64(gate.queue.length))
-	g.inFlight.Set(float64(gate.inFlight))
-	g.limit.Set(float64(gate.limit.slots()))
+// set sets the gauges from the state of the limiter.
+func (g gauges) set(l *limiter) {
+	g.queued.Set(float64(l.queue.length))
+	g.inFlight.Set(float64(l.inFlight))
+	g.limit.Set(float64(l.limit.slots()))
 	overloaded := 0.0
-	if gate.overloaded() {
+	if l.overloaded() {
 		overloaded = 1
 	}
 	g.overloaded.Set(overloaded)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -9,11 +9,11 @@
 type queue struct {
 	classes []*weightClass
 	length  int
-	// nonEmptySince is when the queue was last empty.
+	// nonEmptySince is when the queue last became non-empty.
 	nonEmptySince time.Time
 }
 
-// classOf returns the class of the weight.
+// classOf returns the class of the weight and creates it on first use.
 func (q *queue) classOf(weight int) *weightClass {
 	i, found := slices.BinarySearchFunc(q.classes, weight, func(c *weightClass, w int) int { return w - c.weight })
 	if !found {
@@ -22,7 +22,7 @@
 	return q.classes[i]
 }
 
-// push adds a waiter.
+// push adds a request.
 func (q *queue) push(now time.Time, w *waiter) {
 	if q.length == 0 {
 		q.nonEmptySince = now
@@ -31,7 +31,7 @@
 	q.length++
 }
 
-// nonEmptyFor returns how long the queue has not been empty.
+// nonEmptyFor returns how long the queue has not been empty, 0 where it is.
 func (q *queue) nonEmptyFor(now time.Time) time.Duration {
 	if q.length == 0 {
 		return 0
@@ -39,7 +39,8 @@
 	return now.Sub(q.nonEmptySince)
 }
 
-// pop takes the next request out: the heaviest first, callers in turn; nil where none waits.
+// pop removes and returns the next request, from the heaviest class and by fair queueing among its
+// callers, or nil where none waits.
 func (q *queue) pop() *waiter {
 	for _, c := range q.classes {
 		if c.length > 0 {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// popOldest takes out the request that came first.
+// popOldest removes and returns the request that arrived first, or nil where none waits.
 func (q *queue) popOldest() *waiter {
 	var oldest *waiter
 	q.each(func(w *waiter) {
@@ -64,7 +65,7 @@
 	return oldest
 }
 
-// lightest returns the lightest class with requests.
+// lightest returns the lightest class with requests, or nil.
 func (q *queue) lightest() *weightClass {
 	for i := len(q.classes) - 1; i >= 0; i-- {
 		if q.classes[i].length > 0 {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// ahead returns how many wait that go before a request of the weight.
+// ahead returns how many waiting requests run before a new one of the weight.
 func (q *queue) ahead(weight int) int {
 	n := 0
 	for _, c := range q.classes {
@@ -85,9 +86,9 @@
 	return n
 }
 
-// displace makes room in a full queue for w: the oldest request of the caller with the most waiting in
-// the lightest class leaves. It returns nil where w itself is the one to go, as it is where its own
-// caller would then have as much waiting as the other.
+// displace makes room for w in a full queue: it removes and returns the oldest request of the caller with
+// the highest backlog in the lightest class. It returns nil where w itself is to be refused: where w is
+// lighter than that class, or is of that class and its caller would then have at least that backlog.
 func (q *queue) displace(w *waiter) *waiter {
 	c := q.lightest()
 	if c == nil || c.weight > w.weight {
@@ -102,7 +103,7 @@
 	return displaced
 }
 
-// remove takes the waiter out, and tells whether it was there.
+// remove removes the request, and reports whether it was there.
 func (q *queue) remove(w *waiter) bool {
 	if !q.classOf(w.weight).remove(w) {
 		return false
@@ -111,7 +112,7 @@
 	return true
 }
 
-// each calls f with every waiter.
+// each calls f for each waiting request.
 func (q *queue) each(f func(*waiter)) {
 	for _, c := range q.classes {
 		for _, cq := range c.callers {
--- a/internal/admission/ration.go
+++ b/internal/admission/ration.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// reallocateInterval is how often rations are worked out anew.
+	// reallocateInterval is the time between two computations of the quotas.
 	reallocateInterval = 50 * time.Millisecond
-	// fairShare is the share of the capacity that callers get by their shares alone, whatever the
-	// weight of what they send, so that none starves.
+	// fairShare is the part of the capacity that is divided by the callers' shares alone, regardless of
+	// the weight of their requests, so that no caller starves.
 	fairShare = 0.1
-	// capacitySwing is how far what is let in swings about the drain, to keep a few requests waiting and
-	// no more.
+	// capacitySwing is how far the rate at which requests are let in departs from the completion rate, as
+	// a share of it, to keep a few requests waiting and no more.
 	capacitySwing = 0.2
-	// metShare is the share of a demand from which it counts as met, which leaves room for rounding.
+	// metShare is the share of a demand from which it counts as met; it allows for rounding errors.
 	metShare = 0.999
-	// minQuotaBurst is how many requests of one caller and weight may come together, at the least.
+	// minQuotaBurst is the least size of a quota's token bucket, in requests.
 	minQuotaBurst = 2
 )
 
-// demand is how often one caller asks for one weight, in requests a second, and what it is allowed.
+// demand is the rate at which one caller sends requests of one weight, and the rate that it is allowed.
+// Both are in requests per second; an allowed rate of +Inf means no bound.
 type demand struct {
 	caller  string
 	share   float64
@@ -30,9 +31,10 @@
 	allowed float64
 }
 
-// allocate shares the capacity out: a part by the callers' shares alone, the rest by weight, heaviest
-// first, and by share within a weight. A demand that is met whole is not bounded, so that its ups and
-// downs aren't cut. The demands must be sorted heaviest first.
+// allocate divides the capacity, in requests per second, among the demands: the part fairShare by the
+// callers' shares alone, the rest by weight, heaviest first, and by share within a weight. A demand that
+// is met in full is not bounded, so that its fluctuations aren't cut. The demands must be sorted heaviest
+// first.
 func allocate(capacity float64, demands []*demand) {
 	for _, d := range demands {
 		d.allowed = 0
@@ -53,10 +55,11 @@
 	}
 }
 
-// demandGroup is what shares a capacity: the demands of one caller, heaviest first.
+// demandGroup holds demands that receive their part of a capacity together: those of one caller, heaviest
+// first.
 type demandGroup []*demand
 
-// unmet returns what the party still wants.
+// unmet returns the part of the group's demand that is not yet allowed, in requests per second.
 func (g demandGroup) unmet() float64 {
 	sum := 0.0
 	for _, d := range g {
@@ -65,7 +68,7 @@
 	return sum
 }
 
-// allot allows the party so much, heaviest first.
+// allot adds the amount, in requests per second, to the group's allowed rates, heaviest first.
 func (g demandGroup) allot(amount float64) {
 	for _, d := range g {
 		x := min(amount, d.rate-d.allowed)
@@ -74,6 +77,7 @@
 	}
 }
 
+// groupByCaller returns one group for each caller.
 func groupByCaller(demands []*demand) []demandGroup {
 	var groups []demandGroup
 	index := make(map[string]int)
@@ -89,6 +93,7 @@
 	return groups
 }
 
+// groupSingly returns one group for each demand.
 func groupSingly(demands []*demand) []demandGroup {
 	groups := make([]demandGroup, len(demands))
 	for i := range demands {
@@ -97,8 +102,8 @@
 	return groups
 }
 
-// allotMaxMin shares the capacity among the parties by max-min fairness over their shares, and returns how
-// much was given.
+// allotMaxMin divides the capacity among the groups by weighted max-min fairness, with their shares as
+// weights, and returns how much of it was allotted.
 func allotMaxMin(capacity float64, groups []demandGroup) float64 {
 	slices.SortFunc(groups, func(a, b demandGroup) int {
 		x, y := a.unmet()/a[0].share, b.unmet()/b[0].share
@@ -124,7 +129,7 @@
 	return given
 }
 
-// quota is one demand as it is counted, with the tokens that it may spend.
+// quota is the measured demand of one caller and weight, with the token bucket of its allowed rate.
 type quota struct {
 	demand
 	arrivals   eventRate
@@ -132,7 +137,7 @@
 	refilledAt time.Time
 }
 
-// take spends a token if there is one.
+// take takes a token, and reports whether there was one. A quota without a bound always has one.
 func (q *quota) take(now time.Time) bool {
 	if math.IsInf(q.allowed, 1) {
 		return true
@@ -147,17 +152,18 @@
 	return true
 }
 
-// quotaTable counts what is asked for and lets as much in as can be done.
+// quotaTable measures the demands and limits them to the capacity.
 type quotaTable struct {
-	// demands are sorted heaviest first.
+	// demands are sorted by weight, heaviest first.
 	demands     []*quota
 	allocatedAt time.Time
 }
 
-// idleRate, in requests a second, is below which a demand is forgotten.
+// idleRate, in requests per second, is the rate below which a demand is dropped.
 const idleRate = 0.05
 
-// quotaOf returns the demand of the waiter's caller and weight.
+// quotaOf returns the quota of the request's caller and weight, and creates it without a bound on first
+// use.
 func (t *quotaTable) quotaOf(now time.Time, w *waiter) *quota {
 	i := 0
 	for ; i < len(t.demands) && t.demands[i].weight >= w.weight; i++ {
@@ -171,14 +177,14 @@
 	return d
 }
 
-// record counts an arrival and returns its demand.
+// record counts an arrival and returns its quota.
 func (t *quotaTable) record(now time.Time, w *waiter) *quota {
 	d := t.quotaOf(now, w)
 	d.arrivals.add(now)
 	return d
 }
 
-// reallocate shares the capacity out anew where it is time.
+// reallocate divides the capacity among the quotas again, at most once every reallocateInterval.
 func (t *quotaTable) reallocate(now time.Time, capacity float64) {
 	if now.Sub(t.allocatedAt) < reallocateInterval {
 		return
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -1,10 +1,11 @@
-// Package admission decides which requests run now, which wait and which are refused at once. Each
-// service has a gate of its own, so that one sick service can't hold up another: a limit of
-// concurrency that follows what the gathers answer, and a short bounded queue in which heavier kinds
-// go first and callers take turns by share. Once the queue stands, rations by weight and share decide
-// at the door, so that a refusal comes at once and what is let in is done.
+// Package admission decides which requests run now, which wait and which are refused immediately. Each
+// service has its own limiter, so that a faulty service can't delay another. A limiter consists of a
+// concurrency limit that follows the gathers' answers, and a short bounded queue in which heavier kinds
+// go first and callers share the slots by weighted fair queueing. Under overload, when the queue has not
+// been empty for a while, quotas by weight and share decide on arrival, so that a refusal comes
+// immediately and a request that is let in also completes.
 //
-// The gate is pure: the time is given to each call. Controller adds goroutines and timers.
+// The limiter has no clock: each call passes the time. Controller adds mutexes, timers and waiting.
 package admission
 
 import (
@@ -13,26 +14,26 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// Settings of the duty, the same for each service.
+// Settings are the settings of admission, the same for each service.
 type Settings struct {
-	// MinConcurrency and MaxConcurrency bound the requests of one service that run at once at this
-	// entry; equal values fix the limit. InitialConcurrency is where it starts.
+	// MinConcurrency and MaxConcurrency bound the limit of requests of one service that run at once at
+	// this entry; equal values fix the limit. InitialConcurrency is its initial value.
 	MinConcurrency     int `toml:"min_concurrency"`
 	MaxConcurrency     int `toml:"max_concurrency"`
 	InitialConcurrency int `toml:"initial_concurrency"`
-	// Queue is how many requests of one service may wait.
+	// Queue is the maximum number of waiting requests of one service.
 	Queue int `toml:"queue"`
 	// MaxWait is the longest wait in the queue.
 	MaxWait settings.Duration `toml:"max_wait"`
-	// OverloadAfter is how long the queue must not have been empty to count as overload, and
-	// OverloadWait the wait that the rations then aim at.
+	// OverloadAfter is how long the queue must not have been empty to count as overload. OverloadWait
+	// is the wait in the queue that the quotas then aim at.
 	OverloadAfter settings.Duration `toml:"overload_after"`
 	OverloadWait  settings.Duration `toml:"overload_wait"`
-	// MaxRetryAfter is the longest wait told to a refused caller.
+	// MaxRetryAfter is the longest retry-after time of a refusal.
 	MaxRetryAfter settings.Duration `toml:"max_retry_after"`
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		MinConcurrency: 4, MaxConcurrency: 512, InitialConcurrency: 16,
@@ -44,7 +45,7 @@
 	}
 }
 
-// The bounds of what may be set.
+// The bounds of the settings.
 const (
 	maxConcurrency = 100_000
 	maxQueue       = 100_000
@@ -52,7 +53,7 @@
 	maxRetryAfter  = 10 * time.Minute
 )
 
-// Check refuses settings out of range, under the table's name.
+// Check reports settings that are out of range. table is the name of the table that holds them.
 func (s Settings) Check(c *settings.Checker, table string) {
 	c.Require(s.MinConcurrency >= 1 && s.MinConcurrency <= maxConcurrency,
 		table+".min_concurrency", "want 1 to %d, got %d", maxConcurrency, s.MinConcurrency)
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -12,13 +12,13 @@
 	"github.com/matryer/is"
 )
 
-// event is something that happens at a time of the simulation.
+// event is a function that runs at a time of the simulation.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// events are ordered by time.
+// events is a heap ordered by time.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -32,18 +32,18 @@
 	return x
 }
 
-// stream is what one caller sends of one weight, as a share of all that is sent.
+// stream holds the requests of one weight of one caller; share is their share of all requests.
 type stream struct {
 	caller string
 	weight int
 	share  float64
-	// sent, done, shed and the waits of the refused are counted after the start.
+	// sent, done, shed and the waits of the refused requests are counted from simStart on.
 	sent, done, shed int
 	waits            []time.Duration
 }
 
-// simulation runs a gate against a service with so many slots and a queue, which sheds beyond, in its
-// own time.
+// simulation runs a limiter with simulated time against a service with the given slots and a queue. The
+// service sheds requests that find the queue full.
 type simulation struct {
 	*harness
 	slots, running int
@@ -57,12 +57,12 @@
 const (
 	simService = 30 * time.Millisecond
 	simSigma   = 0.3
-	simQueue   = 2 // for each slot
+	simQueue   = 2 // requests per slot
 	simStart   = 2 * time.Second
 	simEnd     = 8 * time.Second
 )
 
-// capacityOf returns how many requests a second the service can do.
+// capacityOf returns how many requests per second the service completes at most.
 func capacityOf(slots int) float64 {
 	return float64(slots) / (simService.Seconds() * math.Exp(simSigma*simSigma/2))
 }
@@ -82,18 +82,18 @@
 			deadline: s.now.Add(500 * time.Millisecond), decision: make(chan decision, 1),
 		}
 		s.waiting[w] = x
-		s.gate.arrive(s.now, w)
+		s.limiter.arrive(s.now, w)
 		s.arrivals(x, rate)
 	})
 }
 
-// expireEachMillisecond lets waits run out.
+// expireEachMillisecond expires waiting requests, again after each millisecond.
 func (s *simulation) expireEachMillisecond() {
-	s.gate.expire(s.now)
+	s.limiter.expire(s.now)
 	s.after(time.Millisecond, s.expireEachMillisecond)
 }
 
-// applyDecisions takes the decisions that were made.
+// applyDecisions runs the requests that were admitted and records those that were refused.
 func (s *simulation) applyDecisions() {
 	for w, x := range s.waiting {
 		if state(w) == "waits" {
@@ -108,7 +108,7 @@
 	}
 }
 
-// run brings an admitted request to the service.
+// run sends an admitted request to the service.
 func (s *simulation) run(x *stream) {
 	admitted := s.at
 	serve := func() {
@@ -122,7 +122,7 @@
 		s.queue = append(s.queue, serve)
 	default:
 		x.shed++
-		s.after(time.Millisecond, func() { s.gate.finish(s.now, "k", time.Millisecond, ResultOverload) })
+		s.after(time.Millisecond, func() { s.limiter.finish(s.now, "k", time.Millisecond, ResultOverload) })
 	}
 }
 
@@ -136,14 +136,14 @@
 	if s.at >= simStart {
 		x.done++
 	}
-	s.gate.finish(s.now, "k", s.at-admitted, ResultOK)
+	s.limiter.finish(s.now, "k", s.at-admitted, ResultOK)
 }
 
-// simulate offers the streams at so many times the capacity.
+// simulate sends the streams at the given multiple of the service's capacity.
 func simulate(slots int, over float64, streams []*stream) {
 	g := newLimiter(DefaultSettings(), func() float64 { return 0 })
 	s := &simulation{
-		harness: &harness{gate: g, now: time.Unix(0, 0)}, slots: slots,
+		harness: &harness{limiter: g, now: time.Unix(0, 0)}, slots: slots,
 		random: rand.New(rand.NewPCG(1, 2)), waiting: make(map[*waiter]*stream),
 	}
 	start := s.now
@@ -174,17 +174,17 @@
 					return
 				}
 				shed := desk.shed + flood.shed + bulk.shed + portal.shed
-				is.True(shed*5 <= done) // what the service has to refuse itself
+				is.True(shed*5 <= done) // few requests are shed by the service itself
 				heavy := min(desk.sent+flood.sent, int(0.85*could))
 				is.True((desk.done+flood.done)*10 >= heavy*9)           // heavier first
 				is.True(desk.done*10 >= flood.done*9)                   // callers by share
-				is.True(float64(portal.done) >= fairShare*could/3*8/10) // and none starves
+				is.True(float64(portal.done) >= fairShare*could/3*8/10) // no caller starves
 				if over < 3 {
-					return // at little above the capacity a few wait in vain
+					return // slightly above the capacity a few requests expire in the queue
 				}
 				waits := slices.Concat(desk.waits, flood.waits, bulk.waits, portal.waits)
 				slices.Sort(waits)
-				is.True(waits[len(waits)*99/100] <= 10*time.Millisecond) // refused at once
+				is.True(waits[len(waits)*99/100] <= 10*time.Millisecond) // refused immediately
 			})
 		}
 	}
