--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -12,18 +12,18 @@
 const (
 	// hedgeQuantile is the share of calls that end before a hedge is sent.
 	hedgeQuantile = 0.95
-	// median is a quantile; hedgeMedians is how many of it a hedge waits for at least.
-	median       = 0.5
-	hedgeMedians = 3
-	// hedgeDefault is the hedge delay before enough calls were measured, hedgeLeast the least.
-	hedgeDefault = 50 * time.Millisecond
-	hedgeLeast   = time.Millisecond
-	// staleLeast is the least part of the other candidate's latency that an estimate is taken for.
-	staleLeast = 0.5
-	// waitFactor is how many times dearer a leaf may be than one at its limit, to be asked in its stead.
-	waitFactor = 3
-	// forgetAfter is how long a leaf is kept that no bundle names any more.
-	forgetAfter = 10 * time.Minute
+	// medianQuantile is a quantile; hedgeMedians is how many of it a hedge waits for at least.
+	medianQuantile  = 0.5
+	minHedgeMedians = 3
+	// defaultHedgeDelay is the hedge delay before enough calls were measured, hedgeLeast the least.
+	defaultHedgeDelay = 50 * time.Millisecond
+	minHedgeDelay     = time.Millisecond
+	// minStaleShare is the least part of the other candidate's latency that an estimate is taken for.
+	minStaleShare = 0.5
+	// maxCostRatio is how many times dearer a leaf may be than one at its limit, to be asked in its stead.
+	maxCostRatio = 3
+	// leafRetention is how long a leaf is kept that no bundle names any more.
+	leafRetention = 10 * time.Minute
 )
 
 // SuspectHedgeDivisor divides the hedge delay of a call to a suspect leaf.
@@ -45,9 +45,9 @@
 	retries        budget
 	sheds          shedMeter
 	counts         Counts
-	eligible, warm []choice
+	eligible, warm []candidate
 	delays         []time.Duration
-	forgot         time.Time
+	prunedAt       time.Time
 }
 
 // Counts are the decisions of a balancer since its start.
@@ -67,8 +67,8 @@
 	Overloaded uint64 `json:"overloaded"`
 }
 
-// choice is a candidate with its state.
-type choice struct {
+// candidate is a candidate with its state.
+type candidate struct {
 	id   string
 	leaf *leafState
 }
@@ -90,31 +90,31 @@
 		b.counts.AtLimit++
 		return nil, false
 	}
-	c.leaf.begun = append(c.leaf.begun, now)
+	c.leaf.sentTimes = append(c.leaf.sentTimes, now)
 	c.leaf.limit.begin(now, c.leaf.inFlight())
-	b.hedges.call()
-	b.retries.call()
+	b.hedges.recordCall()
+	b.retries.recordCall()
 	b.counts.Picks++
-	made := &call{
+	sent := &call{
 		b: b, id: c.id, leaf: c.leaf, incarnation: c.leaf.incarnation,
-		begun: now, late: b.groupDelay(now, candidates), suspect: c.leaf.late > 0,
+		sentAt: now, lateAfter: b.groupDelay(now, candidates), suspect: c.leaf.lateCalls > 0,
 	}
-	if made.suspect {
-		made.late /= SuspectHedgeDivisor
+	if sent.suspect {
+		sent.lateAfter /= SuspectHedgeDivisor
 	}
-	return made, true
+	return sent, true
 }
 
 // choose returns the cheaper of two random candidates below their limits, unless a candidate at its
 // limit is so much cheaper that it is better to wait for it: else a straggler would get what its
 // group has no room for. A cold leaf is left out by chance, as long as there are others.
-func (b *Balancer) choose(now time.Time, candidates []string) (choice, bool) {
+func (b *Balancer) choose(now time.Time, candidates []string) (candidate, bool) {
 	b.eligible, b.warm = b.eligible[:0], b.warm[:0]
-	full := math.Inf(1)
+	minFullCost := math.Inf(1)
 	for _, id := range candidates {
-		c := choice{id, b.leaf(id)}
+		c := candidate{id, b.leaf(id)}
 		if !c.leaf.limit.allows(c.leaf.inFlight()) {
-			full = min(full, c.leaf.cost(now, 0))
+			minFullCost = min(minFullCost, c.leaf.cost(now, 0))
 			continue
 		}
 		b.eligible = append(b.eligible, c)
@@ -127,25 +127,25 @@
 		from = b.eligible
 	}
 	if len(from) == 0 {
-		return choice{}, false
+		return candidate{}, false
 	}
 	best := from[0]
 	if len(from) > 1 {
 		best = b.cheaper(now, from)
 	}
-	return best, best.leaf.cost(now, 0) <= waitFactor*full
+	return best, best.leaf.cost(now, 0) <= maxCostRatio*minFullCost
 }
 
 // cheaper draws two different candidates and returns the one of less cost.
-func (b *Balancer) cheaper(now time.Time, from []choice) choice {
+func (b *Balancer) cheaper(now time.Time, from []candidate) candidate {
 	i := b.draw(len(from))
 	j := b.draw(len(from) - 1)
 	if j >= i {
 		j++
 	}
 	one, two := from[i], from[j]
-	least := max(one.leaf.latency.get(now), two.leaf.latency.get(now), 1) * staleLeast
-	if two.leaf.cost(now, least) < one.leaf.cost(now, least) {
+	minLatency := max(one.leaf.latency.get(now), two.leaf.latency.get(now), 1) * minStaleShare
+	if two.leaf.cost(now, minLatency) < one.leaf.cost(now, minLatency) {
 		return two
 	}
 	return one
@@ -158,7 +158,7 @@
 func (b *Balancer) leaf(id string) *leafState {
 	l := b.leaves[id]
 	if l == nil {
-		l = &leafState{limit: limiter{limit: 1}, told: b.clock()}
+		l = &leafState{limit: limiter{limit: 1}, capacitySetAt: b.clock()}
 		b.leaves[id] = l
 	}
 	return l
@@ -169,19 +169,19 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.leaf(id)
-	l.told = b.clock()
+	l.capacitySetAt = b.clock()
 	l.limit.setCapacity(slots, sharers)
-	b.forget(l.told)
+	b.prune(l.capacitySetAt)
 }
 
-// forget drops leaves that no bundle has named for long. Requires mu.
-func (b *Balancer) forget(now time.Time) {
-	if now.Sub(b.forgot) < forgetAfter {
+// prune drops leaves that no bundle has named for long. Requires mu.
+func (b *Balancer) prune(now time.Time) {
+	if now.Sub(b.prunedAt) < leafRetention {
 		return
 	}
-	b.forgot = now
+	b.prunedAt = now
 	for id, l := range b.leaves {
-		if l.inFlight() == 0 && now.Sub(l.told) > forgetAfter {
+		if l.inFlight() == 0 && now.Sub(l.capacitySetAt) > leafRetention {
 			delete(b.leaves, id)
 		}
 	}
@@ -233,15 +233,15 @@
 func (b *Balancer) groupDelay(now time.Time, candidates []string) time.Duration {
 	b.delays = b.delays[:0]
 	for _, id := range candidates {
-		if d, ok := b.leaf(id).tail.hedgeDelay(now); ok {
+		if d, ok := b.leaf(id).histogram.hedgeDelay(now); ok {
 			b.delays = append(b.delays, d)
 		}
 	}
 	if len(b.delays) == 0 {
-		return hedgeDefault
+		return defaultHedgeDelay
 	}
 	slices.Sort(b.delays)
-	return max(hedgeLeast, b.delays[(len(b.delays)-1)/2])
+	return max(minHedgeDelay, b.delays[(len(b.delays)-1)/2])
 }
 
 // AllowHedge implements Replicas.
@@ -260,7 +260,7 @@
 
 // allow grants an extra call, never into a service that sheds. Requires mu.
 func (b *Balancer) allow(from *budget, n *ExtraCount, share float64) bool {
-	if b.sheds.high(b.clock()) {
+	if b.sheds.overloaded(b.clock()) {
 		n.Overloaded++
 		return false
 	}
@@ -279,12 +279,12 @@
 	leaf *leafState
 	// incarnation that the call went to; the end of one to an earlier incarnation tells nothing.
 	incarnation uint64
-	begun       time.Time
-	// late is the time from which the call counts as late.
-	late    time.Duration
-	suspect bool
-	// ended is guarded by b.mu.
-	ended bool
+	sentAt      time.Time
+	// lateAfter is the time from which the call counts as late.
+	lateAfter time.Duration
+	suspect   bool
+	// done is guarded by b.mu.
+	done bool
 }
 
 // Leaf implements Call.
@@ -297,15 +297,15 @@
 func (c *call) Done(r Result) {
 	c.b.mu.Lock()
 	defer c.b.mu.Unlock()
-	if c.ended {
+	if c.done {
 		return
 	}
-	c.ended = true
+	c.done = true
 	now := c.b.clock()
-	took := now.Sub(c.begun)
-	c.leaf.ended(c.begun)
+	elapsed := now.Sub(c.sentAt)
+	c.leaf.removeCall(c.sentAt)
 	if c.leaf.incarnation == c.incarnation {
-		c.leaf.done(now, took, took >= c.late, r)
+		c.leaf.finish(now, elapsed, elapsed >= c.lateAfter, r)
 	}
 	c.b.sheds.add(now, r)
 }
--- a/internal/balance/budget.go
+++ b/internal/balance/budget.go
@@ -20,12 +20,12 @@
 // bucket holds the tokens of one share.
 type bucket struct {
 	tokens float64
-	// seen is the number of calls whose tokens are in.
-	seen float64
+	// callsSeen is the number of calls whose tokens are in.
+	callsSeen float64
 }
 
-// call counts a call that is not an extra one.
-func (b *budget) call() { b.calls++ }
+// recordCall counts a call that is not an extra one.
+func (b *budget) recordCall() { b.calls++ }
 
 // take grants an extra call, or not. The call that follows is counted as any other, so it is taken
 // back here.
@@ -37,11 +37,11 @@
 		b.buckets = make(map[float64]*bucket)
 	}
 	if b.buckets[share] == nil {
-		b.buckets[share] = &bucket{seen: b.calls}
+		b.buckets[share] = &bucket{callsSeen: b.calls}
 	}
 	for s, k := range b.buckets {
 		k.fill(s, b.calls)
-		if s >= share && !k.full() {
+		if s >= share && !k.hasToken() {
 			return false
 		}
 	}
@@ -56,12 +56,12 @@
 
 // fill adds the tokens of the calls since the last time.
 func (k *bucket) fill(share, calls float64) {
-	k.tokens = min(budgetBurst, k.tokens+share*(calls-k.seen))
-	k.seen = calls
+	k.tokens = min(budgetBurst, k.tokens+share*(calls-k.callsSeen))
+	k.callsSeen = calls
 }
 
-// full tells whether there is a whole token; sums of shares aren't exact.
-func (k *bucket) full() bool {
+// hasToken tells whether there is a whole token; sums of shares aren't exact.
+func (k *bucket) hasToken() bool {
 	const rounding = 1e-9
 	return k.tokens >= 1-rounding
 }
--- a/internal/balance/budget_test.go
+++ b/internal/balance/budget_test.go
@@ -12,10 +12,10 @@
 	grants := func(b *budget, share float64, calls int) int {
 		n := 0
 		for range calls {
-			b.call()
+			b.recordCall()
 			if b.take(share) {
 				n++
-				b.call() // the extra call itself
+				b.recordCall() // the extra call itself
 			}
 		}
 		return n
@@ -31,7 +31,7 @@
 	var b budget
 	is.True(!b.take(0.05)) // nothing was called yet
 	for range 1000 {
-		b.call()
+		b.recordCall()
 	}
 	is.True(b.take(0.05))
 	is.True(!b.take(0.05))
@@ -43,7 +43,7 @@
 	is.True(!b.take(0.01))
 	is.True(!b.take(0.05))
 	for range 20 {
-		b.call()
+		b.recordCall()
 	}
 	is.True(!b.take(0.01)) // a fifth of a token
 	is.True(b.take(0.05))
--- a/internal/balance/dump.go
+++ b/internal/balance/dump.go
@@ -37,7 +37,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock()
-	s := Snapshot{Counts: b.counts, Shedding: b.sheds.high(now), Leaves: make([]LeafSnapshot, 0, len(b.leaves))}
+	s := Snapshot{Counts: b.counts, Shedding: b.sheds.overloaded(now), Leaves: make([]LeafSnapshot, 0, len(b.leaves))}
 	for id, l := range b.leaves {
 		s.Leaves = append(s.Leaves, l.snapshot(now, id))
 	}
@@ -52,13 +52,13 @@
 	s := LeafSnapshot{
 		Leaf: id, InFlight: l.inFlight(), Limit: int(max(1, l.limit.limit)), Share: l.share(now),
 		Latency:  time.Duration(l.latency.get(now)).Round(time.Microsecond).String(),
-		Reported: l.hint, Shed: l.shedLately(now),
+		Reported: l.utilisation, Shed: l.shedLately(now),
 	}
-	if d, ok := l.tail.hedgeDelay(now); ok {
+	if d, ok := l.histogram.hedgeDelay(now); ok {
 		s.HedgeDelay = d.Round(time.Microsecond).String()
 	}
-	if !l.hintAt.IsZero() {
-		s.Age = now.Sub(l.hintAt).Round(time.Millisecond).String()
+	if !l.reportedAt.IsZero() {
+		s.Age = now.Sub(l.reportedAt).Round(time.Millisecond).String()
 	}
 	return s
 }
--- a/internal/balance/estimates_test.go
+++ b/internal/balance/estimates_test.go
@@ -34,7 +34,7 @@
 		n      int
 		want   time.Duration
 	}{
-		{"too few samples", func(*rand.Rand) time.Duration { return 3 * ms }, tailEnough - 1, 0},
+		{"too few samples", func(*rand.Rand) time.Duration { return 3 * ms }, minQuantileWeight - 1, 0},
 		{"narrow: three times the median", func(*rand.Rand) time.Duration { return 4 * ms }, 1000, 12 * ms},
 		{"wide: the 95th percentile", func(r *rand.Rand) time.Duration {
 			return time.Duration(r.ExpFloat64() * float64(10*ms))
@@ -43,54 +43,54 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			r := rand.New(rand.NewPCG(1, 2))
-			var est tail
+			var hist latencyHistogram
 			for range tt.n {
-				est.add(start, tt.sample(r))
+				hist.add(start, tt.sample(r))
 			}
-			got, known := est.hedgeDelay(start.Add(tailRefresh))
+			got, known := hist.hedgeDelay(start.Add(refreshInterval))
 			is.Equal(known, tt.want > 0)
 			is.True(math.Abs(float64(got-tt.want)) <= 0.13*float64(tt.want)) // a bucket is a sixth of an octave
 		})
 	}
 }
 
-func TestHedgeDelayForgetsAFaultInSeconds(t *testing.T) {
+func TestHedgeDelayRecoversFromAFaultInSeconds(t *testing.T) {
 	is := is.New(t)
-	var est tail
+	var hist latencyHistogram
 	now := start
 	feed := func(d time.Duration, span time.Duration) {
 		for end := now.Add(span); now.Before(end); now = now.Add(10 * ms) {
-			est.add(now, d)
+			hist.add(now, d)
 		}
 	}
 	feed(60*ms, 10*time.Second)
 	feed(3*ms, 14*time.Second) // 95 of 100 by weight are new after four half-lives and a bit
-	got, _ := est.hedgeDelay(now)
+	got, _ := hist.hedgeDelay(now)
 	is.True(got < 10*ms)
 }
 
 func TestTailKeepsSamplesOfAQuietLeaf(t *testing.T) {
 	is := is.New(t)
-	var est tail
-	for range tailKeep {
-		est.add(start, 4*ms)
+	var hist latencyHistogram
+	for range minSampleWeight {
+		hist.add(start, 4*ms)
 	}
-	_, known := est.hedgeDelay(start.Add(time.Hour))
+	_, known := hist.hedgeDelay(start.Add(time.Hour))
 	is.True(known)
 }
 
 func TestQuantileLiesWithinItsBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var est tail
-		most := time.Duration(0)
+		var hist latencyHistogram
+		longest := time.Duration(0)
 		for _, n := range rapid.SliceOfN(rapid.IntRange(1, 1<<30), 1, 50).Draw(t, "samples") {
 			d := time.Duration(n)
-			most = max(most, d)
-			est.add(start, d)
+			longest = max(longest, d)
+			hist.add(start, d)
 		}
-		q := est.quantile(1)
-		if q > max(tailFirst*9/8, most*9/8) || q < most*7/8 {
-			t.Fatalf("the greatest of the samples is %v, quantile 1 is %v", most, q)
+		q := hist.quantile(1)
+		if q > max(firstBucketBound*9/8, longest*9/8) || q < longest*7/8 {
+			t.Fatalf("the greatest of the samples is %v, quantile 1 is %v", longest, q)
 		}
 	})
 }
@@ -98,11 +98,11 @@
 func TestLimiterRules(t *testing.T) {
 	const slots, sharers = 8, 4
 	// window sends calls of one latency with the limit in use, until the window closes.
-	window := func(l *limiter, now *time.Time, took time.Duration, inFlight int) {
+	window := func(l *limiter, now *time.Time, elapsed time.Duration, inFlight int) {
 		l.begin(*now, inFlight)
-		for range limitSamples {
-			*now = now.Add(limitWindow)
-			l.sample(*now, took)
+		for range minWindowSamples {
+			*now = now.Add(minWindowTime)
+			l.sample(*now, elapsed)
 		}
 	}
 	for _, tt := range []struct {
@@ -131,13 +131,13 @@
 			for range 6 {
 				window(l, now, 3*ms, int(l.limit))
 			}
-			l.refuse(*now)
-			l.refuse(now.Add(ms))
+			l.cutAfterRefusal(*now)
+			l.cutAfterRefusal(now.Add(ms))
 		}, 6},
 		{"never falls below one", func(l *limiter, now *time.Time) {
 			for range 20 {
-				*now = now.Add(limitWindow)
-				l.refuse(*now)
+				*now = now.Add(minWindowTime)
+				l.cutAfterRefusal(*now)
 			}
 		}, 1},
 		{"follows a share that grows", func(l *limiter, _ *time.Time) { l.setCapacity(slots, 1) }, 8},
--- a/internal/balance/sheds.go
+++ b/internal/balance/sheds.go
@@ -8,16 +8,16 @@
 const (
 	// shedHalfLife is the time in which a call loses half its weight in the share of sheds.
 	shedHalfLife = 500 * time.Millisecond
-	// shedHigh is the share of sheds from which a service counts as overloaded, shedEnough the
+	// overloadShedShare is the share of sheds from which a service counts as overloaded, shedEnough the
 	// weight of calls that it takes to tell.
-	shedHigh   = 0.2
-	shedEnough = 10
+	overloadShedShare = 0.2
+	minShedWeight     = 10
 )
 
 // shedMeter is the share of a service's calls that were shed lately.
 type shedMeter struct {
 	all, shed float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 // add takes in the end of a call; one that was given up here says nothing.
@@ -32,17 +32,17 @@
 	}
 }
 
-// high tells whether the service is overloaded.
-func (m *shedMeter) high(now time.Time) bool {
+// overloaded tells whether the service is overloaded.
+func (m *shedMeter) overloaded(now time.Time) bool {
 	m.decay(now)
-	return m.all >= shedEnough && m.shed > shedHigh*m.all
+	return m.all >= minShedWeight && m.shed > overloadShedShare*m.all
 }
 
 func (m *shedMeter) decay(now time.Time) {
-	if !m.at.IsZero() && now.After(m.at) {
-		f := math.Exp2(-float64(now.Sub(m.at)) / float64(shedHalfLife))
+	if !m.updatedAt.IsZero() && now.After(m.updatedAt) {
+		f := math.Exp2(-float64(now.Sub(m.updatedAt)) / float64(shedHalfLife))
 		m.all *= f
 		m.shed *= f
 	}
-	m.at = now
+	m.updatedAt = now
 }
