--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,6 +1,6 @@
-// Package balance decides which replica takes a call, how many calls a leaf may have in flight,
-// and when a hedge or a retry may be sent. It is pure: clock and random source are injected, no
-// transport is known. One Balancer serves one service of one gather and is safe for concurrent use.
+// Package balance decides which replica receives a call, how many calls a leaf may have in flight, and
+// when a hedge or a retry may be sent. Clock and random source are injected, and it doesn't depend on
+// the transport. One Balancer serves one service of one gather and is safe for concurrent use.
 package balance
 
 import (
@@ -14,51 +14,54 @@
 
 // The results of a call.
 const (
-	// ResultOK is an answer that could be used.
+	// ResultOK is a usable answer.
 	ResultOK Result = iota
-	// ResultShed is a refusal for load before the work started.
+	// ResultShed is a refusal because of load, before the work started.
 	ResultShed
-	// ResultError is a failed call or an answer that can't be used.
+	// ResultError is a failed call or an unusable answer.
 	ResultError
-	// ResultTimeout is a call that ran into its deadline.
+	// ResultTimeout is a call that reached its deadline.
 	ResultTimeout
-	// ResultCancelled is a call that this gather gave up, such as the loser of a hedge.
+	// ResultCancelled is a call that this gather cancelled, such as one that lost to its hedge.
 	ResultCancelled
-	// ResultNeutral is a call that says nothing about the leaf, such as one whose connection went
-	// silent.
+	// ResultNeutral is a call that gives no information about the leaf, such as one whose connection
+	// became unresponsive.
 	ResultNeutral
 )
 
-// Clock gives the time; time.Now in the running process.
+// Clock returns the time; it is time.Now in the running process.
 type Clock func() time.Time
 
-// Random gives a number in [0,1).
+// Random returns a number in [0,1).
 type Random func() float64
 
-// Replicas is what callers of this package need; *Balancer implements it.
+// Replicas chooses among the replicas of one service. *Balancer and *Baseline implement it.
 type Replicas interface {
-	// Pick chooses a leaf among the candidates, or "" where all are at their limit or excluded. The
-	// chosen leaf is counted in flight; the Call must be ended.
+	// Pick chooses a leaf among the candidates and returns a call to it, which counts as in flight until
+	// its Done. It returns false where there is no candidate, all are at their limit, or it is better
+	// to wait for one at its limit.
 	Pick(candidates []string) (Call, bool)
-	// SetCapacity tells a leaf's slots and how many gathers share them.
+	// SetCapacity sets a leaf's slots and how many gathers share them.
 	SetCapacity(leaf string, slots, sharers int)
-	// SetIncarnation tells the leaf's incarnation; a new one starts cold.
+	// SetIncarnation sets a leaf's incarnation; a new one starts cold.
 	SetIncarnation(leaf string, incarnation uint64)
-	// Report takes a leaf's own load report, a hint that ages.
+	// Report records a leaf's own load report, whose influence decays.
 	Report(leaf string, load *pb.LeafLoad)
-	// HedgeAfter returns how long a call to the group of candidates may run before a hedge.
+	// HedgeAfter returns how long a call to one of the candidates may run before a hedge is sent.
 	HedgeAfter(candidates []string) time.Duration
-	// AllowHedge and AllowRetry take one call from the budgets; the shares come from the kind.
+	// AllowHedge and AllowRetry report whether a hedge or a retry may be sent, and take it from the
+	// budget. share is the kind's budget as a share of its calls.
 	AllowHedge(share float64) bool
 	AllowRetry(share float64) bool
 }
 
 // Call is one call in flight at a leaf.
 type Call interface {
+	// Leaf returns the id of the leaf.
 	Leaf() string
-	// Suspect tells whether the latest calls to the leaf were given up late: this one only tries
-	// whether it is still slow, and should be hedged soon.
+	// Suspect reports whether the latest calls to the leaf were given up late. Such a call probes
+	// whether the leaf is still slow, and should be hedged early.
 	Suspect() bool
-	// Done ends the call; only the first result counts.
+	// Done ends the call. Only the first result counts.
 	Done(Result)
 }
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -10,36 +10,38 @@
 )
 
 const (
-	// hedgeQuantile is the share of calls that end before a hedge is sent.
+	// hedgeQuantile is the share of calls that should end before a hedge is sent.
 	hedgeQuantile = 0.95
-	// medianQuantile is a quantile; hedgeMedians is how many of it a hedge waits for at least.
+	// medianQuantile is the quantile of the median. minHedgeMedians is the least hedge delay, in medians.
 	medianQuantile  = 0.5
 	minHedgeMedians = 3
-	// defaultHedgeDelay is the hedge delay before enough calls were measured, hedgeLeast the least.
+	// defaultHedgeDelay is the hedge delay until enough calls were measured, minHedgeDelay the least.
 	defaultHedgeDelay = 50 * time.Millisecond
 	minHedgeDelay     = time.Millisecond
-	// minStaleShare is the least part of the other candidate's latency that an estimate is taken for.
+	// minStaleShare bounds a stale latency estimate from below, as a share of the greater latency of the
+	// two candidates.
 	minStaleShare = 0.5
-	// maxCostRatio is how many times dearer a leaf may be than one at its limit, to be asked in its stead.
+	// maxCostRatio is how many times the cost of a leaf at its limit another leaf may cost to be called
+	// instead.
 	maxCostRatio = 3
-	// leafRetention is how long a leaf is kept that no bundle names any more.
+	// leafRetention is how long the state of a leaf is kept that no bundle names any more.
 	leafRetention = 10 * time.Minute
 )
 
 // SuspectHedgeDivisor divides the hedge delay of a call to a suspect leaf.
 const SuspectHedgeDivisor = 3
 
-// NoHedge is a hedge delay longer than any call.
+// NoHedge is a hedge delay longer than any call: no hedge is sent.
 const NoHedge = time.Hour
 
-// Balancer implements Replicas: two random choices by calls in flight and latency, an adaptive
-// limit for each leaf, slow start, hedge delays and budgets.
+// Balancer implements Replicas with the power of two random choices by calls in flight and latency, an
+// adaptive concurrency limit for each leaf, slow start, hedge delays, and budgets of hedges and retries.
 type Balancer struct {
 	clock  Clock
 	random Random
 
 	mu sync.Mutex
-	// The rest is guarded by mu.
+	// The fields below are guarded by mu. eligible, warm and delays are buffers that calls reuse.
 	leaves         map[string]*leafState
 	hedges         budget
 	retries        budget
@@ -50,24 +52,25 @@
 	prunedAt       time.Time
 }
 
-// Counts are the decisions of a balancer since its start.
+// Counts counts the decisions of a Balancer since its creation.
 type Counts struct {
 	Picks uint64 `json:"picks"`
-	// AtLimit counts picks refused because all candidates were at their limit.
+	// AtLimit counts the refused picks: all candidates were at their limit, or it was better to wait for
+	// one that was.
 	AtLimit uint64     `json:"picks_at_limit"`
 	Hedges  ExtraCount `json:"hedges"`
 	Retries ExtraCount `json:"retries"`
 }
 
-// ExtraCount are the decisions on hedges, or on retries.
+// ExtraCount counts the decisions about hedges, or about retries.
 type ExtraCount struct {
 	Granted uint64 `json:"granted"`
-	// OverBudget and Overloaded count refusals.
+	// OverBudget and Overloaded count refusals because the budget is spent or the service is overloaded.
 	OverBudget uint64 `json:"over_budget"`
 	Overloaded uint64 `json:"overloaded"`
 }
 
-// candidate is a candidate with its state.
+// candidate is the id and the state of a leaf that may be picked.
 type candidate struct {
 	id   string
 	leaf *leafState
@@ -75,7 +78,7 @@
 
 var _ Replicas = (*Balancer)(nil)
 
-// New returns a balancer that knows no leaf yet.
+// New returns a Balancer without leaves.
 func New(clock Clock, random Random) *Balancer {
 	return &Balancer{clock: clock, random: random, leaves: make(map[string]*leafState)}
 }
@@ -105,9 +108,10 @@
 	return sent, true
 }
 
-// choose returns the cheaper of two random candidates below their limits, unless a candidate at its
-// limit is so much cheaper that it is better to wait for it: else a straggler would get what its
-// group has no room for. A cold leaf is left out by chance, as long as there are others.
+// choose returns the cheaper of two random candidates below their limits. It returns false where a
+// candidate at its limit is so much cheaper that it is better to wait for it: otherwise a straggler would
+// receive the calls for which the rest of its group has no room. A cold leaf is left out at random, as
+// long as there are others. It requires mu.
 func (b *Balancer) choose(now time.Time, candidates []string) (candidate, bool) {
 	b.eligible, b.warm = b.eligible[:0], b.warm[:0]
 	minFullCost := math.Inf(1)
@@ -136,7 +140,7 @@
 	return best, best.leaf.cost(now, 0) <= maxCostRatio*minFullCost
 }
 
-// cheaper draws two different candidates and returns the one of less cost.
+// cheaper draws two different candidates and returns the one of lower cost. It requires mu.
 func (b *Balancer) cheaper(now time.Time, from []candidate) candidate {
 	i := b.draw(len(from))
 	j := b.draw(len(from) - 1)
@@ -154,7 +158,7 @@
 // draw returns a random index below n.
 func (b *Balancer) draw(n int) int { return min(n-1, int(b.random()*float64(n))) }
 
-// leaf returns the state of a leaf, made at the first use. Requires mu.
+// leaf returns the state of a leaf and creates it on first use. It requires mu.
 func (b *Balancer) leaf(id string) *leafState {
 	l := b.leaves[id]
 	if l == nil {
@@ -174,7 +178,7 @@
 	b.prune(l.capacitySetAt)
 }
 
-// prune drops leaves that no bundle has named for long. Requires mu.
+// prune drops the idle leaves that no bundle has named for leafRetention. It requires mu.
 func (b *Balancer) prune(now time.Time) {
 	if now.Sub(b.prunedAt) < leafRetention {
 		return
@@ -206,9 +210,9 @@
 	b.leaf(id).report(b.clock(), load)
 }
 
-// HedgeAfter implements Replicas. It is the lower median over the leaves of their own delays:
-// one straggler in a group doesn't delay the hedges that answer to it, and a group that is slow as
-// a whole isn't hedged in vain. It is NoHedge for a group that is overloaded.
+// HedgeAfter implements Replicas. It returns the lower median of the leaves' own hedge delays, so that one
+// straggler in a group doesn't delay the hedges of calls to it, and a group that is slow as a whole
+// isn't hedged without benefit. It returns NoHedge for an overloaded group.
 func (b *Balancer) HedgeAfter(candidates []string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -219,7 +223,7 @@
 	return b.groupDelay(now, candidates)
 }
 
-// overloaded tells whether all candidates are at their limit or shed lately. Requires mu.
+// overloaded reports whether all candidates are at their limit or shed recently. It requires mu.
 func (b *Balancer) overloaded(now time.Time, candidates []string) bool {
 	for _, id := range candidates {
 		if !b.leaf(id).overloaded(now) {
@@ -229,7 +233,7 @@
 	return len(candidates) > 0
 }
 
-// groupDelay returns the hedge delay of a group. Requires mu.
+// groupDelay returns the hedge delay of a group. It requires mu.
 func (b *Balancer) groupDelay(now time.Time, candidates []string) time.Duration {
 	b.delays = b.delays[:0]
 	for _, id := range candidates {
@@ -258,7 +262,8 @@
 	return b.allow(&b.retries, &b.counts.Retries, share)
 }
 
-// allow grants an extra call, never into a service that sheds. Requires mu.
+// allow decides about an extra call and counts the decision. It grants none while the service sheds. It
+// requires mu.
 func (b *Balancer) allow(from *budget, n *ExtraCount, share float64) bool {
 	if b.sheds.overloaded(b.clock()) {
 		n.Overloaded++
@@ -277,10 +282,11 @@
 	b    *Balancer
 	id   string
 	leaf *leafState
-	// incarnation that the call went to; the end of one to an earlier incarnation tells nothing.
+	// incarnation is the leaf's incarnation at the call. The result of a call to an earlier incarnation
+	// is ignored.
 	incarnation uint64
 	sentAt      time.Time
-	// lateAfter is the time from which the call counts as late.
+	// lateAfter is the elapsed time from which the call counts as late.
 	lateAfter time.Duration
 	suspect   bool
 	// done is guarded by b.mu.
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -11,7 +11,7 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// harness is a balancer with a clock that stands still and a seeded random source.
+// harness is a Balancer with a manual clock and a seeded random source.
 type harness struct {
 	*Balancer
 	now time.Time
@@ -28,7 +28,7 @@
 	return h
 }
 
-// run sends n calls, one after another, to the one leaf.
+// run sends n calls to the leaf, one after another, which end after the given time with the result.
 func (h *harness) run(leaf string, n int, elapsed time.Duration, r Result) {
 	for range n {
 		c, ok := h.Pick([]string{leaf})
@@ -40,8 +40,8 @@
 	}
 }
 
-// shares picks n times among the leaves, each call ending at once without a result, and returns
-// how often each was taken.
+// shares picks n times among the leaves, ends each call immediately with a neutral result, and returns
+// how often each leaf was picked.
 func (h *harness) shares(n int, leaves ...string) map[string]int {
 	m := make(map[string]int)
 	for range n {
@@ -59,17 +59,17 @@
 	for _, tt := range []struct {
 		name string
 		do   func(h *harness)
-		// minPicks and most picks of leaf a in 1000 among a and b.
+		// minPicks and maxPicks bound the picks of leaf a among 1000 of a and b.
 		minPicks, maxPicks int
 	}{
-		{"equals share", func(*harness) {}, 400, 600},
+		{"equal leaves share the calls", func(*harness) {}, 400, 600},
 		{"fewer calls in flight", func(h *harness) { _, _ = h.Pick([]string{"b"}) }, 1000, 1000},
-		{"less latency", func(h *harness) { h.run("a", 1, 3*ms, ResultOK); h.run("b", 1, 60*ms, ResultOK) }, 1000, 1000},
-		{"a quick error attracts nothing", func(h *harness) {
+		{"lower latency", func(h *harness) { h.run("a", 1, 3*ms, ResultOK); h.run("b", 1, 60*ms, ResultOK) }, 1000, 1000},
+		{"a fast error doesn't attract calls", func(h *harness) {
 			h.run("b", 1, 3*ms, ResultOK)
 			h.run("a", 1, ms, ResultError)
 		}, 0, 0},
-		{"a quick shed attracts nothing", func(h *harness) {
+		{"a fast shed doesn't attract calls", func(h *harness) {
 			h.run("b", 1, 3*ms, ResultOK)
 			h.run("a", 1, ms, ResultShed)
 		}, 0, 0},
@@ -77,20 +77,20 @@
 			h.run("b", 1, 3*ms, ResultOK)
 			h.run("a", 1, 51*ms, ResultCancelled)
 		}, 0, 0},
-		{"a call in flight for long counts as slow before it ends", func(h *harness) {
+		{"a long call in flight counts as slow before it ends", func(h *harness) {
 			h.run("a", 1, 3*ms, ResultOK)
 			h.run("b", 1, 30*ms, ResultOK)
 			_, _ = h.Pick([]string{"a"})
 			h.now = h.now.Add(16 * ms)
 		}, 0, 0},
-		{"dearer than one at its limit, but not by much", func(h *harness) {
+		{"slightly costlier than one at its limit", func(h *harness) {
 			h.run("a", 1, 5*ms, ResultOK)
 			h.run("b", 1, 9*ms, ResultOK)
 			for range 4 {
 				_, _ = h.Pick([]string{"a"})
 			}
 		}, 0, 0},
-		{"a report tips equals", func(h *harness) { h.Report("a", load(0)); h.Report("b", load(1)) }, 1000, 1000},
+		{"a report decides between equal leaves", func(h *harness) { h.Report("a", load(0)); h.Report("b", load(1)) }, 1000, 1000},
 		{"a report alone doesn't exclude", func(h *harness) {
 			h.run("b", 1, 4*ms, ResultOK)
 			h.now = start
@@ -98,7 +98,7 @@
 			h.Report("a", load(100))
 			h.Report("b", load(-100))
 		}, 1000, 1000},
-		{"a report that is old counts for nothing", func(h *harness) {
+		{"an old report is ignored", func(h *harness) {
 			h.Report("b", load(0))
 			h.now = h.now.Add(time.Minute)
 			h.Report("a", load(0.49))
@@ -148,10 +148,10 @@
 	is := is.New(t)
 	h := newHarness("a", "b", "c")
 	picks := 0
-	for range 20 * 100 { // 20 s, a call each 10 ms
+	for range 20 * 100 { // 20 s, one call every 10 ms
 		c, ok := h.Pick([]string{"a", "b", "c"})
 		is.True(ok)
-		if c.Leaf() == "a" { // hedged in vain for it, and given up after 10 ms
+		if c.Leaf() == "a" { // loses to its hedge and is given up after 10 ms
 			picks++
 			h.now = h.now.Add(10 * ms)
 			c.Done(ResultCancelled)
@@ -161,7 +161,7 @@
 		c.Done(ResultOK)
 		h.now = h.now.Add(7 * ms)
 	}
-	is.True(picks < 20) // under 1 of 100, and yet it is tried
+	is.True(picks < 20) // fewer than 1 in 100 calls, but still tried
 	is.True(picks > 3)
 }
 
@@ -176,7 +176,7 @@
 	is.True(!ok)
 	_, ok = h.Pick(nil)
 	is.True(!ok)
-	is.Equal(h.HedgeAfter([]string{"a", "b"}), NoHedge) // no hedge into such a group
+	is.Equal(h.HedgeAfter([]string{"a", "b"}), NoHedge) // no hedge to such a group
 }
 
 func TestColdLeafStartsSlowly(t *testing.T) {
@@ -185,10 +185,10 @@
 	h.SetIncarnation("a", 2)
 	is.True(h.shares(1000, "a", "b")["a"] < 150)
 	is.Equal(h.Snapshot().Leaves[0].Limit, 1)
-	is.Equal(h.shares(10, "a")["a"], 10) // the only one there is serves all the same
+	is.Equal(h.shares(10, "a")["a"], 10) // the only candidate still serves
 	h.now = h.now.Add(slowStartTime)
 	is.True(h.shares(1000, "a", "b")["a"] > 400)
-	h.SetIncarnation("a", 2) // no news
+	h.SetIncarnation("a", 2) // unchanged incarnation
 	is.True(h.shares(1000, "a", "b")["a"] > 400)
 }
 
@@ -199,7 +199,7 @@
 	h.SetIncarnation("a", 2)
 	h.now = h.now.Add(time.Second)
 	c.Done(ResultTimeout)
-	c.Done(ResultOK) // only the first end counts
+	c.Done(ResultOK) // only the first result counts
 	l := h.Snapshot().Leaves[0]
 	is.Equal(l.InFlight, 0)
 	is.Equal(l.Latency, "0s")
@@ -217,7 +217,7 @@
 	is.True(d > 10*ms && d < 14*ms) // one straggler doesn't delay the hedges
 	h.run("b", 1000, 80*ms, ResultOK)
 	d = h.HedgeAfter(group)
-	is.True(d > 100*ms) // a slow group isn't hedged in vain
+	is.True(d > 100*ms) // a slow group isn't hedged without benefit
 }
 
 func TestNoExtraCallsIntoOverload(t *testing.T) {
@@ -226,12 +226,12 @@
 	for range 200 {
 		h.run("b", 1, ms, ResultOK)
 	}
-	is.True(!h.AllowRetry(0.1)) // makes the bucket
+	is.True(!h.AllowRetry(0.1)) // creates the bucket
 	h.run("b", 20, ms, ResultOK)
 	h.run("a", 1, ms, ResultShed)
-	is.Equal(h.HedgeAfter([]string{"a"}), NoHedge) // a group that shed lately
+	is.Equal(h.HedgeAfter([]string{"a"}), NoHedge) // a group that shed recently
 	is.True(h.HedgeAfter([]string{"a", "b"}) != NoHedge)
-	is.True(h.AllowRetry(0.1)) // one shed in hundreds is no overload of the service
+	is.True(h.AllowRetry(0.1)) // one shed call in hundreds is no overload of the service
 	for range 200 {
 		h.run("b", 1, ms, ResultOK)
 		h.run("a", 1, ms, ResultShed)
@@ -241,7 +241,7 @@
 	is.True(h.Snapshot().Shedding)
 	h.now = h.now.Add(5 * time.Second)
 	h.run("b", 20, ms, ResultOK)
-	is.True(h.AllowRetry(0.1)) // over as soon as its cause is
+	is.True(h.AllowRetry(0.1)) // the overload ends with its cause
 }
 
 func TestInFlightMatchesOpenCalls(t *testing.T) {
@@ -310,8 +310,9 @@
 	is.Equal(c.Leaf(), "a")
 }
 
-// TestALeafThatStaysLateIsTriedLessOften lets each call to a leaf be given up late, and tries it again
-// as soon as it is picked over a leaf of 3 ms.
+// TestALeafThatStaysLateIsTriedLessOften guards against frequent calls to a leaf that stays slow. Each call
+// to it is given up late, and the next one is sent as soon as it is picked over a leaf with a latency of
+// 3 ms. The times between the calls must grow, up to a bound.
 func TestALeafThatStaysLateIsTriedLessOften(t *testing.T) {
 	is := is.New(t)
 	h := newHarness("a", "b")
--- a/internal/balance/baseline.go
+++ b/internal/balance/baseline.go
@@ -6,12 +6,13 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// Baseline implements Replicas as a yardstick: a random replica, no limit, no hedge, no retry.
+// Baseline implements Replicas as a reference for measurements: a random replica, without limits, hedges
+// and retries.
 type Baseline struct{ random Random }
 
 var _ Replicas = (*Baseline)(nil)
 
-// NewBaseline returns the baseline policy.
+// NewBaseline returns a Baseline.
 func NewBaseline(random Random) *Baseline { return &Baseline{random: random} }
 
 // Pick implements Replicas.
@@ -41,7 +42,7 @@
 // AllowRetry implements Replicas.
 func (b *Baseline) AllowRetry(float64) bool { return false }
 
-// baselineCall is a call that nothing is kept of.
+// baselineCall is the leaf of a call; its result is discarded.
 type baselineCall string
 
 // Leaf implements Call.
--- a/internal/balance/budget_test.go
+++ b/internal/balance/budget_test.go
@@ -21,7 +21,7 @@
 		return n
 	}
 	is := is.New(t)
-	is.Equal(grants(&budget{}, 0.05, 1000), 49) // the first ask makes the bucket
+	is.Equal(grants(&budget{}, 0.05, 1000), 49) // the first request creates the bucket
 	is.Equal(grants(&budget{}, 0.10, 1000), 99)
 	is.Equal(grants(&budget{}, 0, 1000), 0)
 }
@@ -29,7 +29,7 @@
 func TestBudgetKeepsABurstOfOne(t *testing.T) {
 	is := is.New(t)
 	var b budget
-	is.True(!b.take(0.05)) // nothing was called yet
+	is.True(!b.take(0.05)) // no call was made yet
 	for range 1000 {
 		b.recordCall()
 	}
@@ -49,8 +49,9 @@
 	is.True(b.take(0.05))
 }
 
-// TestNoWindowPassesTheBudget asks at random and counts in every window that begins at an event:
-// first every span of time, then the one-second windows by the clock.
+// TestNoWindowPassesTheBudget guards against bursts of extra calls beyond the budget. It requests extra
+// calls at random and counts calls and extra calls in every span of up to one second that begins at an
+// event.
 func TestNoWindowPassesTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.SampledFrom([]float64{0.01, 0.05, 0.1}).Draw(t, "share")
--- a/internal/balance/dump.go
+++ b/internal/balance/dump.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// Snapshot is what a dump shows of a balancer.
+// Snapshot is the state of a Balancer as the dump shows it.
 type Snapshot struct {
 	Counts Counts `json:"counts"`
-	// Shedding is true while hedges and retries are refused as the service sheds.
+	// Shedding is true while hedges and retries are refused because the service sheds.
 	Shedding bool           `json:"shedding"`
 	Leaves   []LeafSnapshot `json:"leaves"`
 }
 
-// LeafSnapshot is what a dump shows of a leaf.
+// LeafSnapshot is the state of a leaf as the dump shows it.
 type LeafSnapshot struct {
 	Leaf     string `json:"leaf"`
 	InFlight int    `json:"in_flight"`
 	Limit    int    `json:"limit"`
-	// Latency is the estimate by which replicas are chosen, HedgeDelay the leaf's own, empty while
-	// it isn't known.
+	// Latency is the estimate by which replicas are chosen. HedgeDelay is the leaf's own hedge delay,
+	// empty while it isn't known.
 	Latency    string `json:"latency"`
 	HedgeDelay string `json:"hedge_delay,omitempty"`
-	// Share is the part of its usual calls that a cold leaf takes, 1 for others.
+	// Share is the part of its normal share of calls that a cold leaf receives, 1 for others.
 	Share float64 `json:"share"`
-	// Reported is the utilisation by the leaf's own report, and Age the report's; empty without one.
+	// Reported is the utilisation in the leaf's own report, and Age the age of that report, empty
+	// without one.
 	Reported float64 `json:"reported_utilisation"`
 	Age      string  `json:"report_age,omitempty"`
-	// Shed is true where the leaf shed lately.
+	// Shed is true where the leaf shed a call recently.
 	Shed bool `json:"shed_lately"`
 }
 
-// Snapshot returns the state, leaves in order.
+// Snapshot returns the state, with the leaves ordered by id.
 func (b *Balancer) Snapshot() Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/estimates_test.go
+++ b/internal/balance/estimates_test.go
@@ -22,7 +22,7 @@
 	p.observe(start.Add(ms), 60*ms)
 	is.Equal(p.get(start.Add(ms)), float64(60*ms))
 	p.observe(start.Add(2*ms), 3*ms)
-	is.True(p.get(start.Add(2*ms)) > float64(59*ms)) // one quick answer proves little
+	is.True(p.get(start.Add(2*ms)) > float64(59*ms)) // one fast answer barely lowers the estimate
 	is.True(p.get(start.Add(4*time.Second)) < float64(2*ms))
 	is.True(p.stale(start.Add(4 * time.Second)))
 }
@@ -64,7 +64,7 @@
 		}
 	}
 	feed(60*ms, 10*time.Second)
-	feed(3*ms, 14*time.Second) // 95 of 100 by weight are new after four half-lives and a bit
+	feed(3*ms, 14*time.Second) // after four half-lives and a bit, 95 % of the weight is new
 	got, _ := hist.hedgeDelay(now)
 	is.True(got < 10*ms)
 }
@@ -90,14 +90,14 @@
 		}
 		q := hist.quantile(1)
 		if q > max(firstBucketBound*9/8, longest*9/8) || q < longest*7/8 {
-			t.Fatalf("the greatest of the samples is %v, quantile 1 is %v", longest, q)
+			t.Fatalf("the greatest sample is %v, quantile 1 is %v", longest, q)
 		}
 	})
 }
 
 func TestLimiterRules(t *testing.T) {
 	const slots, sharers = 8, 4
-	// window sends calls of one latency with the limit in use, until the window closes.
+	// window ends calls of one latency with the given number in flight, until the window closes.
 	window := func(l *limiter, now *time.Time, elapsed time.Duration, inFlight int) {
 		l.begin(*now, inFlight)
 		for range minWindowSamples {
@@ -111,12 +111,12 @@
 		want int
 	}{
 		{"starts at its share of the slots", func(*limiter, *time.Time) {}, 2},
-		{"grows by one a window while the latency is near its least", func(l *limiter, now *time.Time) {
+		{"grows by one per window while the latency is near its minimum", func(l *limiter, now *time.Time) {
 			window(l, now, 3*ms, 2)
 			window(l, now, 4*ms, 3)
 		}, 4},
 		{"doesn't grow where it isn't reached", func(l *limiter, now *time.Time) { window(l, now, 3*ms, 1) }, 2},
-		{"ends at twice the slots", func(l *limiter, now *time.Time) {
+		{"is bounded by twice the slots", func(l *limiter, now *time.Time) {
 			for range 100 {
 				window(l, now, 3*ms, int(l.limit))
 			}
@@ -127,7 +127,7 @@
 			}
 			window(l, now, 6*ms, 8)
 		}, 6},
-		{"is cut by a shed, once a window", func(l *limiter, now *time.Time) {
+		{"is cut by a shed, once per window", func(l *limiter, now *time.Time) {
 			for range 6 {
 				window(l, now, 3*ms, int(l.limit))
 			}
--- a/internal/balance/latency.go
+++ b/internal/balance/latency.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// latencyDecay is the time in which a peak falls to 1/e. A leaf that was 20 times slower than its
-// group is tried again after about three of them.
+// latencyDecay is the time in which a peak decays to 1/e. A leaf that was 20 times slower than its group
+// is tried again after about three times that.
 const latencyDecay = time.Second
 
-// peakEWMA estimates a leaf's latency: it follows a greater value at once and a lesser one slowly,
-// and falls while nothing is heard, so that a leaf that was avoided is tried again.
+// peakEWMA estimates a leaf's latency. It follows a higher value immediately and a lower one slowly, and
+// decays without samples, so that a leaf that was avoided is tried again.
 type peakEWMA struct {
 	value     float64
 	updatedAt time.Time
 }
 
-// observe takes in a latency.
+// observe adds a latency.
 func (p *peakEWMA) observe(now time.Time, d time.Duration) {
 	x, w := float64(d), p.decayFactor(now)
 	if x >= p.value*w {
@@ -27,14 +27,16 @@
 	p.updatedAt = now
 }
 
-// get returns the estimate in nanoseconds, 0 where nothing was observed.
+// get returns the estimate in nanoseconds, 0 without samples.
 func (p *peakEWMA) get(now time.Time) float64 { return p.value * p.decayFactor(now) }
 
-// stale tells whether the estimate is hardly more than its own decay.
+// stale reports whether there was no sample for latencyDecay, so that the estimate mostly shows its own
+// decay.
 func (p *peakEWMA) stale(now time.Time) bool {
 	return p.updatedAt.IsZero() || now.Sub(p.updatedAt) > latencyDecay
 }
 
+// decayFactor returns the factor by which the estimate has decayed since the last sample.
 func (p *peakEWMA) decayFactor(now time.Time) float64 {
 	if p.updatedAt.IsZero() || now.Before(p.updatedAt) {
 		return 1
@@ -43,47 +45,47 @@
 }
 
 const (
-	// The buckets of a tail grow by a sixth of an octave from tailFirst, to over 200 s.
+	// The buckets of a histogram grow by a sixth of an octave from firstBucketBound, to over 200 s.
 	bucketCount      = 128
 	bucketsPerOctave = 6
 	firstBucketBound = 100 * time.Microsecond
-	// sampleHalfLife is the time in which a sample loses half its weight, as long as there are others:
-	// tailKeep samples are always kept.
+	// sampleHalfLife is the time in which a sample loses half its weight. The total weight doesn't decay
+	// below minSampleWeight samples.
 	sampleHalfLife  = 3 * time.Second
 	minSampleWeight = 64
-	// minQuantileWeight samples make an estimate.
+	// minQuantileWeight is the weight of samples from which a quantile is estimated.
 	minQuantileWeight = 20
-	// refreshInterval is how old a computed quantile may be.
+	// refreshInterval is the maximum age of a computed hedge delay.
 	refreshInterval = 100 * time.Millisecond
 )
 
-// latencyHistogram estimates a high quantile of a leaf's latency from a histogram whose samples lose weight
-// with time.
+// latencyHistogram is a histogram of a leaf's latencies whose samples lose weight with time. It estimates
+// quantiles of the recent latencies.
 type latencyHistogram struct {
 	weights [bucketCount]float32
 	total   float64
-	// refreshedAt is when weights were last decayed and delay computed.
+	// refreshedAt is when the weights were last decayed and the delay was computed.
 	refreshedAt time.Time
 	delay       time.Duration
 }
 
-// add takes in a latency.
+// add adds a latency.
 func (h *latencyHistogram) add(now time.Time, d time.Duration) {
 	h.refresh(now)
 	h.weights[bucketOf(d)]++
 	h.total++
 }
 
-// hedgeDelay returns how long a call may run before a hedge pays, and false while there are too few
-// samples. It is the hedge quantile, but no less than three times the median: a hedge takes about the
-// median itself, so one sent earlier would mostly come back after the call that it should replace,
-// and take the budget from one that is needed.
+// hedgeDelay returns how long a call may run before a hedge is worthwhile, and false while there are too
+// few samples. It is the hedge quantile, but no less than three times the median: a hedge itself takes
+// about the median, so one sent earlier would mostly be answered after the call that it should replace,
+// and would take the budget from a hedge that is needed.
 func (h *latencyHistogram) hedgeDelay(now time.Time) (time.Duration, bool) {
 	h.refresh(now)
 	return h.delay, h.delay > 0
 }
 
-// refresh decays the weights and computes the delay, at most every tailRefresh.
+// refresh decays the weights and computes the delay, at most once every refreshInterval.
 func (h *latencyHistogram) refresh(now time.Time) {
 	if h.refreshedAt.IsZero() {
 		h.refreshedAt = now
@@ -107,7 +109,7 @@
 	}
 }
 
-// quantile returns the latency below which the share q of the samples lies, interpolated in its
+// quantile returns the latency below which the share q of the samples lies, interpolated within its
 // bucket.
 func (h *latencyHistogram) quantile(q float64) time.Duration {
 	remaining := h.total * q
@@ -122,6 +124,7 @@
 	return bucketFloor(bucketCount)
 }
 
+// bucketOf returns the index of the bucket of a latency.
 func bucketOf(d time.Duration) int {
 	if d <= firstBucketBound {
 		return 0
@@ -130,6 +133,7 @@
 	return min(i, bucketCount-1)
 }
 
+// bucketFloor returns the lower bound of bucket i.
 func bucketFloor(i int) time.Duration {
 	return time.Duration(float64(firstBucketBound) * math.Exp2(float64(i)/bucketsPerOctave))
 }
--- a/internal/balance/leaf.go
+++ b/internal/balance/leaf.go
@@ -9,21 +9,23 @@
 )
 
 const (
-	// maxReportTilt is how far a leaf's own report may move its cost, up or down.
+	// maxReportTilt is the share by which a leaf's own report may raise or lower its cost.
 	maxReportTilt = 0.2
-	// reportDecay is the time in which a report loses all but 1/e of its weight.
+	// reportDecay is the time in which the weight of a report falls to 1/e.
 	reportDecay = time.Second
-	// slowStartTime is how long a cold leaf takes to get its whole share; coldLeast is its share at first.
+	// slowStartTime is how long a cold leaf receives less than its full share of calls; minColdShare is
+	// the part of it that it receives at first.
 	slowStartTime = 3 * time.Second
 	minColdShare  = 0.1
-	// lateFactor raises the latency estimate of a leaf with each call in a row that was given up
-	// late: the time it took is only the least that the call would have taken. outlastMost bounds it:
-	// with it a leaf that stays slow is tried about every 5 s.
+	// lateFactor multiplies the latency to assume for a call that was given up late, once for each such
+	// call before it in a row, up to maxLateCalls: the elapsed time is only a lower bound of the call's
+	// latency. maxLateLatency bounds the result, so that a leaf that stays slow is tried about every
+	// 5 s.
 	lateFactor     = 4
 	maxLateCalls   = 8
 	maxLateLatency = 10 * time.Second
-	// errorFactor and shedFactor raise the latency estimate of a leaf that failed or shed, which may
-	// answer quickly and would attract calls otherwise; penaltyLeast and penaltyMost bound it.
+	// errorFactor and shedFactor multiply the latency estimate of a leaf that failed or shed, which may
+	// answer quickly and would otherwise attract calls. minPenalty and maxPenalty bound the result.
 	errorFactor = 5
 	shedFactor  = 2
 	minPenalty  = 10 * time.Millisecond
@@ -32,29 +34,30 @@
 	shedHoldTime = time.Second
 )
 
-// leafState is what is known of one leaf. The balancer's mutex guards it.
+// leafState is the state of one leaf. The balancer's mutex guards it.
 type leafState struct {
-	// sentTimes is when each call in flight was sent, the oldest first.
+	// sentTimes holds the times at which the calls in flight were sent, oldest first.
 	sentTimes   []time.Time
 	lateCalls   lateRun
 	incarnation uint64
 	latency     peakEWMA
 	histogram   latencyHistogram
 	limit       limiter
-	// coldSince is when a new incarnation was first seen, zero for one that was there from the start.
+	// coldSince is when a new incarnation was first seen, zero for the first one that was seen.
 	coldSince time.Time
-	// utilisation is the leaf's reported utilisation, 0 to 1, and when it came.
+	// utilisation is the leaf's last reported utilisation, 0 to 1, and reportedAt when it was received,
+	// zero without a report.
 	utilisation float64
 	reportedAt  time.Time
-	// lastShed is when the leaf last shed.
+	// lastShed is when the leaf last shed a call.
 	lastShed time.Time
 	// capacitySetAt is when the leaf's capacity was last set.
 	capacitySetAt time.Time
 }
 
-// cost is the expected time of a call sent now, in nanoseconds. The estimate of a leaf that was not
-// heard of for a while has fallen to nothing; it is not believed below least, or calls would pile
-// up on the leaf before the first of them ends.
+// cost returns the expected time of a call sent now, in nanoseconds. The latency estimate of a leaf
+// without recent results has decayed towards 0. Such a stale estimate counts as at least minLatency,
+// otherwise calls would accumulate at the leaf before the first of them ends.
 func (l *leafState) cost(now time.Time, minLatency float64) float64 {
 	latency := l.latency.get(now)
 	if l.latency.stale(now) {
@@ -66,8 +69,8 @@
 // inFlight returns the number of calls in flight.
 func (l *leafState) inFlight() int { return len(l.sentTimes) }
 
-// oldestAge is how long the oldest call in flight has run, in nanoseconds: the least that it takes, known
-// before it ends.
+// oldestAge returns how long the oldest call in flight has run, in nanoseconds: a lower bound of its
+// latency that is known before it ends.
 func (l *leafState) oldestAge(now time.Time) float64 {
 	if len(l.sentTimes) == 0 {
 		return 0
@@ -75,14 +78,15 @@
 	return float64(now.Sub(l.sentTimes[0]))
 }
 
-// removeCall takes out a call that was sent at the time.
+// removeCall removes a call in flight that was sent at the given time.
 func (l *leafState) removeCall(sentAt time.Time) {
 	if i := slices.Index(l.sentTimes, sentAt); i >= 0 {
 		l.sentTimes = slices.Delete(l.sentTimes, i, i+1)
 	}
 }
 
-// reportTilt is what the leaf's report adds to its cost, -hintMost to +hintMost, less with its age.
+// reportTilt returns the share by which the leaf's report changes its cost, from -maxReportTilt to
+// +maxReportTilt, decaying with the report's age.
 func (l *leafState) reportTilt(now time.Time) float64 {
 	if l.reportedAt.IsZero() {
 		return 0
@@ -91,7 +95,7 @@
 	return maxReportTilt * (2*l.utilisation - 1) * weight
 }
 
-// report takes in the leaf's own load report.
+// report records the leaf's own load report.
 func (l *leafState) report(now time.Time, load *pb.LeafLoad) {
 	u := load.GetUtilisation()
 	if math.IsNaN(u) {
@@ -100,7 +104,8 @@
 	l.utilisation, l.reportedAt = min(1, max(0, u)), now
 }
 
-// share is the part of its usual calls that the leaf takes: less than 1 while it is cold.
+// share returns the part of its normal share of calls that the leaf receives: less than 1 while it is
+// cold.
 func (l *leafState) share(now time.Time) float64 {
 	if l.coldSince.IsZero() {
 		return 1
@@ -108,7 +113,7 @@
 	return min(1, max(minColdShare, float64(now.Sub(l.coldSince))/float64(slowStartTime)))
 }
 
-// restart forgets what was learned of an earlier incarnation.
+// restart discards what was measured of an earlier incarnation.
 func (l *leafState) restart(now time.Time, incarnation uint64) {
 	if l.incarnation != 0 {
 		l.coldSince = now
@@ -119,7 +124,8 @@
 	l.incarnation = incarnation
 }
 
-// finish takes in the end of a call; late is true where it ran for longer than its group's hedge delay.
+// finish records the end of a call. late is true where it ran at least as long as its group's hedge
+// delay.
 func (l *leafState) finish(now time.Time, elapsed time.Duration, late bool, r Result) {
 	switch r {
 	case ResultOK:
@@ -127,7 +133,7 @@
 	case ResultCancelled:
 		l.observeGivenUp(now, elapsed, late)
 	case ResultTimeout:
-		if !l.limit.nearMinimum(elapsed) { // else the caller gave the call too little time
+		if !l.limit.nearMinimum(elapsed) { // otherwise the call was given too little time
 			l.limit.cutAfterRefusal(now)
 		}
 		l.observeGivenUp(now, elapsed, late)
@@ -141,6 +147,7 @@
 	}
 }
 
+// observeAnswer records the latency of an answered call.
 func (l *leafState) observeAnswer(now time.Time, elapsed time.Duration) {
 	l.lateCalls = 0
 	l.latency.observe(now, elapsed)
@@ -148,9 +155,9 @@
 	l.limit.sample(now, elapsed)
 }
 
-// observeGivenUp takes in a call that was given up: its latency is not known, but more than this. So it
-// counts only where it was late, or exceeds the estimates as it is. Without that, a straggler whose
-// calls always lose to their hedges would never be seen to be slow.
+// observeGivenUp records a call that was given up. Its latency is unknown but greater than the elapsed
+// time, so it counts only where it was late or where the elapsed time exceeds the estimate. Without that,
+// a straggler whose calls always lose to their hedges would never be recognised as slow.
 func (l *leafState) observeGivenUp(now time.Time, elapsed time.Duration, late bool) {
 	if late {
 		l.histogram.add(now, elapsed)
@@ -163,10 +170,10 @@
 	}
 }
 
-// lateRun is how many calls in a row were given up late.
+// lateRun is the number of consecutive calls that were given up late, up to maxLateCalls.
 type lateRun int
 
-// next returns the latency to assume for one more such call.
+// next returns the latency to assume for one more such call, and counts it.
 func (n *lateRun) next(elapsed time.Duration) time.Duration {
 	assumed := elapsed
 	for range *n {
@@ -176,13 +183,15 @@
 	return max(assumed, elapsed)
 }
 
+// penalise multiplies the latency estimate by the factor, up to maxPenalty, and raises it at least to the
+// elapsed time.
 func (l *leafState) penalise(now time.Time, elapsed time.Duration, factor float64) {
 	p := time.Duration(factor * l.latency.get(now))
 	p = min(p, maxPenalty)
 	l.latency.observe(now, max(p, elapsed))
 }
 
-// overloaded tells whether the leaf is at its limit or shed lately.
+// overloaded reports whether the leaf is at its limit or shed a call recently.
 func (l *leafState) overloaded(now time.Time) bool {
 	return !l.limit.allows(l.inFlight()) || l.shedLately(now)
 }
--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -3,35 +3,37 @@
 import "time"
 
 const (
-	// A window of the limiter lasts this long and holds as many samples at least.
+	// minWindowTime and minWindowSamples are the least time and number of samples of a window.
 	minWindowTime    = 100 * time.Millisecond
 	minWindowSamples = 8
-	// latencyTolerance is how far the mean latency may lie above the least one without a queue.
+	// latencyTolerance is the ratio of the mean latency to the least one above which calls count as
+	// queueing.
 	latencyTolerance = 1.5
-	// cutFactor is what is left of the limit after a shed or a timeout; limitLeast of it after a
-	// window of queueing.
+	// cutFactor multiplies the limit after a shed or a timeout. minGradient is the least factor after a
+	// window in which calls queued.
 	cutFactor   = 0.75
 	minGradient = 0.5
-	// maxLimitPerSlot bounds the limit in multiples of the leaf's slots: what a single gather needs to
-	// fill all slots with calls on their way.
+	// maxLimitPerSlot bounds the limit in multiples of the leaf's slots: a single gather needs that many
+	// calls to keep all slots busy while others are on the network.
 	maxLimitPerSlot = 2
-	// retainedWindows is how many windows the least mean latency is kept for.
+	// retainedWindows is the number of windows over which the least mean latency is taken.
 	retainedWindows = 64
 )
 
-// limiter bounds the calls in flight to one leaf from this gather. It adds one a window where the
-// limit was reached and the latency is near the least known (AIMD's increase), and cuts at a shed
-// or a timeout (AIMD's decrease) and, by the gradient of least to present latency, where calls
-// queue. The gradient is there because a leaf with a long queue sheds late: AIMD alone would fill
-// the queue first. A limit by gradient alone was ruled out, for a leaf that sheds answers quickly.
+// limiter bounds the calls in flight from this gather to one leaf. It adds one call per window in which
+// the limit was reached and the latency was near the least known one (the increase of AIMD). It cuts the
+// limit at a shed or a timeout (the decrease of AIMD) and, by the gradient of least to present latency,
+// where calls queue. The gradient is needed because a leaf with a long queue sheds late: AIMD alone would
+// first fill the queue. The gradient alone doesn't suffice, because a leaf that sheds answers quickly.
 type limiter struct {
 	limit float64
-	// slots of the leaf and start, its share of them.
+	// slots is the number of the leaf's slots, and initial this gather's share of them, with which the
+	// limit starts.
 	slots, initial float64
 	means          windowMeans
 
-	// The window under way: when it began, its samples, the most calls in flight, and whether the
-	// limit was cut in it.
+	// The fields of the current window: its start, its samples and their sum, the most calls in flight,
+	// and whether the limit was cut in it.
 	windowStart  time.Time
 	samples      int
 	latencySum   time.Duration
@@ -54,17 +56,18 @@
 	l.limit = min(l.limit, l.ceiling())
 }
 
+// ceiling returns the upper bound of the limit.
 func (l *limiter) ceiling() float64 { return max(1, maxLimitPerSlot*l.slots) }
 
-// restart begins anew with one call, as for a cold leaf.
+// restart resets the limit to one call, for a cold leaf.
 func (l *limiter) restart() {
 	*l = limiter{limit: 1, slots: l.slots, initial: l.initial}
 }
 
-// allows tells whether one more call may be sent.
+// allows reports whether one more call may be sent.
 func (l *limiter) allows(inFlight int) bool { return inFlight < int(max(1, l.limit)) }
 
-// begin notes the calls in flight with the new one.
+// begin records the number of calls in flight, including the one that is being sent.
 func (l *limiter) begin(now time.Time, inFlight int) {
 	if l.windowStart.IsZero() {
 		l.windowStart = now
@@ -72,7 +75,8 @@
 	l.peakInFlight = max(l.peakInFlight, inFlight)
 }
 
-// sample takes in the latency of a call that ended, and closes the window when it is due.
+// sample adds the latency of a call that ended. It closes the window and adjusts the limit once the
+// window is long enough.
 func (l *limiter) sample(now time.Time, d time.Duration) {
 	l.samples++
 	l.latencySum += d
@@ -91,7 +95,7 @@
 	l.windowStart, l.samples, l.latencySum, l.peakInFlight, l.wasCut = now, 0, 0, 0, false
 }
 
-// cutAfterRefusal takes in a shed or a timeout: one cut a window.
+// cutAfterRefusal cuts the limit after a shed or a timeout, at most once per window.
 func (l *limiter) cutAfterRefusal(now time.Time) {
 	if l.wasCut && now.Sub(l.windowStart) < minWindowTime {
 		return
@@ -100,18 +104,18 @@
 	l.windowStart, l.samples, l.latencySum, l.peakInFlight, l.wasCut = now, 0, 0, 0, true
 }
 
-// nearMinimum tells whether a latency says nothing of a queue.
+// nearMinimum reports whether a latency is so close to the least known one that it indicates no queue.
 func (l *limiter) nearMinimum(d time.Duration) bool {
 	return l.means.n == 0 || float64(d) <= latencyTolerance*l.means.minimum()
 }
 
-// windowMeans keeps the mean latencies of the last windows.
+// windowMeans is a ring of the mean latencies of the last windows, in nanoseconds.
 type windowMeans struct {
 	values [retainedWindows]float64
 	n      int
 }
 
-// add takes in a mean and returns the least.
+// add adds a mean and returns the least one retained.
 func (m *windowMeans) add(x float64) float64 {
 	m.values[m.n%retainedWindows] = x
 	m.n++
--- a/internal/balance/metrics.go
+++ b/internal/balance/metrics.go
@@ -15,9 +15,9 @@
 		"Calls in flight, summed over the leaves.", []string{"service"}, nil)
 )
 
-// Collector shows the balancers of a process as metrics, by service.
+// Collector exports the balancers of a process as metrics, labelled by service.
 type Collector struct {
-	// Balancers returns the replicas by service; those of the baseline policy show nothing.
+	// Balancers returns the Replicas by service. Those of the baseline policy export nothing.
 	Balancers func() map[string]Replicas
 }
 
--- a/internal/balance/settings.go
+++ b/internal/balance/settings.go
@@ -2,7 +2,7 @@
 
 import "github.com/burdockplank/burdockplank/internal/settings"
 
-// The policies.
+// The values of Settings.Policy.
 const (
 	PolicyAdaptive = "adaptive"
 	// PolicyBaseline is for measurements only.
@@ -15,16 +15,16 @@
 	Policy string `toml:"policy"`
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings { return Settings{Policy: PolicyAdaptive} }
 
-// Check refuses a policy that doesn't exist.
+// Check reports an unknown policy.
 func (s Settings) Check(c *settings.Checker) {
 	ok := s.Policy == PolicyAdaptive || s.Policy == PolicyBaseline
 	c.Require(ok, "balance.policy", "want %s or %s, got %q", PolicyAdaptive, PolicyBaseline, s.Policy)
 }
 
-// New returns the replicas of one service by the policy.
+// New returns the Replicas of one service that implement the policy.
 func (s Settings) New(clock Clock, random Random) Replicas {
 	if s.Policy == PolicyBaseline {
 		return NewBaseline(random)
--- a/internal/balance/sheds.go
+++ b/internal/balance/sheds.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// shedHalfLife is the time in which a call loses half its weight in the share of sheds.
+	// shedHalfLife is the time in which a call loses half its weight in the share of shed calls.
 	shedHalfLife = 500 * time.Millisecond
-	// overloadShedShare is the share of sheds from which a service counts as overloaded, shedEnough the
-	// weight of calls that it takes to tell.
+	// overloadShedShare is the share of shed calls above which a service counts as overloaded, and
+	// minShedWeight the least weight of calls for that.
 	overloadShedShare = 0.2
 	minShedWeight     = 10
 )
 
-// shedMeter is the share of a service's calls that were shed lately.
+// shedMeter measures the share of a service's recent calls that were shed.
 type shedMeter struct {
 	all, shed float64
 	updatedAt time.Time
 }
 
-// add takes in the end of a call; one that was given up here says nothing.
+// add counts the end of a call. A call that this gather cancelled, or a neutral one, gives no
+// information.
 func (m *shedMeter) add(now time.Time, r Result) {
 	if r == ResultCancelled || r == ResultNeutral {
 		return
@@ -32,12 +33,13 @@
 	}
 }
 
-// overloaded tells whether the service is overloaded.
+// overloaded reports whether the service is overloaded.
 func (m *shedMeter) overloaded(now time.Time) bool {
 	m.decay(now)
 	return m.all >= minShedWeight && m.shed > overloadShedShare*m.all
 }
 
+// decay reduces the weights by the time since the last update.
 func (m *shedMeter) decay(now time.Time) {
 	if !m.updatedAt.IsZero() && now.After(m.updatedAt) {
 		f := math.Exp2(-float64(now.Sub(m.updatedAt)) / float64(shedHalfLife))
