--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -3,10 +3,10 @@
 import "sync"
 
 const (
-	// budgetShare is how much of a re-route each request earns.
-	budgetShare = 0.1
-	// budgetMax bounds what is saved up, so that a quiet hour does not pay for a storm.
-	budgetMax = 10
+	// earnedPerRequest is how much of a re-route each request earns.
+	earnedPerRequest = 0.1
+	// maxSaved bounds what is saved up, so that a quiet hour does not pay for a storm.
+	maxSaved = 10
 )
 
 // budget bounds re-routes to a share of requests, with a few saved up.
@@ -16,13 +16,13 @@
 	saved float64
 }
 
-func newBudget() *budget { return &budget{saved: budgetMax} }
+func newBudget() *budget { return &budget{saved: maxSaved} }
 
 // earn adds what one request brings.
 func (b *budget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(budgetMax, b.saved+budgetShare)
+	b.saved = min(maxSaved, b.saved+earnedPerRequest)
 }
 
 // take spends one re-route if there is one.
--- a/internal/route/candidates.go
+++ b/internal/route/candidates.go
@@ -23,14 +23,14 @@
 
 // ready returns the gathers of the plan's members that say they take new work.
 func ready(p subset.Plan) []Gather {
-	var found []Gather
+	var gathers []Gather
 	for _, vm := range p.Members {
 		g, ok := gatherOf(vm)
 		if ok && vm.GetState() == pb.VmState_VM_STATE_LIVE && g.State == pb.ProcessState_PROCESS_STATE_READY {
-			found = append(found, g)
+			gathers = append(gathers, g)
 		}
 	}
-	return found
+	return gathers
 }
 
 // zones returns the zones of the VMs, each once, in the order of the VMs.
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -10,26 +10,26 @@
 
 // choose takes the cheaper of two gathers drawn at random, so that entries that see the same do not
 // all run to the same gather. The one already tried is left out.
-func choose(t *table, service string, among []Gather, tried string, now time.Time, random Random) (Gather, bool) {
-	open := make([]Gather, 0, len(among))
-	for _, g := range among {
+func choose(stats *statsTable, service string, gathers []Gather, tried string, now time.Time, random Random) (Gather, bool) {
+	untried := make([]Gather, 0, len(gathers))
+	for _, g := range gathers {
 		if g.VM != tried {
-			open = append(open, g)
+			untried = append(untried, g)
 		}
 	}
-	switch len(open) {
+	switch len(untried) {
 	case 0:
 		return Gather{}, false
 	case 1:
-		return open[0], true
+		return untried[0], true
 	}
-	i := random(len(open))
-	j := random(len(open) - 1)
+	i := random(len(untried))
+	j := random(len(untried) - 1)
 	if j >= i {
 		j++
 	}
-	a, b := open[i], open[j]
-	if t.of(service, b).cost(now) < t.of(service, a).cost(now) {
+	a, b := untried[i], untried[j]
+	if stats.of(service, b).cost(now) < stats.of(service, a).cost(now) {
 		return b, true
 	}
 	return a, true
--- a/internal/route/gather.go
+++ b/internal/route/gather.go
@@ -46,7 +46,7 @@
 func gatherOf(vm *pb.Vm) (Gather, bool) {
 	for _, p := range vm.GetProcesses() {
 		if p.GetRole() == pb.ProcessRole_PROCESS_ROLE_GATHER {
-			g := at(vm, p.GetIncarnation())
+			g := gatherAt(vm, p.GetIncarnation())
 			g.State = p.GetState()
 			return g, true
 		}
@@ -54,8 +54,8 @@
 	return Gather{}, false
 }
 
-// at returns a gather at the VM's address whose state is not known.
-func at(vm *pb.Vm, incarnation uint64) Gather {
+// gatherAt returns a gather at the VM's address whose state is not known.
+func gatherAt(vm *pb.Vm, incarnation uint64) Gather {
 	return Gather{
 		VM: vm.GetId(), Zone: vm.GetZone(), Incarnation: incarnation,
 		Address: net.JoinHostPort(vm.GetAddress(), strconv.Itoa(int(vm.GetGatherPort()))),
--- a/internal/route/order.go
+++ b/internal/route/order.go
@@ -29,16 +29,16 @@
 	if req.GetTicket() == "" {
 		return nil, outcome.NotRun(pb.Reason_REASON_NO_TICKET, orderStep, "an order needs a ticket of IssueTicket")
 	}
-	t, err := r.o.Parse(req.GetTicket())
+	t, err := r.options.Parse(req.GetTicket())
 	if err != nil {
 		return nil, outcome.NotRun(pb.Reason_REASON_TICKET_INVALID, orderStep, "the ticket can't be read")
 	}
-	g, here := minter(q.View.VMs, t)
-	if !here {
+	g, found := issuer(q.View.VMs, t)
+	if !found {
 		return r.resolve(ctx, q, t, req)
 	}
 	var res *pb.GatherOrderResponse
-	ce := r.at(ctx, q, g, func(ctx context.Context, c burdockv1connect.GatherServiceClient) (err error) {
+	ce := r.callGather(ctx, q, g, func(ctx context.Context, c burdockv1connect.GatherServiceClient) (err error) {
 		res, err = c.Order(ctx, &pb.GatherOrderRequest{Identity: q.Identity, Order: req})
 		return err
 	})
@@ -47,32 +47,32 @@
 		return nil, mismatch(pb.OutcomeKind_OUTCOME_KIND_UNKNOWN, g)
 	case ce == nil:
 		return res.GetOrder(), nil
-	case ce.typed != nil:
-		return nil, ce.typed
-	case ended(ctx, ce.err) != pb.Reason_REASON_UNSPECIFIED:
-		return nil, r.cutShort(ctx, g, ce)
+	case ce.outcome != nil:
+		return nil, ce.outcome
+	case contextReason(ctx, ce.err) != pb.Reason_REASON_UNSPECIFIED:
+		return nil, r.interrupted(ctx, g, ce)
 	}
 	return r.resolve(ctx, q, t, req)
 }
 
-// minter returns the gather of the VM that minted the ticket, unless the membership says that it has
+// issuer returns the gather of the VM that minted the ticket, unless the membership says that it has
 // ended. One that drains still answers for its tickets. Where the view shows another incarnation, or
 // none yet, the view may lag, and the gather itself knows.
-func minter(vms []*pb.Vm, t *ticket.Ticket) (Gather, bool) {
+func issuer(vms []*pb.Vm, t *ticket.Ticket) (Gather, bool) {
 	vm := findVM(vms, t.VM)
 	if vm == nil || vm.GetState() == pb.VmState_VM_STATE_GONE {
 		return Gather{}, false
 	}
 	g, ok := gatherOf(vm)
 	if !ok {
-		g = at(vm, t.Incarnation)
+		g = gatherAt(vm, t.Incarnation)
 	}
 	return g, g.State != pb.ProcessState_PROCESS_STATE_GONE
 }
 
 // resolve asks the ticket's peers.
 func (r *Router) resolve(ctx context.Context, q Request, t *ticket.Ticket, req *pb.OrderRequest) (*pb.OrderResponse, error) {
-	res, err := r.o.Resolver.ResolveOrder(ctx, t, q.Identity.GetCaller(), req, q.Identity.GetRequestId())
+	res, err := r.options.Resolver.ResolveOrder(ctx, t, q.Identity.GetCaller(), req, q.Identity.GetRequestId())
 	if err == nil {
 		r.metrics.resolved.WithLabelValues(q.Service.Name, "recorded").Inc()
 		return res, nil
@@ -82,16 +82,16 @@
 	return nil, e
 }
 
-// cutShort is the outcome of an order whose caller's time ended while the gather had it: it may have
+// interrupted is the outcome of an order whose caller's time ended while the gather had it: it may have
 // run, and the same ticket tells.
-func (r *Router) cutShort(ctx context.Context, g Gather, ce *callError) *outcome.Error {
+func (r *Router) interrupted(ctx context.Context, g Gather, ce *callError) *outcome.Error {
 	kind := pb.OutcomeKind_OUTCOME_KIND_UNKNOWN
 	if ce.notTaken {
 		kind = pb.OutcomeKind_OUTCOME_KIND_NOT_RUN
 	}
 	e := &outcome.Error{
-		Kind: kind, Reason: ended(ctx, ce.err), Step: orderStep, Peer: g.VM,
+		Kind: kind, Reason: contextReason(ctx, ce.err), Step: orderStep, Peer: g.VM,
 		Message: "the time ended before the gather answered; come back with the same ticket",
 	}
-	return e.After(r.comeBack()).Because(ce.err)
+	return e.After(r.retryAfter()).Because(ce.err)
 }
--- a/internal/route/plans.go
+++ b/internal/route/plans.go
@@ -7,9 +7,9 @@
 	"github.com/burdockplank/burdockplank/internal/feed"
 )
 
-// plans keeps the candidates of each service for the latest view: working them out hashes every VM
+// candidateCache keeps the candidates of each service for the latest view: working them out hashes every VM
 // of the fleet, which is too dear for each request.
-type plans struct {
+type candidateCache struct {
 	mu sync.Mutex
 	// view that byService was made from; both guarded by mu. The slices are shared and never changed.
 	view      *feed.View
@@ -17,7 +17,7 @@
 }
 
 // of returns the gathers that may take new work for the service by the view.
-func (p *plans) of(v *feed.View, svc *bundle.Service) []Gather {
+func (p *candidateCache) of(v *feed.View, svc *bundle.Service) []Gather {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view != v {
--- a/internal/route/plans_test.go
+++ b/internal/route/plans_test.go
@@ -9,9 +9,9 @@
 	"github.com/burdockplank/burdockplank/internal/feed"
 )
 
-func TestPlansFollowTheView(t *testing.T) {
+func TestCandidatesFollowTheView(t *testing.T) {
 	is := is.New(t)
-	var p plans
+	var p candidateCache
 	svc := testService()
 	first := &feed.View{Zone: "z1", VMs: []*pb.Vm{vm("a", "z1", live, isReady)}}
 	second := &feed.View{Zone: "z1", VMs: []*pb.Vm{vm("b", "z1", live, isReady)}}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -40,18 +40,18 @@
 
 // Router brings requests to gathers. It is safe for concurrent use.
 type Router struct {
-	o       Options
-	table   *table
-	budget  *budget
-	metrics *metrics
-	plans   plans
+	options    Options
+	table      *statsTable
+	budget     *budget
+	metrics    *metrics
+	candidates candidateCache
 	// pruned is the view by which the table was last pruned.
 	pruned atomic.Pointer[feed.View]
 }
 
 // New returns a router that has seen no gather yet.
 func New(reg prometheus.Registerer, o Options) *Router {
-	return &Router{o: o, table: newTable(), budget: newBudget(), metrics: newMetrics(reg)}
+	return &Router{options: o, table: newStatsTable(), budget: newBudget(), metrics: newMetrics(reg)}
 }
 
 // Search brings a search to one gather of the service's subset. Errors are *outcome.Error.
@@ -96,33 +96,33 @@
 // one, if the first surely did not take it or the connection ended before its answer came, and again
 // for each connection that goes silent: searches and the minting of tickets may run twice. The kind
 // is that of a call that was taken and brought nothing.
-func (r *Router) forward(ctx context.Context, q Request, lost pb.OutcomeKind, fn call) (Gather, error) {
+func (r *Router) forward(ctx context.Context, q Request, unansweredKind pb.OutcomeKind, fn call) (Gather, error) {
 	r.budget.earn()
 	r.prune(q.View)
-	among := r.plans.of(q.View, q.Service)
-	g, ok := choose(r.table, q.Service.Name, among, "", r.o.Clock(), r.o.Random)
+	gathers := r.candidates.of(q.View, q.Service)
+	g, ok := choose(r.table, q.Service.Name, gathers, "", r.options.Clock(), r.options.Random)
 	if !ok {
 		return g, r.unreachable(pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, "", "no gather is ready")
 	}
 	ce := r.send(ctx, q, g, fn)
-	taken, spent := false, false
-	for sends := 1; ce != nil && sends < maxSends && ce.mayFollow(ctx, spent); sends++ {
-		spent = spent || !ce.silent
-		next, ok := r.next(q, among, g, ce)
+	mayHaveRun, retried := false, false
+	for sends := 1; ce != nil && sends < maxSends && ce.retryable(ctx, retried); sends++ {
+		retried = retried || !ce.unresponsive
+		next, ok := r.nextGather(q, gathers, g, ce)
 		if !ok {
 			break
 		}
-		taken = taken || !ce.notTaken
+		mayHaveRun = mayHaveRun || !ce.notTaken
 		g = next
 		ce = r.send(ctx, q, g, fn)
 	}
 	if ce == nil {
 		return g, nil
 	}
-	end := r.final(ctx, g, ce, lost)
-	if taken && end.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
+	end := r.finalOutcome(ctx, g, ce, unansweredKind)
+	if mayHaveRun && end.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
 		// The last gather did not run it, but an earlier one may have.
-		end.Kind = lost
+		end.Kind = unansweredKind
 	}
 	return g, end
 }
@@ -139,14 +139,14 @@
 	r.table.prune(ids)
 }
 
-// next returns the gather for one more call after one that ended as given. Where the zone's subset has
+// nextGather returns the gather for one more call after one that ended as given. Where the zone's subset has
 // no other, other zones are asked, and where they have none, and only the connection broke, the same
 // gather over a new connection. A connection that went silent costs no budget: only the calls in
 // flight at that moment are lost so.
-func (r *Router) next(q Request, among []Gather, tried Gather, ce *callError) (Gather, bool) {
-	g, ok := choose(r.table, q.Service.Name, among, tried.VM, r.o.Clock(), r.o.Random)
+func (r *Router) nextGather(q Request, gathers []Gather, tried Gather, ce *callError) (Gather, bool) {
+	g, ok := choose(r.table, q.Service.Name, gathers, tried.VM, r.options.Clock(), r.options.Random)
 	if !ok {
-		g, ok = choose(r.table, q.Service.Name, elsewhere(q, tried), tried.VM, r.o.Clock(), r.o.Random)
+		g, ok = choose(r.table, q.Service.Name, inOtherZones(q, tried), tried.VM, r.options.Clock(), r.options.Random)
 	}
 	if !ok && ce.broken() && !ce.notTaken {
 		g, ok = tried, true
@@ -154,7 +154,7 @@
 	if !ok {
 		return g, false
 	}
-	if !ce.silent && !r.budget.take() {
+	if !ce.unresponsive && !r.budget.take() {
 		r.metrics.reroutes.WithLabelValues(q.Service.Name, "no_budget").Inc()
 		return g, false
 	}
@@ -162,8 +162,8 @@
 	return g, true
 }
 
-// elsewhere returns the ready gathers of the zones other than that of the one tried.
-func elsewhere(q Request, tried Gather) []Gather {
+// inOtherZones returns the ready gathers of the zones other than that of the one tried.
+func inOtherZones(q Request, tried Gather) []Gather {
 	var vms []*pb.Vm
 	for _, vm := range q.View.VMs {
 		if vm.GetZone() != tried.Zone {
@@ -176,48 +176,48 @@
 // send makes the call at one gather, unless the process was paused since the request was authenticated: its caller
 // may have lost its token meanwhile, and gathers may have left.
 func (r *Router) send(ctx context.Context, q Request, g Gather, fn call) *callError {
-	if !r.o.FreshSince(q.AsOf) {
-		return pausedHere()
+	if !r.options.FreshSince(q.AsOf) {
+		return pausedError()
 	}
-	return r.at(ctx, q, g, fn)
+	return r.callGather(ctx, q, g, fn)
 }
 
-// at makes the call at one gather and counts it.
-func (r *Router) at(ctx context.Context, q Request, g Gather, fn call) *callError {
+// callGather makes the call at one gather and counts it.
+func (r *Router) callGather(ctx context.Context, q Request, g Gather, fn call) *callError {
 	s := r.table.of(q.Service.Name, g)
 	s.begin()
-	start := r.o.Clock()
-	cctx, cancel := r.margin(ctx)
+	start := r.options.Clock()
+	cctx, cancel := r.withReplyMargin(ctx)
 	defer cancel()
-	ce := classify(fn(cctx, r.o.Dial(g.Address)))
-	now := r.o.Clock()
+	ce := classify(fn(cctx, r.options.Dial(g.Address)))
+	now := r.options.Clock()
 	s.end(now, now.Sub(start), resultOf(ctx, ce))
 	return ce
 }
 
-// marginShare bounds the reply margin to a share of the time left.
-const marginShare = 10
+// marginDivisor bounds the reply margin to a share of the time left.
+const marginDivisor = 10
 
-// margin shortens the deadline by the reply margin.
-func (r *Router) margin(ctx context.Context) (context.Context, context.CancelFunc) {
+// withReplyMargin shortens the deadline by the reply margin.
+func (r *Router) withReplyMargin(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	left := deadline.Sub(r.o.Clock())
-	return context.WithDeadline(ctx, deadline.Add(-min(r.o.ReplyMargin, left/marginShare)))
+	remaining := deadline.Sub(r.options.Clock())
+	return context.WithDeadline(ctx, deadline.Add(-min(r.options.ReplyMargin, remaining/marginDivisor)))
 }
 
-// final turns the end of a call into the outcome for the caller.
-func (r *Router) final(ctx context.Context, g Gather, ce *callError, lost pb.OutcomeKind) *outcome.Error {
-	if ce.typed != nil {
-		return ce.typed
+// finalOutcome turns the end of a call into the outcome for the caller.
+func (r *Router) finalOutcome(ctx context.Context, g Gather, ce *callError, unansweredKind pb.OutcomeKind) *outcome.Error {
+	if ce.outcome != nil {
+		return ce.outcome
 	}
-	kind := lost
+	kind := unansweredKind
 	if ce.notTaken {
 		kind = pb.OutcomeKind_OUTCOME_KIND_NOT_RUN
 	}
-	if reason := ended(ctx, ce.err); reason != pb.Reason_REASON_UNSPECIFIED {
+	if reason := contextReason(ctx, ce.err); reason != pb.Reason_REASON_UNSPECIFIED {
 		return (&outcome.Error{Kind: kind, Reason: reason, Step: Step}).At(g.VM).Because(ce.err)
 	}
 	return r.unreachable(kind, g.VM, "the gather can't be reached").Because(ce.err)
@@ -226,12 +226,12 @@
 // unreachable says that a gather can't be reached now, and when to come back.
 func (r *Router) unreachable(kind pb.OutcomeKind, vm, message string) *outcome.Error {
 	e := &outcome.Error{Kind: kind, Reason: pb.Reason_REASON_UNREACHABLE, Step: Step, Message: message}
-	return e.At(vm).After(r.comeBack())
+	return e.At(vm).After(r.retryAfter())
 }
 
-// comeBack returns a wait with jitter.
-func (r *Router) comeBack() time.Duration {
-	return unreachableRetryAfter + time.Duration(r.o.Random(int(unreachableSpread/time.Millisecond)))*time.Millisecond
+// retryAfter returns a wait with jitter.
+func (r *Router) retryAfter() time.Duration {
+	return unreachableRetryAfter + time.Duration(r.options.Random(int(unreachableJitter/time.Millisecond)))*time.Millisecond
 }
 
 // echoed tells whether an answer is the one to the request: the gather has to repeat who asked.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -74,7 +74,7 @@
 func TestChoiceOfTwo(t *testing.T) {
 	a, b := Gather{VM: "a", Incarnation: 7}, Gather{VM: "b", Incarnation: 7}
 	now := time.Unix(100, 0)
-	end := func(s *stats, took time.Duration, r result) { s.begin(); s.end(now, took, r) }
+	end := func(s *stats, elapsed time.Duration, r result) { s.begin(); s.end(now, elapsed, r) }
 	tests := map[string]struct {
 		before func(a *stats)
 		later  time.Duration
@@ -85,14 +85,14 @@
 		"fewer in flight":                    {func(a *stats) { a.begin() }, 0, "", "b"},
 		"quicker":                            {func(a *stats) { end(a, time.Second, resultOK) }, 0, "", "b"},
 		"not failing":                        {func(a *stats) { end(a, 0, resultFailed) }, 0, "", "b"},
-		"a given-up call says nothing":       {func(a *stats) { end(a, time.Second, resultGivenUp) }, 0, "", "a"},
+		"a given-up call says nothing":       {func(a *stats) { end(a, time.Second, resultNeutral) }, 0, "", "a"},
 		"forgets":                            {func(a *stats) { end(a, time.Second, resultOK) }, time.Hour, "", "a"},
 		"not the one tried":                  {func(*stats) {}, 0, "a", "b"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			tab := newTable()
+			tab := newStatsTable()
 			test.before(tab.of("s", a))
 			g, ok := choose(tab, "s", []Gather{a, b}, test.tried, now.Add(test.later), func(int) int { return 0 })
 			is.True(ok)
@@ -100,9 +100,9 @@
 		})
 	}
 	is := is.New(t)
-	tab := newTable()
+	tab := newStatsTable()
 	end(tab.of("s", a), time.Minute, resultFailed)
-	is.Equal(tab.of("s", Gather{VM: "a", Incarnation: 8}).cost(now), latencyFloor) // a new incarnation starts afresh
+	is.Equal(tab.of("s", Gather{VM: "a", Incarnation: 8}).cost(now), minLatency) // a new incarnation starts afresh
 	tab.prune(map[string]bool{})
 	is.Equal(len(tab.byKey), 0)
 }
@@ -110,13 +110,13 @@
 // script says how each gather, by address, ends a call; nil answers.
 type script map[string]func(id *pb.Identity) error
 
-// fleet is a Router over scripted gathers.
-type fleet struct {
+// fakeFleet is a Router over scripted gathers.
+type fakeFleet struct {
 	*Router
 	script script
-	// asked lists the gathers in the order of calls; left is the time the last one was given.
-	asked []string
-	left  time.Duration
+	// called lists the gathers in the order of calls; left is the time the last one was given.
+	called    []string
+	remaining time.Duration
 	// wrongEcho makes gathers answer for another caller.
 	wrongEcho bool
 	// paused is when the entry was paused last.
@@ -125,11 +125,11 @@
 	now      time.Time
 }
 
-func newFleet(s script) *fleet {
-	f := &fleet{script: s, now: time.Now()}
+func newFakeFleet(s script) *fakeFleet {
+	f := &fakeFleet{script: s, now: time.Now()}
 	f.Router = New(prometheus.NewRegistry(), Options{
 		Dial: func(address string) burdockv1connect.GatherServiceClient {
-			return client{f, strings.TrimSuffix(address, ":1")}
+			return fakeClient{f, strings.TrimSuffix(address, ":1")}
 		},
 		FreshSince: func(t time.Time) bool { return !f.paused.After(t) },
 		Parse: func(text string) (*ticket.Ticket, error) {
@@ -145,20 +145,20 @@
 }
 
 // ResolveOrder implements TicketResolver.
-func (f *fleet) ResolveOrder(context.Context, *ticket.Ticket, string, *pb.OrderRequest, string) (*pb.OrderResponse, error) {
+func (f *fakeFleet) ResolveOrder(context.Context, *ticket.Ticket, string, *pb.OrderRequest, string) (*pb.OrderResponse, error) {
 	f.resolved++
 	return nil, outcome.NotRun(pb.Reason_REASON_SEALED, "order.resolve", "sealed")
 }
 
-type client struct {
-	f  *fleet
+type fakeClient struct {
+	f  *fakeFleet
 	vm string
 }
 
-func (c client) end(ctx context.Context, id *pb.Identity) (*pb.Identity, error) {
-	c.f.asked = append(c.f.asked, c.vm)
+func (c fakeClient) end(ctx context.Context, id *pb.Identity) (*pb.Identity, error) {
+	c.f.called = append(c.f.called, c.vm)
 	if d, ok := ctx.Deadline(); ok {
-		c.f.left = d.Sub(c.f.now)
+		c.f.remaining = d.Sub(c.f.now)
 	}
 	if fn := c.f.script[c.vm]; fn != nil {
 		return nil, fn(id)
@@ -169,17 +169,17 @@
 	return id, nil
 }
 
-func (c client) Search(ctx context.Context, r *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error) {
+func (c fakeClient) Search(ctx context.Context, r *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error) {
 	id, err := c.end(ctx, r.Identity)
 	return &pb.GatherSearchResponse{Identity: id, Search: &pb.SearchResponse{}}, err
 }
 
-func (c client) IssueTicket(ctx context.Context, r *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
+func (c fakeClient) IssueTicket(ctx context.Context, r *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
 	id, err := c.end(ctx, r.Identity)
 	return &pb.GatherIssueTicketResponse{Identity: id, Ticket: &pb.IssueTicketResponse{}}, err
 }
 
-func (c client) Order(ctx context.Context, r *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
+func (c fakeClient) Order(ctx context.Context, r *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
 	id, err := c.end(ctx, r.Identity)
 	return &pb.GatherOrderResponse{Identity: id, Order: &pb.OrderResponse{Result: "done"}}, err
 }
@@ -196,11 +196,11 @@
 	return connect.NewError(connect.CodeUnavailable, &net.OpError{Op: "dial", Err: errors.New("connection refused")})
 }
 
-func lost(*pb.Identity) error {
+func connectionLost(*pb.Identity) error {
 	return connect.NewError(connect.CodeUnavailable, errors.New("connection reset"))
 }
 
-func typed(kind pb.OutcomeKind, reason pb.Reason) func(*pb.Identity) error {
+func gatherOutcome(kind pb.OutcomeKind, reason pb.Reason) func(*pb.Identity) error {
 	return func(id *pb.Identity) error {
 		return outcome.ToConnect(&outcome.Error{Kind: kind, Reason: reason, Step: "gather.x"}, id.RequestId)
 	}
@@ -212,47 +212,47 @@
 	unknown = pb.OutcomeKind_OUTCOME_KIND_UNKNOWN
 )
 
-func silent(*pb.Identity) error {
+func unresponsive(*pb.Identity) error {
 	return connect.NewError(connect.CodeUnavailable, errors.New("http2: client connection lost"))
 }
 
 // A search may run twice, so it is sent once more where the first gather didn't take it or its
 // connection ended before the answer; any answer or refusal of a gather is final. What the first may
 // have run is never told as not run.
-func TestSearchIsSentOnceMoreWhereNoAnswerCame(t *testing.T) {
-	draining := typed(notRun, pb.Reason_REASON_DRAINING)
+func TestSearchIsRetriedWithoutAnAnswer(t *testing.T) {
+	draining := gatherOutcome(notRun, pb.Reason_REASON_DRAINING)
 	tests := map[string]struct {
 		script script
 		budget float64
-		asked  string
+		called string
 		kind   pb.OutcomeKind
 		reason pb.Reason
 	}{
 		"answered":               {script{}, 1, "a", 0, 0},
 		"connection refused":     {script{"a": refusedToConnect}, 1, "a b", 0, 0},
 		"draining":               {script{"a": draining}, 1, "a b", 0, 0},
-		"paused":                 {script{"a": typed(notRun, pb.Reason_REASON_PAUSED)}, 1, "a b", 0, 0},
-		"bundle not there yet":   {script{"a": typed(notRun, pb.Reason_REASON_NO_BUNDLE)}, 1, "a b", 0, 0},
-		"other refusal":          {script{"a": typed(notRun, pb.Reason_REASON_OVERLOAD)}, 1, "a", notRun, pb.Reason_REASON_OVERLOAD},
-		"failed":                 {script{"a": typed(failed, pb.Reason_REASON_DRAINING)}, 1, "a", failed, pb.Reason_REASON_DRAINING},
-		"lost when taken":        {script{"a": lost}, 1, "a b", 0, 0},
-		"lost, no budget":        {script{"a": lost}, 0, "a", failed, pb.Reason_REASON_UNREACHABLE},
-		"lost twice":             {script{"a": lost, "b": lost}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"lost, then refused":     {script{"a": lost, "b": typed(notRun, pb.Reason_REASON_OVERLOAD)}, 9, "a b", failed, pb.Reason_REASON_OVERLOAD},
-		"lost, then no gather":   {script{"a": lost, "b": refusedToConnect}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"silent needs no budget": {script{"a": silent}, 0, "a b", 0, 0},
-		"silent again and again": {script{"a": silent, "b": silent, "c": silent}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"silent, then lost":      {script{"a": silent, "b": lost}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"paused":                 {script{"a": gatherOutcome(notRun, pb.Reason_REASON_PAUSED)}, 1, "a b", 0, 0},
+		"bundle not there yet":   {script{"a": gatherOutcome(notRun, pb.Reason_REASON_NO_BUNDLE)}, 1, "a b", 0, 0},
+		"other refusal":          {script{"a": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 1, "a", notRun, pb.Reason_REASON_OVERLOAD},
+		"failed":                 {script{"a": gatherOutcome(failed, pb.Reason_REASON_DRAINING)}, 1, "a", failed, pb.Reason_REASON_DRAINING},
+		"lost when taken":        {script{"a": connectionLost}, 1, "a b", 0, 0},
+		"lost, no budget":        {script{"a": connectionLost}, 0, "a", failed, pb.Reason_REASON_UNREACHABLE},
+		"lost twice":             {script{"a": connectionLost, "b": connectionLost}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"lost, then refused":     {script{"a": connectionLost, "b": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 9, "a b", failed, pb.Reason_REASON_OVERLOAD},
+		"lost, then no gather":   {script{"a": connectionLost, "b": refusedToConnect}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"silent needs no budget": {script{"a": unresponsive}, 0, "a b", 0, 0},
+		"silent again and again": {script{"a": unresponsive, "b": unresponsive, "c": unresponsive}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"silent, then lost":      {script{"a": unresponsive, "b": connectionLost}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
 		"only once, other zones": {script{"a": refusedToConnect, "b": refusedToConnect}, 9, "a b", notRun, pb.Reason_REASON_UNREACHABLE},
 		"no budget":              {script{"a": draining}, 0, "a", notRun, pb.Reason_REASON_DRAINING},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFleet(test.script)
+			f := newFakeFleet(test.script)
 			f.budget.saved = test.budget
 			_, err := f.Search(t.Context(), request(vm("a", "z1", live, isReady), vm("b", "z2", live, isReady), vm("c", "z2", live, isReady)), &pb.SearchRequest{})
-			is.Equal(strings.Join(f.asked, " "), test.asked)
+			is.Equal(strings.Join(f.called, " "), test.called)
 			if test.kind == 0 {
 				is.NoErr(err)
 				return
@@ -263,15 +263,15 @@
 		})
 	}
 	is := is.New(t)
-	f := newFleet(nil)
+	f := newFakeFleet(nil)
 	f.script = script{"a": func(id *pb.Identity) error {
 		delete(f.script, "a")
-		return silent(id)
+		return unresponsive(id)
 	}}
 	_, err := f.Search(t.Context(), request(vm("a", "z1", live, isReady)), &pb.SearchRequest{})
 	is.NoErr(err)
-	is.Equal(strings.Join(f.asked, " "), "a a") // the only gather, over a new connection
-	f = newFleet(nil)
+	is.Equal(strings.Join(f.called, " "), "a a") // the only gather, over a new connection
+	f = newFakeFleet(nil)
 	_, err = f.Search(t.Context(), request(), &pb.SearchRequest{})
 	e, _ := outcome.As(err)
 	is.Equal(e.Kind, notRun) // no gather at all
@@ -287,12 +287,12 @@
 	}{
 		"before it is sent":             {nil, notRun},
 		"before another gather":         {refusedToConnect, notRun},
-		"after one that may have it":    {lost, failed},
-		"after one that was paused too": {typed(notRun, pb.Reason_REASON_PAUSED), notRun},
+		"after one that may have it":    {connectionLost, failed},
+		"after one that was paused too": {gatherOutcome(notRun, pb.Reason_REASON_PAUSED), notRun},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFleet(nil)
+			f := newFakeFleet(nil)
 			q := request(vm("a", "z1", live, isReady), vm("b", "z2", live, isReady))
 			q.AsOf = time.Now()
 			want := ""
@@ -310,14 +310,14 @@
 			is.True(ok)
 			is.Equal(end.Kind, tt.kind)
 			is.Equal(end.Reason, pb.Reason_REASON_PAUSED)
-			is.Equal(strings.Join(f.asked, " "), want)
+			is.Equal(strings.Join(f.called, " "), want)
 		})
 	}
 }
 
 func TestAnswerOfAnotherRequestIsDropped(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(nil)
+	f := newFakeFleet(nil)
 	f.wrongEcho = true
 	q := request(vm("a", "z1", live, isReady))
 	_, err := f.Search(t.Context(), q, &pb.SearchRequest{})
@@ -332,17 +332,17 @@
 
 func TestDeadlineLeavesRoomForTheAnswer(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(nil)
-	for left, given := range map[time.Duration]time.Duration{time.Second: 990 * time.Millisecond, 50 * time.Millisecond: 45 * time.Millisecond} {
-		ctx, cancel := context.WithDeadline(t.Context(), f.now.Add(left))
+	f := newFakeFleet(nil)
+	for remaining, given := range map[time.Duration]time.Duration{time.Second: 990 * time.Millisecond, 50 * time.Millisecond: 45 * time.Millisecond} {
+		ctx, cancel := context.WithDeadline(t.Context(), f.now.Add(remaining))
 		_, err := f.Search(ctx, request(vm("a", "z1", live, isReady)), &pb.SearchRequest{})
 		cancel()
 		is.NoErr(err)
-		is.Equal(f.left, given)
+		is.Equal(f.remaining, given)
 	}
 }
 
-func TestOrderGoesToItsTicketsGatherOnly(t *testing.T) {
+func TestOrderGoesOnlyToTheGatherOfItsTicket(t *testing.T) {
 	gone, draining := pb.ProcessState_PROCESS_STATE_GONE, pb.ProcessState_PROCESS_STATE_DRAINING
 	restarted := vm("a", "z1", live, isReady)
 	restarted.Processes[0].Incarnation = 8
@@ -350,7 +350,7 @@
 		ticket   string
 		vms      []*pb.Vm
 		end      func(*pb.Identity) error
-		asked    string
+		called   string
 		resolved int
 		kind     pb.OutcomeKind
 		reason   pb.Reason
@@ -366,16 +366,16 @@
 		"VM gone":                  {"a", []*pb.Vm{vm("a", "z1", pb.VmState_VM_STATE_GONE, isReady)}, nil, "", 1, notRun, pb.Reason_REASON_SEALED},
 		"VM not listed":            {"a", []*pb.Vm{vm("b", "z1", live, isReady)}, nil, "", 1, notRun, pb.Reason_REASON_SEALED},
 		"can't connect":            {"a", []*pb.Vm{vm("a", "z1", live, isReady), vm("b", "z1", live, isReady)}, refusedToConnect, "a", 1, notRun, pb.Reason_REASON_SEALED},
-		"connection lost":          {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, lost, "a", 1, notRun, pb.Reason_REASON_SEALED},
-		"the gather's word counts": {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, typed(unknown, pb.Reason_REASON_UPSTREAM_ERROR), "a", 0, unknown, pb.Reason_REASON_UPSTREAM_ERROR},
-		"refused for draining":     {"a", []*pb.Vm{vm("a", "z1", live, isReady), vm("b", "z1", live, isReady)}, typed(notRun, pb.Reason_REASON_DRAINING), "a", 0, notRun, pb.Reason_REASON_DRAINING},
+		"connection lost":          {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, connectionLost, "a", 1, notRun, pb.Reason_REASON_SEALED},
+		"the gather's word counts": {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, gatherOutcome(unknown, pb.Reason_REASON_UPSTREAM_ERROR), "a", 0, unknown, pb.Reason_REASON_UPSTREAM_ERROR},
+		"refused for draining":     {"a", []*pb.Vm{vm("a", "z1", live, isReady), vm("b", "z1", live, isReady)}, gatherOutcome(notRun, pb.Reason_REASON_DRAINING), "a", 0, notRun, pb.Reason_REASON_DRAINING},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFleet(script{"a": test.end})
+			f := newFakeFleet(script{"a": test.end})
 			res, err := f.Order(t.Context(), request(test.vms...), &pb.OrderRequest{Ticket: test.ticket})
-			is.Equal(strings.Join(f.asked, " "), test.asked)
+			is.Equal(strings.Join(f.called, " "), test.called)
 			is.Equal(f.resolved, test.resolved)
 			if test.kind == 0 {
 				is.NoErr(err)
@@ -389,10 +389,10 @@
 	}
 }
 
-func TestOrderCutShortIsUnknownWithTheSameTicketToComeBack(t *testing.T) {
+func TestInterruptedOrderIsUnknownAndCanBeRetriedWithItsTicket(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	f := newFleet(script{"a": func(*pb.Identity) error {
+	f := newFakeFleet(script{"a": func(*pb.Identity) error {
 		cancel()
 		return connect.NewError(connect.CodeCanceled, context.Canceled)
 	}})
@@ -415,8 +415,8 @@
 	is.True(classify(err).notTaken)
 }
 
-// TestRealSilenceIsTold pins what the HTTP library says of a connection that gives no sign of life.
-func TestRealSilenceIsTold(t *testing.T) {
+// TestRealUnresponsiveConnectionIsRecognised pins what the HTTP library says of a connection that gives no sign of life.
+func TestRealUnresponsiveConnectionIsRecognised(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -431,6 +431,6 @@
 	}()
 	_, err = NewDial(rpc.NewClient(""))(l.Addr().String()).Search(t.Context(), &pb.GatherSearchRequest{})
 	is.True(err != nil)
-	is.True(classify(err).silent)
+	is.True(classify(err).unresponsive)
 	is.True(classify(err).broken())
 }
--- a/internal/route/stats.go
+++ b/internal/route/stats.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// statsHalfLife is how fast what was seen of a gather is forgotten, so that one that was slow or
+	// decayHalfLife is how fast what was seen of a gather is forgotten, so that one that was slow or
 	// failing is tried again.
-	statsHalfLife = 2 * time.Second
-	// sampleShare is the weight of a new sample below the peak.
-	sampleShare = 0.2
+	decayHalfLife = 2 * time.Second
+	// sampleWeight is the weight of a new sample below the peak.
+	sampleWeight = 0.2
 	// failurePenalty multiplies the cost of a gather all of whose recent calls failed, plus one.
 	failurePenalty = 20
-	// latencyFloor keeps the cost of an unused gather above 0, so that calls in flight count.
-	latencyFloor = float64(time.Millisecond)
+	// minLatency keeps the cost of an unused gather above 0, so that calls in flight count.
+	minLatency = float64(time.Millisecond)
 )
 
 // stats is what this entry saw of one gather for one service.
@@ -34,7 +34,7 @@
 // decay forgets by the time that went by; mu is held.
 func (s *stats) decay(now time.Time) {
 	if !s.updated.IsZero() && now.After(s.updated) {
-		f := math.Exp2(-float64(now.Sub(s.updated)) / float64(statsHalfLife))
+		f := math.Exp2(-float64(now.Sub(s.updated)) / float64(decayHalfLife))
 		s.latency *= f
 		s.failures *= f
 	}
@@ -49,24 +49,24 @@
 }
 
 // end counts a call out. A call that was given up says nothing about the gather's failures.
-func (s *stats) end(now time.Time, took time.Duration, r result) {
+func (s *stats) end(now time.Time, elapsed time.Duration, r result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 	s.decay(now)
-	if r == resultGivenUp {
+	if r == resultNeutral {
 		return
 	}
 	failed := 0.0
 	if r == resultFailed {
 		failed = 1
 	}
-	s.failures += sampleShare * (failed - s.failures)
+	s.failures += sampleWeight * (failed - s.failures)
 	// A slow call counts at once, a fast one slowly; a failure's speed says nothing good.
-	if l := float64(took); l > s.latency {
+	if l := float64(elapsed); l > s.latency {
 		s.latency = l
 	} else if r == resultOK {
-		s.latency += sampleShare * (l - s.latency)
+		s.latency += sampleWeight * (l - s.latency)
 	}
 }
 
@@ -75,7 +75,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	return float64(s.inFlight+1) * (latencyFloor + s.latency) * (1 + failurePenalty*s.failures)
+	return float64(s.inFlight+1) * (minLatency + s.latency) * (1 + failurePenalty*s.failures)
 }
 
 // result says how a call to a gather ended, as far as the choice of gathers is concerned.
@@ -85,27 +85,27 @@
 	resultOK result = iota
 	// resultFailed is a call that the gather did not take or did not answer.
 	resultFailed
-	// resultGivenUp is a call whose caller went away, or whose connection went silent.
-	resultGivenUp
+	// resultNeutral is a call whose caller went away, or whose connection went silent.
+	resultNeutral
 )
 
-// key names a gather for a service.
-type key struct{ service, vm string }
+// statsKey names a gather for a service.
+type statsKey struct{ service, vm string }
 
-// table holds the stats of all gathers.
-type table struct {
+// statsTable holds the stats of all gathers.
+type statsTable struct {
 	mu sync.Mutex
 	// byKey is guarded by mu.
-	byKey map[key]*stats
+	byKey map[statsKey]*stats
 }
 
-func newTable() *table { return &table{byKey: make(map[key]*stats)} }
+func newStatsTable() *statsTable { return &statsTable{byKey: make(map[statsKey]*stats)} }
 
 // of returns the stats of a gather; a new incarnation starts afresh.
-func (t *table) of(service string, g Gather) *stats {
+func (t *statsTable) of(service string, g Gather) *stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := key{service: service, vm: g.VM}
+	k := statsKey{service: service, vm: g.VM}
 	s := t.byKey[k]
 	if s == nil || s.incarnation != g.Incarnation {
 		s = &stats{incarnation: g.Incarnation}
@@ -115,7 +115,7 @@
 }
 
 // prune drops the stats of VMs that are not in the set.
-func (t *table) prune(vms map[string]bool) {
+func (t *statsTable) prune(vms map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for k := range t.byKey {
