--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -3,29 +3,32 @@
 import "sync"
 
 const (
-	// earnedPerRequest is how much of a re-route each request earns.
+	// earnedPerRequest is the part of a re-route that each request adds to the budget.
 	earnedPerRequest = 0.1
-	// maxSaved bounds what is saved up, so that a quiet hour does not pay for a storm.
+	// maxSaved bounds the saved re-routes, so that a long time without re-routes doesn't allow for a
+	// burst of them.
 	maxSaved = 10
 )
 
-// budget bounds re-routes to a share of requests, with a few saved up.
+// budget bounds the re-routes to a share of the requests, plus a few saved ones. It is safe for concurrent
+// use.
 type budget struct {
 	mu sync.Mutex
-	// saved is in re-routes; guarded by mu.
+	// saved is the number of re-routes saved, guarded by mu.
 	saved float64
 }
 
+// newBudget returns a full budget.
 func newBudget() *budget { return &budget{saved: maxSaved} }
 
-// earn adds what one request brings.
+// earn adds the part of a re-route that one request earns.
 func (b *budget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved = min(maxSaved, b.saved+earnedPerRequest)
 }
 
-// take spends one re-route if there is one.
+// take takes one re-route from the budget, and reports whether there was one.
 func (b *budget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/route/candidates.go
+++ b/internal/route/candidates.go
@@ -6,8 +6,8 @@
 	"github.com/burdockplank/burdockplank/internal/subset"
 )
 
-// candidates returns the gathers that may take new work for the service: those of the own zone's
-// subset that are ready, or, where the own zone has none, those of the other zones' subsets.
+// candidates returns the gathers that accept new work for the service: the ready ones of the subset of the
+// given zone, this VM's own, or those of the other zones' subsets where it has none.
 func candidates(svc *bundle.Service, zone string, vms []*pb.Vm) []Gather {
 	if own := ready(subset.For(svc, zone, vms)); len(own) > 0 {
 		return own
@@ -21,7 +21,7 @@
 	return others
 }
 
-// ready returns the gathers of the plan's members that say they take new work.
+// ready returns the gathers of the plan's live members that report themselves ready for new work.
 func ready(p subset.Plan) []Gather {
 	var gathers []Gather
 	for _, vm := range p.Members {
@@ -33,7 +33,7 @@
 	return gathers
 }
 
-// zones returns the zones of the VMs, each once, in the order of the VMs.
+// zones returns the distinct zones of the VMs, in the order of the VMs.
 func zones(vms []*pb.Vm) []string {
 	var names []string
 	seen := make(map[string]bool)
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Clock gives the time; time.Now in the running process.
+// Clock returns the time; it is time.Now in the running process.
 type Clock func() time.Time
 
-// Random gives a number in [0,n); rand.IntN in the running process.
+// Random returns a number in [0,n); it is rand.IntN in the running process.
 type Random func(n int) int
 
-// choose takes the cheaper of two gathers drawn at random, so that entries that see the same do not
-// all run to the same gather. The one already tried is left out.
+// choose returns the cheaper of two gathers drawn at random, so that entries with the same information
+// don't all choose the same gather. It leaves out the gather of the VM that was already tried.
 func choose(stats *statsTable, service string, gathers []Gather, tried string, now time.Time, random Random) (Gather, bool) {
 	untried := make([]Gather, 0, len(gathers))
 	for _, g := range gathers {
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -14,47 +14,49 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// Step names the duty in outcomes.
+// Step names this package's step in outcomes.
 const Step = "entry.route"
 
-// The waits told to callers when a gather can't be reached; jitter is added.
+// The retry-after time of a request whose gather can't be reached, and the range of the jitter added to it.
 const (
 	unreachableRetryAfter = 500 * time.Millisecond
 	unreachableJitter     = time.Second
 )
 
-// errUnresponsiveText is the error of net/http for a connection whose ping stayed without an answer; it
-// isn't exported. Were the text to change, such a connection would count as broken, and sending again
+// errUnresponsiveText is the text of the error of net/http for a connection whose ping was not answered;
+// the error isn't exported. If the text changed, such a connection would count as broken, and a retry
 // would need the budget.
 const errUnresponsiveText = "http2: client connection lost"
 
-// callError is how a call to a gather ended.
+// callError describes how a call to a gather failed.
 type callError struct {
-	// notTaken is true where the gather surely did not take the request.
+	// notTaken is true where it is certain that the gather did not accept the request.
 	notTaken bool
-	// unresponsive is true where the connection went silent, which says nothing about the gather.
+	// unresponsive is true where the connection became unresponsive, which gives no information about
+	// the gather.
 	unresponsive bool
-	// pausedHere is true where the call was not made, for this process was paused.
+	// pausedHere is true where the call was not made because this process was paused.
 	pausedHere bool
-	// outcome is the gather's own outcome, nil where it gave none.
+	// outcome is the outcome that the gather returned, or pausedError made, nil where there is none.
 	outcome *outcome.Error
 	err     error
 }
 
-// retryElsewhere are the reasons of a gather for which another one may well take the request: what the
-// first lacks it lacks alone.
+// retryElsewhere holds the reasons of a refusal that concern only the gather that refused, so that another
+// one may accept the request.
 var retryElsewhere = []pb.Reason{pb.Reason_REASON_DRAINING, pb.Reason_REASON_PAUSED, pb.Reason_REASON_NO_BUNDLE}
 
-// errPaused says that the process was paused while the request was here.
-var errPaused = errors.New("paused since the request came")
+// errPaused is the error of a call that isn't made because the process was paused after the request
+// arrived.
+var errPaused = errors.New("process paused after the request arrived")
 
-// pausedError is the end of a call that is not made.
+// pausedError returns the error of a call that isn't made because this process was paused.
 func pausedError() *callError {
 	end := outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "this entry was paused since the request came").After(unreachableRetryAfter)
 	return &callError{notTaken: true, pausedHere: true, outcome: end, err: errPaused}
 }
 
-// classify reads the error of a call to a gather.
+// classify returns the callError for the error of a call to a gather, nil for nil.
 func classify(err error) *callError {
 	if err == nil {
 		return nil
@@ -71,23 +73,25 @@
 	return ce
 }
 
-// retryable tells whether one more call may follow; spent is true after the one that is allowed for
-// any other cause than silence.
+// retryable reports whether the request may be sent once more. A request is retried any number of times,
+// up to maxSends, after unresponsive connections, but only once for any other cause; retried is true
+// after that.
 func (ce *callError) retryable(ctx context.Context, retried bool) bool {
 	return ctx.Err() == nil && !ce.pausedHere && (ce.unresponsive || !retried && (ce.notTaken || ce.broken()))
 }
 
-// broken tells whether the connection ended before the gather's answer had come.
+// broken reports whether the connection ended before the gather's answer arrived.
 func (ce *callError) broken() bool { return ce.outcome == nil && !connect.IsWireError(ce.err) }
 
-// dialFailed tells whether err arose while the connection was being opened, before any byte of
-// the request was written.
+// dialFailed reports whether err arose while the connection was being opened, before any byte of the
+// request was written.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// contextReason returns the reason where the request's own context ended, or unspecified.
+// contextReason returns the reason for the end of the request's own context, or unspecified where it has
+// not ended. An error with the code for a passed deadline counts as such an end.
 func contextReason(ctx context.Context, err error) pb.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded), connect.CodeOf(err) == connect.CodeDeadlineExceeded:
@@ -98,7 +102,7 @@
 	return pb.Reason_REASON_UNSPECIFIED
 }
 
-// resultOf says what the end of a call tells about the gather.
+// resultOf returns the result that the end of a call counts as in the gather's stats.
 func resultOf(ctx context.Context, ce *callError) result {
 	switch {
 	case ce == nil:
--- a/internal/route/gather.go
+++ b/internal/route/gather.go
@@ -1,6 +1,6 @@
-// Package route decides which gather a request goes to and brings it there. A search or the minting
-// of a ticket goes to one gather of the service's subset, chosen by two random choices; an order goes
-// only to the gather incarnation that its ticket names.
+// Package route decides which gather receives a request and sends it there. A search or a request for a
+// ticket goes to one gather of the service's subset, chosen by the power of two random choices. An order
+// goes only to the gather incarnation that its ticket names.
 package route
 
 import (
@@ -15,21 +15,21 @@
 	"github.com/burdockplank/burdockplank/api/burdock/v1/burdockv1connect"
 )
 
-// Gather is one gather process as the view shows it. It is a copy.
+// Gather is a copy of one gather process's data in the view.
 type Gather struct {
 	VM          string
 	Zone        string
 	Incarnation uint64
 	State       pb.ProcessState
-	// Address is HOST:PORT, host an IP number.
+	// Address is HOST:PORT, where HOST is an IP number.
 	Address string
 }
 
-// Dial returns the client of the gather at HOST:PORT. It opens no connection by itself.
+// Dial returns the client of the gather at the address HOST:PORT. It opens no connection itself.
 type Dial func(address string) burdockv1connect.GatherServiceClient
 
-// NewDial returns a Dial that keeps one client for each address, over the given HTTP client.
-// Answers are asked for uncompressed: between VMs of one zone the CPU costs more than the bytes.
+// NewDial returns a Dial that keeps one client per address, over the given HTTP client. The clients request
+// uncompressed answers: between VMs of one zone the CPU time costs more than the bytes.
 func NewDial(c *http.Client) Dial {
 	var clients sync.Map
 	return func(address string) burdockv1connect.GatherServiceClient {
@@ -42,7 +42,7 @@
 	}
 }
 
-// gatherOf returns the gather of the VM, and whether the VM has said that it runs one.
+// gatherOf returns the gather of the VM, and whether the VM has reported that it runs one.
 func gatherOf(vm *pb.Vm) (Gather, bool) {
 	for _, p := range vm.GetProcesses() {
 		if p.GetRole() == pb.ProcessRole_PROCESS_ROLE_GATHER {
@@ -54,7 +54,7 @@
 	return Gather{}, false
 }
 
-// gatherAt returns a gather at the VM's address whose state is not known.
+// gatherAt returns a gather of the given incarnation at the VM's address, with an unknown state.
 func gatherAt(vm *pb.Vm, incarnation uint64) Gather {
 	return Gather{
 		VM: vm.GetId(), Zone: vm.GetZone(), Incarnation: incarnation,
@@ -62,7 +62,7 @@
 	}
 }
 
-// findVM returns the VM of the id, or nil.
+// findVM returns the VM with the id, or nil.
 func findVM(vms []*pb.Vm, id string) *pb.Vm {
 	for _, vm := range vms {
 		if vm.GetId() == id {
--- a/internal/route/metrics.go
+++ b/internal/route/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics of the duty, labelled by service and by what happened.
+// metrics holds the metrics of routing, labelled by service, and all but the mismatches by result.
 type metrics struct {
 	reroutes   *prometheus.CounterVec
 	mismatches *prometheus.CounterVec
--- a/internal/route/order.go
+++ b/internal/route/order.go
@@ -11,20 +11,20 @@
 
 const orderStep = "entry.order"
 
-// ParseTicket reads the text form of a ticket; ticket.Parse in the running process.
+// ParseTicket parses the text form of a ticket; it is ticket.Parse in the running process.
 type ParseTicket func(text string) (*ticket.Ticket, error)
 
-// TicketResolver asks the witness and the peers of a gather that can't be asked what became of a
-// ticket. It returns the recorded answer, or an *outcome.Error: not_run where the order surely never
-// runs, unknown with a time to come back where more may be known later, and without where nothing
-// will. *order.Resolver implements it.
+// TicketResolver finds out what became of a ticket whose gather can't be called, from the witness and the
+// peers of that gather. It returns the recorded answer, or an *outcome.Error: not_run where the order
+// certainly never runs, unknown with a retry-after time where more may be known later, and unknown without
+// one where nothing more will be known. *order.Resolver implements it.
 type TicketResolver interface {
 	ResolveOrder(ctx context.Context, t *ticket.Ticket, caller string, order *pb.OrderRequest, requestID string) (*pb.OrderResponse, error)
 }
 
-// Order brings an order to the gather of the VM that its ticket names, never to another; that gather
-// runs it only if it is the incarnation that the ticket names. Where it can't be asked, the ticket's
-// peers are. Errors are *outcome.Error.
+// Order sends an order to the gather of the VM that its ticket names, never to another. That gather runs
+// it only if it is the incarnation that the ticket names. Where it can't be called, the ticket's peers are
+// called instead to resolve the ticket. Errors are *outcome.Error.
 func (r *Router) Order(ctx context.Context, q Request, req *pb.OrderRequest) (*pb.OrderResponse, error) {
 	if req.GetTicket() == "" {
 		return nil, outcome.NotRun(pb.Reason_REASON_NO_TICKET, orderStep, "an order needs a ticket of IssueTicket")
@@ -55,9 +55,9 @@
 	return r.resolve(ctx, q, t, req)
 }
 
-// issuer returns the gather of the VM that minted the ticket, unless the membership says that it has
-// ended. One that drains still answers for its tickets. Where the view shows another incarnation, or
-// none yet, the view may lag, and the gather itself knows.
+// issuer returns the gather of the VM that issued the ticket, and false where the membership shows that it
+// has ended. A draining gather still answers for its tickets. Where the view shows another incarnation, or
+// none yet, the view may lag, so the gather itself decides.
 func issuer(vms []*pb.Vm, t *ticket.Ticket) (Gather, bool) {
 	vm := findVM(vms, t.VM)
 	if vm == nil || vm.GetState() == pb.VmState_VM_STATE_GONE {
@@ -70,7 +70,7 @@
 	return g, g.State != pb.ProcessState_PROCESS_STATE_GONE
 }
 
-// resolve asks the ticket's peers.
+// resolve resolves the ticket through its peers and counts the result.
 func (r *Router) resolve(ctx context.Context, q Request, t *ticket.Ticket, req *pb.OrderRequest) (*pb.OrderResponse, error) {
 	res, err := r.options.Resolver.ResolveOrder(ctx, t, q.Identity.GetCaller(), req, q.Identity.GetRequestId())
 	if err == nil {
@@ -82,8 +82,8 @@
 	return nil, e
 }
 
-// interrupted is the outcome of an order whose caller's time ended while the gather had it: it may have
-// run, and the same ticket tells.
+// interrupted returns the outcome of an order whose context ended during the call to the gather. The order
+// may have run; a retry with the same ticket shows it.
 func (r *Router) interrupted(ctx context.Context, g Gather, ce *callError) *outcome.Error {
 	kind := pb.OutcomeKind_OUTCOME_KIND_UNKNOWN
 	if ce.notTaken {
--- a/internal/route/plans.go
+++ b/internal/route/plans.go
@@ -7,16 +7,17 @@
 	"github.com/burdockplank/burdockplank/internal/feed"
 )
 
-// candidateCache keeps the candidates of each service for the latest view: working them out hashes every VM
-// of the fleet, which is too dear for each request.
+// candidateCache caches the candidates of each service for the latest view: computing them hashes every VM
+// of the fleet, which is too expensive for each request. It is safe for concurrent use.
 type candidateCache struct {
 	mu sync.Mutex
-	// view that byService was made from; both guarded by mu. The slices are shared and never changed.
+	// view is the view from which byService was computed; mu guards both. The slices are shared and must
+	// not be changed.
 	view      *feed.View
 	byService map[*bundle.Service][]Gather
 }
 
-// of returns the gathers that may take new work for the service by the view.
+// of returns the gathers that accept new work for the service according to the view.
 func (p *candidateCache) of(v *feed.View, svc *bundle.Service) []Gather {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/route/reach.go
+++ b/internal/route/reach.go
@@ -2,7 +2,8 @@
 
 import "github.com/burdockplank/burdockplank/internal/feed"
 
-// AllServicesReachable tells whether the view names a gather that takes new work for each service of its bundle.
+// AllServicesReachable reports whether the view has a gather that accepts new work for each service of its
+// bundle. It is false without a bundle.
 func AllServicesReachable(v *feed.View) bool {
 	if v.Bundle == nil {
 		return false
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -14,47 +14,47 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// Request is what every hop knows of a request besides its message.
+// Request is what every hop knows about a request besides its message.
 type Request struct {
 	Identity *pb.Identity
 	Service  *bundle.Service
-	// View is the one by which the request was authenticated; it is used to the end. AsOf is a time before it was
-	// taken.
+	// View is the view with which the request was authenticated; it is used until the request ends. AsOf
+	// is a time before View was taken.
 	View *feed.View
 	AsOf time.Time
 }
 
-// Options are the parts of a Router that tests replace.
+// Options holds the dependencies of a Router, which tests replace, and its reply margin.
 type Options struct {
 	Dial Dial
-	// FreshSince is that of the feed.Source.
+	// FreshSince is the method of the feed.Source.
 	FreshSince func(t time.Time) bool
 	Parse      ParseTicket
 	Resolver   TicketResolver
 	Clock      Clock
 	Random     Random
-	// ReplyMargin is kept back from the deadline given to a gather, so that its answer arrives before
+	// ReplyMargin is subtracted from the deadline given to a gather, so that its answer arrives before
 	// the caller's own deadline.
 	ReplyMargin time.Duration
 }
 
-// Router brings requests to gathers. It is safe for concurrent use.
+// Router sends requests to gathers. It is safe for concurrent use.
 type Router struct {
 	options    Options
 	table      *statsTable
 	budget     *budget
 	metrics    *metrics
 	candidates candidateCache
-	// pruned is the view by which the table was last pruned.
+	// pruned is the view with which the table was last pruned.
 	pruned atomic.Pointer[feed.View]
 }
 
-// New returns a router that has seen no gather yet.
+// New returns a Router without stats of gathers that registers its metrics with reg.
 func New(reg prometheus.Registerer, o Options) *Router {
 	return &Router{options: o, table: newStatsTable(), budget: newBudget(), metrics: newMetrics(reg)}
 }
 
-// Search brings a search to one gather of the service's subset. Errors are *outcome.Error.
+// Search sends a search to one gather of the service's subset. Errors are *outcome.Error.
 func (r *Router) Search(ctx context.Context, q Request, req *pb.SearchRequest) (*pb.SearchResponse, error) {
 	var res *pb.GatherSearchResponse
 	g, err := r.forward(ctx, q, pb.OutcomeKind_OUTCOME_KIND_FAILED, func(ctx context.Context, c burdockv1connect.GatherServiceClient) (err error) {
@@ -70,7 +70,7 @@
 	return res.GetSearch(), nil
 }
 
-// IssueTicket has any ready gather of the subset mint a ticket. Errors are *outcome.Error.
+// IssueTicket requests a ticket from any ready gather of the subset. Errors are *outcome.Error.
 func (r *Router) IssueTicket(ctx context.Context, q Request, req *pb.IssueTicketRequest) (*pb.IssueTicketResponse, error) {
 	var res *pb.GatherIssueTicketResponse
 	g, err := r.forward(ctx, q, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, func(ctx context.Context, c burdockv1connect.GatherServiceClient) (err error) {
@@ -89,13 +89,13 @@
 // call is one call to a gather's client.
 type call func(ctx context.Context, c burdockv1connect.GatherServiceClient) error
 
-// maxSends bounds how often one request is sent where connections go silent under it.
+// maxSends bounds how often one request is sent while its connections become unresponsive.
 const maxSends = 4
 
-// forward makes the call at a chosen gather. It makes it once more, at another gather where there is
-// one, if the first surely did not take it or the connection ended before its answer came, and again
-// for each connection that goes silent: searches and the minting of tickets may run twice. The kind
-// is that of a call that was taken and brought nothing.
+// forward makes the call to a chosen gather. It makes it once more, to another gather where there is one,
+// if the first certainly did not accept it or the connection ended before its answer arrived, and again
+// for each connection that becomes unresponsive: searches and requests for tickets may run twice.
+// unansweredKind is the outcome kind of a call that a gather may have accepted and did not answer.
 func (r *Router) forward(ctx context.Context, q Request, unansweredKind pb.OutcomeKind, fn call) (Gather, error) {
 	r.budget.earn()
 	r.prune(q.View)
@@ -127,7 +127,7 @@
 	return g, end
 }
 
-// prune drops what is known of VMs that have left, once for each view.
+// prune drops the stats of VMs that are not in the view, once for each view.
 func (r *Router) prune(v *feed.View) {
 	if r.pruned.Swap(v) == v {
 		return
@@ -139,10 +139,11 @@
 	r.table.prune(ids)
 }
 
-// nextGather returns the gather for one more call after one that ended as given. Where the zone's subset has
-// no other, other zones are asked, and where they have none, and only the connection broke, the same
-// gather over a new connection. A connection that went silent costs no budget: only the calls in
-// flight at that moment are lost so.
+// nextGather returns the gather for one more call after one to tried that ended with ce. It is another
+// gather of the given ones, or one of another zone where they have none. Where there is no other either,
+// and only the connection broke, it is the same gather again, over a new connection. A retry after an
+// unresponsive connection takes nothing from the budget, because such a connection loses only the calls
+// that are in flight at that moment.
 func (r *Router) nextGather(q Request, gathers []Gather, tried Gather, ce *callError) (Gather, bool) {
 	g, ok := choose(r.table, q.Service.Name, gathers, tried.VM, r.options.Clock(), r.options.Random)
 	if !ok {
@@ -162,7 +163,7 @@
 	return g, true
 }
 
-// inOtherZones returns the ready gathers of the zones other than that of the one tried.
+// inOtherZones returns the ready gathers of the zones other than that of the gather already tried.
 func inOtherZones(q Request, tried Gather) []Gather {
 	var vms []*pb.Vm
 	for _, vm := range q.View.VMs {
@@ -173,8 +174,8 @@
 	return candidates(q.Service, tried.Zone, vms)
 }
 
-// send makes the call at one gather, unless the process was paused since the request was authenticated: its caller
-// may have lost its token meanwhile, and gathers may have left.
+// send makes the call to one gather, unless the process was paused after the request was authenticated: the
+// caller may have lost its token meanwhile, and gathers may have left.
 func (r *Router) send(ctx context.Context, q Request, g Gather, fn call) *callError {
 	if !r.options.FreshSince(q.AsOf) {
 		return pausedError()
@@ -182,7 +183,7 @@
 	return r.callGather(ctx, q, g, fn)
 }
 
-// callGather makes the call at one gather and counts it.
+// callGather makes the call to one gather and records it in the gather's stats.
 func (r *Router) callGather(ctx context.Context, q Request, g Gather, fn call) *callError {
 	s := r.table.of(q.Service.Name, g)
 	s.begin()
@@ -195,10 +196,10 @@
 	return ce
 }
 
-// marginDivisor bounds the reply margin to a share of the time left.
+// marginDivisor bounds the reply margin to that fraction of the remaining time.
 const marginDivisor = 10
 
-// withReplyMargin shortens the deadline by the reply margin.
+// withReplyMargin returns ctx with its deadline earlier by the reply margin.
 func (r *Router) withReplyMargin(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -208,7 +209,7 @@
 	return context.WithDeadline(ctx, deadline.Add(-min(r.options.ReplyMargin, remaining/marginDivisor)))
 }
 
-// finalOutcome turns the end of a call into the outcome for the caller.
+// finalOutcome converts the failure of the last call to the outcome for the caller.
 func (r *Router) finalOutcome(ctx context.Context, g Gather, ce *callError, unansweredKind pb.OutcomeKind) *outcome.Error {
 	if ce.outcome != nil {
 		return ce.outcome
@@ -223,18 +224,19 @@
 	return r.unreachable(kind, g.VM, "the gather can't be reached").Because(ce.err)
 }
 
-// unreachable says that a gather can't be reached now, and when to come back.
+// unreachable returns the outcome of a request whose gather can't be reached, with a retry-after time.
 func (r *Router) unreachable(kind pb.OutcomeKind, vm, message string) *outcome.Error {
 	e := &outcome.Error{Kind: kind, Reason: pb.Reason_REASON_UNREACHABLE, Step: Step, Message: message}
 	return e.At(vm).After(r.retryAfter())
 }
 
-// retryAfter returns a wait with jitter.
+// retryAfter returns a retry-after time with jitter.
 func (r *Router) retryAfter() time.Duration {
 	return unreachableRetryAfter + time.Duration(r.options.Random(int(unreachableJitter/time.Millisecond)))*time.Millisecond
 }
 
-// echoed tells whether an answer is the one to the request: the gather has to repeat who asked.
+// echoed reports whether an answer belongs to the request: the gather must repeat the request's id and
+// caller. It counts a mismatch.
 func (r *Router) echoed(q Request, got *pb.Identity, inner string) bool {
 	ok := got.GetRequestId() == q.Identity.GetRequestId() && got.GetCaller() == q.Identity.GetCaller()
 	ok = ok && (inner == "" || inner == q.Identity.GetRequestId())
@@ -244,7 +246,7 @@
 	return ok
 }
 
-// mismatch is the outcome of a call whose answer belongs to another request.
+// mismatch returns the outcome of a call whose answer belongs to another request.
 func mismatch(kind pb.OutcomeKind, g Gather) *outcome.Error {
 	return &outcome.Error{
 		Kind: kind, Reason: pb.Reason_REASON_ANSWER_MISMATCH, Step: Step, Peer: g.VM,
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -65,7 +65,7 @@
 			for _, g := range candidates(testService(), "z1", test.vms) {
 				got = append(got, g.VM)
 			}
-			slices.Sort(got) // the order is the subset's own, and nothing here depends on it
+			slices.Sort(got) // the subset's own order, which doesn't matter here
 			is.Equal(strings.Join(got, " "), test.want)
 		})
 	}
@@ -84,8 +84,8 @@
 		"the first where both cost the same": {func(*stats) {}, 0, "", "a"},
 		"fewer in flight":                    {func(a *stats) { a.begin() }, 0, "", "b"},
 		"quicker":                            {func(a *stats) { end(a, time.Second, resultOK) }, 0, "", "b"},
-		"not failing":                        {func(a *stats) { end(a, 0, resultFailed) }, 0, "", "b"},
-		"a given-up call says nothing":       {func(a *stats) { end(a, time.Second, resultNeutral) }, 0, "", "a"},
+		"fewer failures":                     {func(a *stats) { end(a, 0, resultFailed) }, 0, "", "b"},
+		"a neutral result is ignored":        {func(a *stats) { end(a, time.Second, resultNeutral) }, 0, "", "a"},
 		"forgets":                            {func(a *stats) { end(a, time.Second, resultOK) }, time.Hour, "", "a"},
 		"not the one tried":                  {func(*stats) {}, 0, "a", "b"},
 	}
@@ -102,24 +102,25 @@
 	is := is.New(t)
 	tab := newStatsTable()
 	end(tab.of("s", a), time.Minute, resultFailed)
-	is.Equal(tab.of("s", Gather{VM: "a", Incarnation: 8}).cost(now), minLatency) // a new incarnation starts afresh
+	is.Equal(tab.of("s", Gather{VM: "a", Incarnation: 8}).cost(now), minLatency) // a new incarnation has no history
 	tab.prune(map[string]bool{})
 	is.Equal(len(tab.byKey), 0)
 }
 
-// script says how each gather, by address, ends a call; nil answers.
+// script maps a gather's address to how it ends a call; a gather without an entry answers.
 type script map[string]func(id *pb.Identity) error
 
-// fakeFleet is a Router over scripted gathers.
+// fakeFleet is a Router with scripted gathers.
 type fakeFleet struct {
 	*Router
 	script script
-	// called lists the gathers in the order of calls; left is the time the last one was given.
+	// called lists the gathers in the order of the calls. remaining is the time that the last one had
+	// until its deadline.
 	called    []string
 	remaining time.Duration
-	// wrongEcho makes gathers answer for another caller.
+	// wrongEcho makes gathers return the identity of another caller.
 	wrongEcho bool
-	// paused is when the entry was paused last.
+	// paused is when the entry was last paused.
 	paused   time.Time
 	resolved int
 	now      time.Time
@@ -184,7 +185,7 @@
 	return &pb.GatherOrderResponse{Identity: id, Order: &pb.OrderResponse{Result: "done"}}, err
 }
 
-// request is one of the caller "desk" over the VMs.
+// request returns a request of the caller "desk" with a view of the VMs.
 func request(vms ...*pb.Vm) Request {
 	return Request{
 		Identity: &pb.Identity{RequestId: "r1", Caller: "desk"}, Service: &bundle.Service{Name: "s"},
@@ -216,9 +217,10 @@
 	return connect.NewError(connect.CodeUnavailable, errors.New("http2: client connection lost"))
 }
 
-// A search may run twice, so it is sent once more where the first gather didn't take it or its
-// connection ended before the answer; any answer or refusal of a gather is final. What the first may
-// have run is never told as not run.
+// TestSearchIsRetriedWithoutAnAnswer guards against retries that are missing or excessive. A search may run
+// twice, so it is sent once more where the first gather didn't accept it or its connection ended before the
+// answer. Any other answer or refusal of a gather is final. A search that the first gather may have run is
+// never reported as not run.
 func TestSearchIsRetriedWithoutAnAnswer(t *testing.T) {
 	draining := gatherOutcome(notRun, pb.Reason_REASON_DRAINING)
 	tests := map[string]struct {
@@ -228,23 +230,23 @@
 		kind   pb.OutcomeKind
 		reason pb.Reason
 	}{
-		"answered":               {script{}, 1, "a", 0, 0},
-		"connection refused":     {script{"a": refusedToConnect}, 1, "a b", 0, 0},
-		"draining":               {script{"a": draining}, 1, "a b", 0, 0},
-		"paused":                 {script{"a": gatherOutcome(notRun, pb.Reason_REASON_PAUSED)}, 1, "a b", 0, 0},
-		"bundle not there yet":   {script{"a": gatherOutcome(notRun, pb.Reason_REASON_NO_BUNDLE)}, 1, "a b", 0, 0},
-		"other refusal":          {script{"a": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 1, "a", notRun, pb.Reason_REASON_OVERLOAD},
-		"failed":                 {script{"a": gatherOutcome(failed, pb.Reason_REASON_DRAINING)}, 1, "a", failed, pb.Reason_REASON_DRAINING},
-		"lost when taken":        {script{"a": connectionLost}, 1, "a b", 0, 0},
-		"lost, no budget":        {script{"a": connectionLost}, 0, "a", failed, pb.Reason_REASON_UNREACHABLE},
-		"lost twice":             {script{"a": connectionLost, "b": connectionLost}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"lost, then refused":     {script{"a": connectionLost, "b": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 9, "a b", failed, pb.Reason_REASON_OVERLOAD},
-		"lost, then no gather":   {script{"a": connectionLost, "b": refusedToConnect}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"silent needs no budget": {script{"a": unresponsive}, 0, "a b", 0, 0},
-		"silent again and again": {script{"a": unresponsive, "b": unresponsive, "c": unresponsive}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"silent, then lost":      {script{"a": unresponsive, "b": connectionLost}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"only once, other zones": {script{"a": refusedToConnect, "b": refusedToConnect}, 9, "a b", notRun, pb.Reason_REASON_UNREACHABLE},
-		"no budget":              {script{"a": draining}, 0, "a", notRun, pb.Reason_REASON_DRAINING},
+		"answered":                       {script{}, 1, "a", 0, 0},
+		"connection refused":             {script{"a": refusedToConnect}, 1, "a b", 0, 0},
+		"draining":                       {script{"a": draining}, 1, "a b", 0, 0},
+		"paused":                         {script{"a": gatherOutcome(notRun, pb.Reason_REASON_PAUSED)}, 1, "a b", 0, 0},
+		"no bundle yet":                  {script{"a": gatherOutcome(notRun, pb.Reason_REASON_NO_BUNDLE)}, 1, "a b", 0, 0},
+		"other refusal":                  {script{"a": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 1, "a", notRun, pb.Reason_REASON_OVERLOAD},
+		"failed":                         {script{"a": gatherOutcome(failed, pb.Reason_REASON_DRAINING)}, 1, "a", failed, pb.Reason_REASON_DRAINING},
+		"lost after the call":            {script{"a": connectionLost}, 1, "a b", 0, 0},
+		"lost, no budget":                {script{"a": connectionLost}, 0, "a", failed, pb.Reason_REASON_UNREACHABLE},
+		"lost twice":                     {script{"a": connectionLost, "b": connectionLost}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"lost, then refused":             {script{"a": connectionLost, "b": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 9, "a b", failed, pb.Reason_REASON_OVERLOAD},
+		"lost, then no gather":           {script{"a": connectionLost, "b": refusedToConnect}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"unresponsive, no budget needed": {script{"a": unresponsive}, 0, "a b", 0, 0},
+		"unresponsive each time":         {script{"a": unresponsive, "b": unresponsive, "c": unresponsive}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"unresponsive, then lost":        {script{"a": unresponsive, "b": connectionLost}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"only once, other zones":         {script{"a": refusedToConnect, "b": refusedToConnect}, 9, "a b", notRun, pb.Reason_REASON_UNREACHABLE},
+		"no budget":                      {script{"a": draining}, 0, "a", notRun, pb.Reason_REASON_DRAINING},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -278,8 +280,9 @@
 	is.True(e.RetryAfter > 0)
 }
 
-// TestNothingIsSentByAViewOfBeforeAPause guards against requests that are let in, and sent to a gather by an entry that
-// was paused since: its view of callers and gathers may be old, though a fresh one has come.
+// TestNothingIsSentByAViewOfBeforeAPause guards against requests that an entry admits, and sends to a gather
+// after it was paused: the request's view of callers and gathers may be old, although a fresh view has
+// arrived since.
 func TestNothingIsSentByAViewOfBeforeAPause(t *testing.T) {
 	for name, tt := range map[string]struct {
 		first func(*pb.Identity) error
@@ -355,20 +358,20 @@
 		kind     pb.OutcomeKind
 		reason   pb.Reason
 	}{
-		"no ticket":                {"", nil, nil, "", 0, notRun, pb.Reason_REASON_NO_TICKET},
-		"bad ticket":               {"bad", nil, nil, "", 0, notRun, pb.Reason_REASON_TICKET_INVALID},
-		"at the gather":            {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, nil, "a", 0, 0, 0},
-		"draining one answers":     {"a", []*pb.Vm{vm("a", "z1", live, draining)}, nil, "a", 0, 0, 0},
-		"the view may lag":         {"a", []*pb.Vm{restarted}, nil, "a", 0, 0, 0},
-		"not yet in the view":      {"a", []*pb.Vm{{Id: "a", Address: "a", GatherPort: 1, State: live}}, nil, "a", 0, 0, 0},
-		"suspect is asked":         {"a", []*pb.Vm{vm("a", "z1", pb.VmState_VM_STATE_SUSPECT, isReady)}, nil, "a", 0, 0, 0},
-		"gather gone":              {"a", []*pb.Vm{vm("a", "z1", live, gone)}, nil, "", 1, notRun, pb.Reason_REASON_SEALED},
-		"VM gone":                  {"a", []*pb.Vm{vm("a", "z1", pb.VmState_VM_STATE_GONE, isReady)}, nil, "", 1, notRun, pb.Reason_REASON_SEALED},
-		"VM not listed":            {"a", []*pb.Vm{vm("b", "z1", live, isReady)}, nil, "", 1, notRun, pb.Reason_REASON_SEALED},
-		"can't connect":            {"a", []*pb.Vm{vm("a", "z1", live, isReady), vm("b", "z1", live, isReady)}, refusedToConnect, "a", 1, notRun, pb.Reason_REASON_SEALED},
-		"connection lost":          {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, connectionLost, "a", 1, notRun, pb.Reason_REASON_SEALED},
-		"the gather's word counts": {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, gatherOutcome(unknown, pb.Reason_REASON_UPSTREAM_ERROR), "a", 0, unknown, pb.Reason_REASON_UPSTREAM_ERROR},
-		"refused for draining":     {"a", []*pb.Vm{vm("a", "z1", live, isReady), vm("b", "z1", live, isReady)}, gatherOutcome(notRun, pb.Reason_REASON_DRAINING), "a", 0, notRun, pb.Reason_REASON_DRAINING},
+		"no ticket":                     {"", nil, nil, "", 0, notRun, pb.Reason_REASON_NO_TICKET},
+		"bad ticket":                    {"bad", nil, nil, "", 0, notRun, pb.Reason_REASON_TICKET_INVALID},
+		"at the gather":                 {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, nil, "a", 0, 0, 0},
+		"draining gather answers":       {"a", []*pb.Vm{vm("a", "z1", live, draining)}, nil, "a", 0, 0, 0},
+		"the view may lag":              {"a", []*pb.Vm{restarted}, nil, "a", 0, 0, 0},
+		"not yet in the view":           {"a", []*pb.Vm{{Id: "a", Address: "a", GatherPort: 1, State: live}}, nil, "a", 0, 0, 0},
+		"suspect is called":             {"a", []*pb.Vm{vm("a", "z1", pb.VmState_VM_STATE_SUSPECT, isReady)}, nil, "a", 0, 0, 0},
+		"gather gone":                   {"a", []*pb.Vm{vm("a", "z1", live, gone)}, nil, "", 1, notRun, pb.Reason_REASON_SEALED},
+		"VM gone":                       {"a", []*pb.Vm{vm("a", "z1", pb.VmState_VM_STATE_GONE, isReady)}, nil, "", 1, notRun, pb.Reason_REASON_SEALED},
+		"VM not listed":                 {"a", []*pb.Vm{vm("b", "z1", live, isReady)}, nil, "", 1, notRun, pb.Reason_REASON_SEALED},
+		"can't connect":                 {"a", []*pb.Vm{vm("a", "z1", live, isReady), vm("b", "z1", live, isReady)}, refusedToConnect, "a", 1, notRun, pb.Reason_REASON_SEALED},
+		"connection lost":               {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, connectionLost, "a", 1, notRun, pb.Reason_REASON_SEALED},
+		"the gather's outcome is final": {"a", []*pb.Vm{vm("a", "z1", live, isReady)}, gatherOutcome(unknown, pb.Reason_REASON_UPSTREAM_ERROR), "a", 0, unknown, pb.Reason_REASON_UPSTREAM_ERROR},
+		"refused for draining":          {"a", []*pb.Vm{vm("a", "z1", live, isReady), vm("b", "z1", live, isReady)}, gatherOutcome(notRun, pb.Reason_REASON_DRAINING), "a", 0, notRun, pb.Reason_REASON_DRAINING},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -401,10 +404,11 @@
 	is.Equal(e.Kind, unknown)
 	is.Equal(e.Reason, pb.Reason_REASON_CANCELLED)
 	is.True(e.RetryAfter > 0)
-	is.Equal(f.resolved, 0) // the gather has it; sealing it would only lose it
+	is.Equal(f.resolved, 0) // the gather has the order; sealing the ticket would only lose it
 }
 
-// TestRealRefusalCountsAsNotTaken pins what the HTTP library says of a refused connection.
+// TestRealRefusalCountsAsNotTaken checks that the HTTP library's error for a refused connection is
+// classified as not taken.
 func TestRealRefusalCountsAsNotTaken(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -415,7 +419,8 @@
 	is.True(classify(err).notTaken)
 }
 
-// TestRealUnresponsiveConnectionIsRecognised pins what the HTTP library says of a connection that gives no sign of life.
+// TestRealUnresponsiveConnectionIsRecognised checks that the HTTP library's error for a connection whose
+// peer doesn't respond is classified as unresponsive.
 func TestRealUnresponsiveConnectionIsRecognised(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/route/stats.go
+++ b/internal/route/stats.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// decayHalfLife is how fast what was seen of a gather is forgotten, so that one that was slow or
-	// failing is tried again.
+	// decayHalfLife is the half-life of a gather's latency and failures, so that a gather that was slow
+	// or failing is tried again.
 	decayHalfLife = 2 * time.Second
-	// sampleWeight is the weight of a new sample below the peak.
+	// sampleWeight is the weight of a new sample in the moving averages, for a latency below the peak.
 	sampleWeight = 0.2
-	// failurePenalty multiplies the cost of a gather all of whose recent calls failed, plus one.
+	// failurePenalty plus one multiplies the cost of a gather whose recent calls all failed.
 	failurePenalty = 20
-	// minLatency keeps the cost of an unused gather above 0, so that calls in flight count.
+	// minLatency, in nanoseconds, is added to a gather's latency. It keeps the cost of an unused gather
+	// above 0, so that its calls in flight count.
 	minLatency = float64(time.Millisecond)
 )
 
-// stats is what this entry saw of one gather for one service.
+// stats holds this entry's measurements of one gather for one service. It is safe for concurrent use.
 type stats struct {
 	incarnation uint64
 
 	mu sync.Mutex
-	// inFlight counts calls, latency is a peak-EWMA in nanoseconds, failures an EWMA from 0 to 1, and
-	// updated when the two were last decayed; all guarded by mu.
+	// inFlight counts the calls in flight, latency is a peak EWMA in nanoseconds, failures is an EWMA
+	// from 0 to 1, and updated is when the latter two were last decayed. All are guarded by mu.
 	inFlight int
 	latency  float64
 	failures float64
 	updated  time.Time
 }
 
-// decay forgets by the time that went by; mu is held.
+// decay reduces latency and failures by the time since the last update. It requires mu.
 func (s *stats) decay(now time.Time) {
 	if !s.updated.IsZero() && now.After(s.updated) {
 		f := math.Exp2(-float64(now.Sub(s.updated)) / float64(decayHalfLife))
@@ -41,14 +42,14 @@
 	s.updated = now
 }
 
-// begin counts a call in flight.
+// begin counts a new call in flight.
 func (s *stats) begin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight++
 }
 
-// end counts a call out. A call that was given up says nothing about the gather's failures.
+// end records the end of a call. A neutral result changes neither latency nor failures.
 func (s *stats) end(now time.Time, elapsed time.Duration, r result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +63,7 @@
 		failed = 1
 	}
 	s.failures += sampleWeight * (failed - s.failures)
-	// A slow call counts at once, a fast one slowly; a failure's speed says nothing good.
+	// A slow call counts immediately, a fast one slowly. A fast failure doesn't lower the latency.
 	if l := float64(elapsed); l > s.latency {
 		s.latency = l
 	} else if r == resultOK {
@@ -70,7 +71,8 @@
 	}
 }
 
-// cost is the price of one more call: the work ahead of it times the time it takes.
+// cost returns the cost of one more call, in nanoseconds: the calls in flight with it, times the latency,
+// raised by recent failures.
 func (s *stats) cost(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,21 +80,21 @@
 	return float64(s.inFlight+1) * (minLatency + s.latency) * (1 + failurePenalty*s.failures)
 }
 
-// result says how a call to a gather ended, as far as the choice of gathers is concerned.
+// result is how a call to a gather ended, for the choice of gathers.
 type result int
 
 const (
 	resultOK result = iota
-	// resultFailed is a call that the gather did not take or did not answer.
+	// resultFailed is a call that the gather did not accept or did not answer.
 	resultFailed
-	// resultNeutral is a call whose caller went away, or whose connection went silent.
+	// resultNeutral is a call whose caller went away, or whose connection became unresponsive.
 	resultNeutral
 )
 
-// statsKey names a gather for a service.
+// statsKey identifies a gather by its VM, for a service.
 type statsKey struct{ service, vm string }
 
-// statsTable holds the stats of all gathers.
+// statsTable holds the stats of all gathers. It is safe for concurrent use.
 type statsTable struct {
 	mu sync.Mutex
 	// byKey is guarded by mu.
@@ -101,7 +103,7 @@
 
 func newStatsTable() *statsTable { return &statsTable{byKey: make(map[statsKey]*stats)} }
 
-// of returns the stats of a gather; a new incarnation starts afresh.
+// of returns the stats of a gather and creates them on first use. A new incarnation starts with new ones.
 func (t *statsTable) of(service string, g Gather) *stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
