--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -41,11 +41,11 @@
 }
 
 const (
-	// mostConnections is the most that one member holds to a leaf.
-	mostConnections = 2
-	// usedParts of limitParts is the share of a leaf's limit that plans use.
-	usedParts  = 2
-	limitParts = 3
+	// maxConnectionsPerLeaf is the most that one member holds to a leaf.
+	maxConnectionsPerLeaf = 2
+	// budgetNumerator of limitParts is the share of a leaf's limit that plans use.
+	budgetNumerator   = 2
+	budgetDenominator = 3
 )
 
 // For computes the plan from the VMs in the view. It is a pure function of its arguments: VMs with
@@ -58,18 +58,18 @@
 // places of a zone are leaving does the next VM step in, from the third that is kept free.
 func For(s *bundle.Service, zone string, vms []*pb.Vm) Plan {
 	zones := byZone(vms)
-	budget := budgetOf(s)
-	quota, connections := divide(zones, budget)
+	budget := connectionBudget(s)
+	quota, connections := quotaAndConnections(zones, budget)
 	p := Plan{ConnectionsPerLeaf: connections}
 	served := servedZones(s, zones, budget)
-	for name, in := range zones {
+	for name, zoneVMs := range zones {
 		if !served[name] {
 			continue
 		}
 		if name == zone {
-			p.Members = placed(rendezvous(s.Name, name, in), quota)
+			p.Members = selectMembers(rendezvousOrder(s.Name, name, zoneVMs), quota)
 		}
-		p.Sharers += min(len(in), quota)
+		p.Sharers += min(len(zoneVMs), quota)
 	}
 	p.Sharers = max(1, p.Sharers)
 	return p
@@ -110,40 +110,40 @@
 	return zones
 }
 
-// budgetOf returns how many connections to one leaf all members may hold together, at least 1.
-func budgetOf(s *bundle.Service) int {
+// connectionBudget returns how many connections to one leaf all members may hold together, at least 1.
+func connectionBudget(s *bundle.Service) int {
 	limit := 0
 	for _, l := range s.Leaves {
 		if limit == 0 || l.Connections < limit {
 			limit = l.Connections
 		}
 	}
-	return max(1, limit*usedParts/limitParts)
+	return max(1, limit*budgetNumerator/budgetDenominator)
 }
 
-// divide returns the most members of a zone and the connections of a member to a leaf. The quota is
+// quotaAndConnections returns the most members of a zone and the connections of a member to a leaf. The quota is
 // at least 1; servedZones sees to the budget where there are more zones than connections.
-func divide(zones map[string][]*pb.Vm, budget int) (quota, connections int) {
+func quotaAndConnections(zones map[string][]*pb.Vm, budget int) (quota, connections int) {
 	total, largest := 0, 0
-	for _, in := range zones {
-		total += len(in)
-		largest = max(largest, len(in))
+	for _, zoneVMs := range zones {
+		total += len(zoneVMs)
+		largest = max(largest, len(zoneVMs))
 	}
-	if total*mostConnections <= budget {
-		return largest, mostConnections
+	if total*maxConnectionsPerLeaf <= budget {
+		return largest, maxConnectionsPerLeaf
 	}
 	quota = largest
-	for quota > 1 && places(zones, quota) > budget {
+	for quota > 1 && positionCount(zones, quota) > budget {
 		quota--
 	}
 	return quota, 1
 }
 
-// places returns the number of members over all zones for a quota.
-func places(zones map[string][]*pb.Vm, quota int) int {
+// positionCount returns the number of members over all zones for a quota.
+func positionCount(zones map[string][]*pb.Vm, quota int) int {
 	n := 0
-	for _, in := range zones {
-		n += min(len(in), quota)
+	for _, zoneVMs := range zones {
+		n += min(len(zoneVMs), quota)
 	}
 	return n
 }
@@ -166,9 +166,9 @@
 	return served
 }
 
-// rendezvous returns a zone's VMs in the order in which they serve the service. The order of two
+// rendezvousOrder returns a zone's VMs in the order in which they serve the service. The order of two
 // VMs doesn't depend on which others there are.
-func rendezvous(service, zone string, vms []*pb.Vm) []*pb.Vm {
+func rendezvousOrder(service, zone string, vms []*pb.Vm) []*pb.Vm {
 	scores := make(map[string]uint64, len(vms))
 	for _, vm := range vms {
 		scores[vm.GetId()] = score(service, zone, vm.GetId())
@@ -181,8 +181,8 @@
 	return ordered
 }
 
-// placed returns the members among a zone's ordered VMs.
-func placed(ordered []*pb.Vm, quota int) []*pb.Vm {
+// selectMembers returns the members among a zone's ordered VMs.
+func selectMembers(ordered []*pb.Vm, quota int) []*pb.Vm {
 	var members []*pb.Vm
 	for i, vm := range ordered {
 		if i >= quota && len(members) > 0 {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -75,11 +75,11 @@
 	}
 }
 
-func TestPlacesOfSuspectLeavingAndGoneVMs(t *testing.T) {
+func TestPositionsOfSuspectLeavingAndGoneVMs(t *testing.T) {
 	is := is.New(t)
 	s := service(3) // two connections in all, so two places
-	all := rendezvous(s.Name, zoneName(0), fleet(4))
-	set := func(states ...pb.VmState) Plan {
+	all := rendezvousOrder(s.Name, zoneName(0), fleet(4))
+	planWith := func(states ...pb.VmState) Plan {
 		var vms []*pb.Vm
 		for i, v := range all {
 			vms = append(vms, &pb.Vm{Id: v.GetId(), Zone: v.GetZone(), State: states[i]})
@@ -88,19 +88,19 @@
 	}
 	const live, suspect = pb.VmState_VM_STATE_LIVE, pb.VmState_VM_STATE_SUSPECT
 	const leaving, gone = pb.VmState_VM_STATE_LEAVING, pb.VmState_VM_STATE_GONE
-	first, next, third := all[0].GetId(), all[1].GetId(), all[2].GetId()
+	first, second, third := all[0].GetId(), all[1].GetId(), all[2].GetId()
 
-	is.Equal(ids(set(live, live, live, live)), map[string]bool{first: true, next: true})
-	p := set(suspect, live, live, live)
-	is.Equal(ids(p), map[string]bool{first: true, next: true}) // a suspect keeps its place
-	is.Equal(len(p.Usable()), 1)                               // but takes no work
-	is.Equal(len(set(suspect, suspect, live, live).Usable()), 2)
-	is.Equal(ids(set(leaving, live, live, live)), map[string]bool{next: true}) // its place stays empty
-	is.Equal(ids(set(leaving, leaving, live, live)), map[string]bool{third: true})
-	is.Equal(ids(set(gone, live, live, live)), map[string]bool{next: true, third: true})
+	is.Equal(ids(planWith(live, live, live, live)), map[string]bool{first: true, second: true})
+	p := planWith(suspect, live, live, live)
+	is.Equal(ids(p), map[string]bool{first: true, second: true}) // a suspect keeps its place
+	is.Equal(len(p.Usable()), 1)                                 // but takes no work
+	is.Equal(len(planWith(suspect, suspect, live, live).Usable()), 2)
+	is.Equal(ids(planWith(leaving, live, live, live)), map[string]bool{second: true}) // its place stays empty
+	is.Equal(ids(planWith(leaving, leaving, live, live)), map[string]bool{third: true})
+	is.Equal(ids(planWith(gone, live, live, live)), map[string]bool{second: true, third: true})
 }
 
-func TestPlanNeverPassesTheBudget(t *testing.T) {
+func TestPlanNeverExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 120).Draw(t, "limit")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 40), 1, 8).Draw(t, "sizes")
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestPlanDoesNotDependOnTheOrderOfTheView(t *testing.T) {
+func TestPlanDoesNotDependOnTheOrderOfTheVMs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := fleet(rapid.SliceOfN(rapid.IntRange(1, 20), 1, 5).Draw(t, "sizes")...)
 		mixed := rapid.Permutation(vms).Draw(t, "order")
@@ -130,7 +130,7 @@
 	})
 }
 
-func TestOneVMMovesFewPlaces(t *testing.T) {
+func TestOneVMChangesFewMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(2, 60).Draw(t, "limit")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 30), 1, 8).Draw(t, "sizes")
