--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,21 +1,23 @@
 // Package subset decides which gathers of an availability zone serve a service and how many
-// connections each may hold to a leaf, so that no leaf's connection limit is passed.
+// connections each may hold to a leaf, so that no leaf's connection limit is exceeded.
 //
-// The arithmetic. A leaf accepts L connections (the smallest limit of the service's leaves counts).
-// The plan uses at most B = floor(2L/3) of them over all members of all zones. The last third is
-// room for what a plan can't see: connections of replaced VMs, or gone silent, that the leaf hasn't
-// dropped yet, and members of views that differ for a while.
+// A leaf accepts L connections, where L is the smallest limit of the service's leaves. The plans of all
+// zones together use at most B = floor(2L/3) of them, but at least 1. The last third is reserved for
+// connections that a plan can't see: those of replaced VMs and unresponsive ones that the leaf hasn't
+// closed yet, and those of members of views that differ for a while.
 //
-//   - With N VMs, each is a member with 2 connections where 2N <= B. Two, because one may go silent
-//     and the other then serves on; more would bring nothing, for calls share a connection.
-//   - Otherwise each member has 1 connection. A zone with n VMs has min(n, q) members, with the
-//     largest q for which the sum over the zones is at most B. Fewer members than VMs are chosen
-//     by rendezvous hashing of (service, zone, VM).
+//   - Where N VMs fit with 2N <= B, each is a member with 2 connections. There are two so that the
+//     other still serves when one becomes unresponsive. More have no use, because calls share a
+//     connection.
+//   - Otherwise each member has 1 connection. A zone with n VMs has min(n, q) members, with the largest
+//     quota q for which the sum over the zones is at most B. Where there are fewer members than VMs,
+//     they are chosen by rendezvous hashing of (service, zone, VM).
 //
-// Limit 30, B = 20: 8 VMs are 16 connections, 2 each; 11 to 20 VMs are all members with 1; 530 VMs
-// in 4 zones are 5 members a zone. Adding or losing one VM changes at most one place in its own
-// zone, and q by at most one, so at most one place in each other zone; the step from 2 connections
-// to 1 comes once, when the fleet grows past B/2 VMs, and drops one connection a VM and leaf.
+// With a limit of 30, B is 20. 8 VMs hold 16 connections, 2 each. 11 to 20 VMs are all members with 1
+// connection. 530 VMs in 4 zones have 5 members per zone. Adding or removing one VM changes at most one
+// position in its own zone, and q by at most one, so at most one position in each other zone. The step
+// from 2 connections to 1 occurs once, when the fleet grows beyond B/2 VMs, and closes one connection per
+// VM and leaf.
 package subset
 
 import (
@@ -28,22 +30,22 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// Plan is the subset of a (service, availability zone).
+// Plan is the subset of gathers of an availability zone that serve a service.
 type Plan struct {
-	// Members are the VMs whose gathers serve, in rendezvous order. Suspect VMs are among them; see
+	// Members are the VMs whose gathers serve, in rendezvous order. They include suspect VMs; see
 	// Usable.
 	Members []*pb.Vm
-	// ConnectionsPerLeaf is how many connections each member may hold to a leaf of the service.
+	// ConnectionsPerLeaf is the maximum number of connections of each member to a leaf of the service.
 	ConnectionsPerLeaf int
-	// Sharers is how many gathers over all availability zones share a leaf, at least 1. Places of
-	// leaving VMs count.
+	// Sharers is the number of gathers in all availability zones that share a leaf, at least 1. It
+	// includes the positions of leaving VMs.
 	Sharers int
 }
 
 const (
-	// maxConnectionsPerLeaf is the most that one member holds to a leaf.
+	// maxConnectionsPerLeaf is the maximum number of connections of one member to a leaf.
 	maxConnectionsPerLeaf = 2
-	// budgetNumerator of limitParts is the share of a leaf's limit that plans use.
+	// budgetNumerator/budgetDenominator is the fraction of a leaf's limit that plans use.
 	budgetNumerator   = 2
 	budgetDenominator = 3
 )
@@ -51,11 +53,12 @@
 // For computes the plan from the VMs in the view. It is a pure function of its arguments: VMs with
 // equal views compute equal plans.
 //
-// A VM counts unless it is gone. A suspect VM keeps its place: it may be cut off from us and still
-// hold its connections, and suspicion comes and goes faster than connections should move. A
-// leaving VM keeps its place as well, for it holds its connections until it ends, and a process
-// that is restarted comes back to it; but it is no member, as it takes no new work. Only where all
-// places of a zone are leaving does the next VM step in, from the third that is kept free.
+// A VM has a position in its zone unless it is gone. A suspect VM keeps its position: it may only be cut
+// off from this VM and still hold its connections, and suspicion changes faster than connections should
+// move. A leaving VM keeps its position, too, because it holds its connections until it ends, and because
+// a restarted process takes the same position again. It is no member, however, because it accepts no new
+// work. Only where the VMs of all positions of a zone are leaving does the next VM become a member, with
+// connections from the third that is reserved.
 func For(s *bundle.Service, zone string, vms []*pb.Vm) Plan {
 	zones := byZone(vms)
 	budget := connectionBudget(s)
@@ -75,7 +78,7 @@
 	return p
 }
 
-// Has tells whether the VM is a member.
+// Has reports whether the VM with the id is a member.
 func (p Plan) Has(vm string) bool {
 	for _, m := range p.Members {
 		if m.GetId() == vm {
@@ -85,7 +88,8 @@
 	return false
 }
 
-// Usable returns the members to send work to: the live ones, or the suspect ones where none is live.
+// Usable returns the members to which work may be sent: the live ones, or all, which are then suspect,
+// where none is live.
 func (p Plan) Usable() []*pb.Vm {
 	var live []*pb.Vm
 	for _, m := range p.Members {
@@ -99,7 +103,7 @@
 	return p.Members
 }
 
-// byZone sorts the VMs that count into their zones.
+// byZone groups the VMs that are not gone by zone.
 func byZone(vms []*pb.Vm) map[string][]*pb.Vm {
 	zones := make(map[string][]*pb.Vm)
 	for _, vm := range vms {
@@ -110,7 +114,8 @@
 	return zones
 }
 
-// connectionBudget returns how many connections to one leaf all members may hold together, at least 1.
+// connectionBudget returns how many connections to one leaf all members of all zones may hold together,
+// at least 1.
 func connectionBudget(s *bundle.Service) int {
 	limit := 0
 	for _, l := range s.Leaves {
@@ -121,8 +126,9 @@
 	return max(1, limit*budgetNumerator/budgetDenominator)
 }
 
-// quotaAndConnections returns the most members of a zone and the connections of a member to a leaf. The quota is
-// at least 1; servedZones sees to the budget where there are more zones than connections.
+// quotaAndConnections returns the maximum number of positions in a zone and the number of connections of a
+// member to a leaf. The quota is at least 1 where there are VMs. Where there are more zones than
+// connections, servedZones keeps to the budget.
 func quotaAndConnections(zones map[string][]*pb.Vm, budget int) (quota, connections int) {
 	total, largest := 0, 0
 	for _, zoneVMs := range zones {
@@ -139,7 +145,7 @@
 	return quota, 1
 }
 
-// positionCount returns the number of members over all zones for a quota.
+// positionCount returns the number of positions in all zones for a quota.
 func positionCount(zones map[string][]*pb.Vm, quota int) int {
 	n := 0
 	for _, zoneVMs := range zones {
@@ -148,8 +154,8 @@
 	return n
 }
 
-// servedZones returns the zones that have members: all, unless there are more zones than
-// connections; then the first by rendezvous order.
+// servedZones returns the zones that have members: all of them, or, where there are more zones than
+// connections in the budget, the first ones in rendezvous order.
 func servedZones(s *bundle.Service, zones map[string][]*pb.Vm, budget int) map[string]bool {
 	names := make([]string, 0, len(zones))
 	for name := range zones {
@@ -166,8 +172,8 @@
 	return served
 }
 
-// rendezvousOrder returns a zone's VMs in the order in which they serve the service. The order of two
-// VMs doesn't depend on which others there are.
+// rendezvousOrder returns a zone's VMs in the order in which they are chosen for the service. The order of
+// two VMs doesn't depend on the other VMs.
 func rendezvousOrder(service, zone string, vms []*pb.Vm) []*pb.Vm {
 	scores := make(map[string]uint64, len(vms))
 	for _, vm := range vms {
@@ -181,7 +187,8 @@
 	return ordered
 }
 
-// selectMembers returns the members among a zone's ordered VMs.
+// selectMembers returns the members among a zone's ordered VMs: those at the first quota positions that
+// are not leaving, or, where all of those are, the next VM that is not.
 func selectMembers(ordered []*pb.Vm, quota int) []*pb.Vm {
 	var members []*pb.Vm
 	for i, vm := range ordered {
@@ -195,5 +202,6 @@
 	return members
 }
 
-// score hashes the parts of a key. Names hold no zero byte, so no two keys run together.
+// score returns the hash of a key's parts. Names contain no zero byte, so different keys can't be joined
+// to the same text.
 func score(parts ...string) uint64 { return xxhash.Sum64String(strings.Join(parts, "\x00")) }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -20,7 +20,7 @@
 	return s
 }
 
-// fleet returns live VMs, as many in each zone as the sizes say.
+// fleet returns live VMs; sizes holds the number of VMs in each zone.
 func fleet(sizes ...int) []*pb.Vm {
 	var vms []*pb.Vm
 	for z, n := range sizes {
@@ -50,16 +50,17 @@
 		name  string
 		limit int
 		sizes []int
-		// members of the first zone, connections of each, sharers over all zones.
+		// members is the number of members of the first zone, connections that of each member's
+		// connections to a leaf, and sharers that of the sharers in all zones.
 		members, connections, sharers int
 	}{
 		{"today, 8 VMs", 30, []int{3, 3, 2}, 3, 2, 8},
 		{"today, 6 VMs", 30, []int{2, 2, 2}, 2, 2, 6},
-		{"more connections bring nothing", 100, []int{3, 3, 2}, 3, 2, 8},
-		{"one too many for two each", 30, []int{4, 4, 3}, 4, 1, 11},
+		{"no more than two connections each", 100, []int{3, 3, 2}, 3, 2, 8},
+		{"one VM too many for two each", 30, []int{4, 4, 3}, 4, 1, 11},
 		{"all members with one each", 30, []int{7, 7, 6}, 7, 1, 20},
 		{"subset", 30, []int{8, 8, 8}, 6, 1, 18},
-		{"small zone leaves its places to the others", 30, []int{19, 2}, 18, 1, 20},
+		{"small zone leaves its positions to the others", 30, []int{19, 2}, 18, 1, 20},
 		{"two years, 4 zones", 30, []int{133, 133, 132, 132}, 5, 1, 20},
 		{"two years, 2 regions of 4 zones", 30, []int{67, 67, 66, 66, 66, 66, 66, 66}, 2, 1, 16},
 		{"limit below the zones", 3, []int{9}, 2, 1, 2},
@@ -77,7 +78,7 @@
 
 func TestPositionsOfSuspectLeavingAndGoneVMs(t *testing.T) {
 	is := is.New(t)
-	s := service(3) // two connections in all, so two places
+	s := service(3) // two connections in all, so two positions
 	all := rendezvousOrder(s.Name, zoneName(0), fleet(4))
 	planWith := func(states ...pb.VmState) Plan {
 		var vms []*pb.Vm
@@ -92,10 +93,10 @@
 
 	is.Equal(ids(planWith(live, live, live, live)), map[string]bool{first: true, second: true})
 	p := planWith(suspect, live, live, live)
-	is.Equal(ids(p), map[string]bool{first: true, second: true}) // a suspect keeps its place
-	is.Equal(len(p.Usable()), 1)                                 // but takes no work
+	is.Equal(ids(p), map[string]bool{first: true, second: true}) // a suspect VM keeps its position
+	is.Equal(len(p.Usable()), 1)                                 // but receives no work
 	is.Equal(len(planWith(suspect, suspect, live, live).Usable()), 2)
-	is.Equal(ids(planWith(leaving, live, live, live)), map[string]bool{second: true}) // its place stays empty
+	is.Equal(ids(planWith(leaving, live, live, live)), map[string]bool{second: true}) // its position stays empty
 	is.Equal(ids(planWith(leaving, leaving, live, live)), map[string]bool{third: true})
 	is.Equal(ids(planWith(gone, live, live, live)), map[string]bool{second: true, third: true})
 }
@@ -114,7 +115,7 @@
 			t.Fatalf("%d connections of a limit of %d", used, limit)
 		}
 		if used == 0 {
-			t.Fatal("nobody serves")
+			t.Fatal("no VM serves")
 		}
 	})
 }
@@ -141,13 +142,13 @@
 			a := ids(For(service(limit), zoneName(zone), before))
 			b := ids(For(service(limit), zoneName(zone), after))
 			if n := moved(a, b); n > 1 {
-				t.Fatalf("%d places moved in zone %d by one VM in zone %d", n, zone, z)
+				t.Fatalf("%d members changed in zone %d by one VM in zone %d", n, zone, z)
 			}
 		}
 	})
 }
 
-// moved returns how many VMs joined or left, whichever is more: a swap is one move.
+// moved returns how many VMs joined or left, whichever is more, so that a replacement counts as one.
 func moved(a, b map[string]bool) int {
 	joined, left := 0, 0
 	for id := range b {
