--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -14,96 +14,97 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// Clock gives the time; time.Now in the running process.
+// Clock returns the time; it is time.Now in the running process.
 type Clock func() time.Time
 
-// Request is what the decision about one request rests on.
+// Request holds the properties of a request on which its admission depends.
 type Request struct {
 	Service string
 	Kind    *bundle.Kind
 	Caller  *bundle.Caller
 }
 
-// Controller admits requests for all services. It is safe for concurrent use.
+// Controller admits the requests of all services. It is safe for concurrent use.
 type Controller struct {
 	settings Settings
 	clock    Clock
 	random   Random
 	callers  *callers
 	metrics  *metrics
-	// kept is the bundle by which unused state was last dropped.
-	kept atomic.Pointer[bundle.Bundle]
+	// pruned is the bundle of the last call to Prune.
+	pruned atomic.Pointer[bundle.Bundle]
 
 	mu sync.Mutex
-	// doors is guarded by mu.
-	doors map[string]*door
+	// limiters holds the limiter of each service; it is guarded by mu.
+	limiters map[string]*syncLimiter
 }
 
-// door is a gate with what serializes it and the timer of its next expiry.
-type door struct {
+// syncLimiter is a limiter with the mutex that serializes its calls and the timer of its next expiry.
+type syncLimiter struct {
 	clock  Clock
 	gauges gauges
 
 	mu sync.Mutex
-	// gate and timer are guarded by mu.
-	gate  *gate
-	timer *time.Timer
+	// limiter and timer are guarded by mu.
+	limiter *limiter
+	timer   *time.Timer
 }
 
-// New returns a controller that has admitted nothing.
+// New returns a Controller without requests that registers its metrics with reg.
 func New(s Settings, reg prometheus.Registerer, clock Clock, random Random) *Controller {
 	return &Controller{
 		settings: s, clock: clock, random: random, callers: newCallers(s, random),
-		metrics: newMetrics(reg), doors: make(map[string]*door),
+		metrics: newMetrics(reg), limiters: make(map[string]*syncLimiter),
 	}
 }
 
-// Slot is the right to run one request. Done has to be called once.
+// Slot is the permission to run one request. Done must be called exactly once.
 type Slot struct {
-	door    *door
+	limiter *syncLimiter
 	kind    string
 	started time.Time
 }
 
-// Admit waits for the right to run. The error says why not, and is final; it comes at once, also when
-// the caller goes away or the time left no longer suffices. ctx must have a deadline.
+// Admit waits until the request may run and returns its slot. The error says why the request is refused,
+// and is final. Admit returns it as soon as the refusal is certain, also when the caller goes away or
+// the remaining time no longer suffices. ctx must have a deadline.
 func (c *Controller) Admit(ctx context.Context, r Request) (*Slot, *outcome.Error) {
 	now := c.clock()
 	if err := c.callers.take(now, r.Caller); err != nil {
 		c.metrics.refused(r, err)
 		return nil, err
 	}
-	d := c.door(r.Service)
+	sl := c.limiterOf(r.Service)
 	w := newWaiter(ctx, r, now)
-	d.arrive(w)
-	err := d.await(ctx, w)
+	sl.arrive(w)
+	err := sl.await(ctx, w)
 	ended := c.clock()
 	c.metrics.waited.WithLabelValues(r.Service).Observe(ended.Sub(now).Seconds())
 	if err != nil {
 		c.metrics.refused(r, err)
 		return nil, err
 	}
-	return &Slot{door: d, kind: r.Kind.Name, started: ended}, nil
+	return &Slot{limiter: sl, kind: r.Kind.Name, started: ended}, nil
 }
 
-// Done ends the request.
+// Done reports how the request ended and frees the slot.
 func (s *Slot) Done(r Result) {
-	now := s.door.clock()
-	s.door.with(func(g *gate) { g.ended(now, s.kind, now.Sub(s.started), r) })
+	now := s.limiter.clock()
+	s.limiter.with(func(l *limiter) { l.finish(now, s.kind, now.Sub(s.started), r) })
 }
 
-// Keep drops the state of callers and services that the bundle doesn't name. It is cheap where the
-// bundle is the same as before.
-func (c *Controller) Keep(b *bundle.Bundle) {
-	if c.kept.Swap(b) == b {
+// Prune drops the state of callers that are not in the bundle, and of services that are not in it and
+// have no requests. It returns immediately if the bundle is the one of the last call.
+func (c *Controller) Prune(b *bundle.Bundle) {
+	if c.pruned.Swap(b) == b {
 		return
 	}
-	c.callers.keep(b)
+	c.callers.prune(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, d := range c.doors {
-		if b.Services[name] == nil && d.idle() {
-			delete(c.doors, name)
+	for name, sl := range c.limiters {
+		if b.Services[name] == nil && sl.idle() {
+			delete(c.limiters, name)
 		}
 	}
 }
@@ -112,64 +113,65 @@
 	deadline, _ := ctx.Deadline()
 	return &waiter{
 		caller: r.Caller.Name, share: float64(max(1, r.Caller.Share)), kind: r.Kind.Name, weight: r.Kind.Weight,
-		arrived: now, deadline: deadline, verdict: make(chan verdict, 1),
+		arrived: now, deadline: deadline, decision: make(chan decision, 1),
 	}
 }
 
-// door returns the service's door.
-func (c *Controller) door(service string) *door {
+// limiterOf returns the service's limiter and creates it on first use.
+func (c *Controller) limiterOf(service string) *syncLimiter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.doors[service]
-	if d == nil {
-		d = &door{clock: c.clock, gauges: c.metrics.gauges(service), gate: newGate(c.settings, c.random)}
-		d.timer = time.AfterFunc(time.Hour, d.expire)
-		d.timer.Stop()
-		c.doors[service] = d
+	sl := c.limiters[service]
+	if sl == nil {
+		sl = &syncLimiter{clock: c.clock, gauges: c.metrics.gauges(service), limiter: newLimiter(c.settings, c.random)}
+		sl.timer = time.AfterFunc(time.Hour, sl.expire)
+		sl.timer.Stop()
+		c.limiters[service] = sl
 	}
-	return d
+	return sl
 }
 
-func (d *door) arrive(w *waiter) {
-	d.with(func(g *gate) { g.arrive(w.arrived, w) })
+func (sl *syncLimiter) arrive(w *waiter) {
+	sl.with(func(l *limiter) { l.arrive(w.arrived, w) })
 }
 
-func (d *door) expire() {
-	now := d.clock()
-	d.with(func(g *gate) { g.expire(now) })
+func (sl *syncLimiter) expire() {
+	now := sl.clock()
+	sl.with(func(l *limiter) { l.expire(now) })
 }
 
-// with runs f on the gate, then sets the timer and the gauges by what f left.
-func (d *door) with(f func(*gate)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f(d.gate)
-	now := d.clock()
-	if at, some := d.gate.nextExpiry(now); some {
-		d.timer.Reset(max(at.Sub(now), timerFloor))
+// with runs f on the limiter under mu, then sets the timer and the gauges from the limiter's new state.
+func (sl *syncLimiter) with(f func(*limiter)) {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	f(sl.limiter)
+	now := sl.clock()
+	if at, ok := sl.limiter.nextExpiry(now); ok {
+		sl.timer.Reset(max(at.Sub(now), minTimerDelay))
 	} else {
-		d.timer.Stop()
+		sl.timer.Stop()
 	}
-	d.gauges.show(d.gate)
+	sl.gauges.set(sl.limiter)
 }
 
-// timerFloor keeps a timer whose time is past from firing without a pause.
-const timerFloor = 100 * time.Microsecond
+// minTimerDelay prevents a busy loop of the timer when its time is already past.
+const minTimerDelay = 100 * time.Microsecond
 
-// await returns the decision about w, or the outcome where ctx ends first.
-func (d *door) await(ctx context.Context, w *waiter) *outcome.Error {
+// await waits for the decision about w and returns its refusal, nil where w is admitted. If ctx ends
+// first, it takes w out of the queue and returns the outcome of that.
+func (sl *syncLimiter) await(ctx context.Context, w *waiter) *outcome.Error {
 	select {
-	case v := <-w.verdict:
+	case v := <-w.decision:
 		return v.err
 	case <-ctx.Done():
 	}
 	waiting := false
-	d.with(func(g *gate) { waiting = g.leave(w) })
+	sl.with(func(l *limiter) { waiting = l.cancel(w) })
 	if !waiting {
-		// The decision came at the same moment; a slot goes back unused.
-		if v := <-w.verdict; v.err == nil {
-			now := d.clock()
-			d.with(func(g *gate) { g.ended(now, w.kind, 0, ResultCancelled) })
+		// The decision was made at the same moment; a granted slot is returned unused.
+		if v := <-w.decision; v.err == nil {
+			now := sl.clock()
+			sl.with(func(l *limiter) { l.finish(now, w.kind, 0, ResultCancelled) })
 		}
 	}
 	reason := pb.Reason_REASON_CANCELLED
@@ -179,9 +181,9 @@
 	return outcome.NotRun(reason, step, "the request ended while it waited")
 }
 
-// idle tells whether nothing runs or waits.
-func (d *door) idle() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.gate.inFlight == 0 && d.gate.queue.length == 0
+// idle reports whether no request runs or waits.
+func (sl *syncLimiter) idle() bool {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	return sl.limiter.inFlight == 0 && sl.limiter.queue.length == 0
 }
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -6,79 +6,81 @@
 )
 
 const (
-	// estimateShare is the weight of a new sample.
-	estimateShare = 0.1
-	// estimateHalfLife is how fast an estimate without new samples is forgotten, so that a service
-	// that was slow is tried again.
+	// sampleWeight is the weight of a new sample in the moving averages.
+	sampleWeight = 0.1
+	// estimateHalfLife is the half-life of a lower bound without new samples. The decay lets requests
+	// to a service that was slow through again.
 	estimateHalfLife = time.Second
-	// surelyDeviations is how far below the mean a time must be to count as surely too short.
-	surelyDeviations = 2
+	// minTimeDeviations is how many mean deviations below the mean the lower bound of a time lies.
+	minTimeDeviations = 2
 )
 
-// estimate is the mean and the mean deviation of a time.
+// estimate holds moving averages of a time and of its absolute deviation, in nanoseconds.
 type estimate struct {
 	mean, deviation float64
 	updated         time.Time
 }
 
-// add takes one sample.
+// add adds a sample.
 func (e *estimate) add(now time.Time, d time.Duration) {
 	x := float64(d)
 	if e.updated.IsZero() {
 		e.mean, e.deviation = x, x/2
 	} else {
-		e.deviation += estimateShare * (math.Abs(x-e.mean) - e.deviation)
-		e.mean += estimateShare * (x - e.mean)
+		e.deviation += sampleWeight * (math.Abs(x-e.mean) - e.deviation)
+		e.mean += sampleWeight * (x - e.mean)
 	}
 	e.updated = now
 }
 
-// typical returns the mean, 0 before the first sample.
+// typical returns the mean, or 0 before the first sample.
 func (e *estimate) typical() time.Duration { return time.Duration(e.mean) }
 
-// least returns a time in which a request surely can't be done, 0 where nothing is known.
-func (e *estimate) least(now time.Time) time.Duration {
+// lowerBound returns the time below which a request is assumed not to finish, or 0 before the first
+// sample.
+func (e *estimate) lowerBound(now time.Time) time.Duration {
 	if e.updated.IsZero() {
 		return 0
 	}
 	age := math.Exp2(-float64(now.Sub(e.updated)) / float64(estimateHalfLife))
-	return time.Duration(max(0, e.mean-surelyDeviations*e.deviation) * age)
+	return time.Duration(max(0, e.mean-minTimeDeviations*e.deviation) * age)
 }
 
 const (
-	// rateTime is the time constant of an eventRate.
-	rateTime = time.Second
-	// rateLeast is the shortest time over which a rate is worked out.
-	rateLeast = 50 * time.Millisecond
-	// rateIdle is how long without an event a rate starts anew.
-	rateIdle = 5 * rateTime
+	// rateTimeConstant is the time in which the weight of an event in an eventRate falls to 1/e.
+	rateTimeConstant = time.Second
+	// minRateSpan is the shortest time over which a rate is computed.
+	minRateSpan = 50 * time.Millisecond
+	// rateResetAfter is the time without an event after which a rate starts over.
+	rateResetAfter = 5 * rateTimeConstant
 )
 
-// eventRate counts events a second, forgetting the old.
+// eventRate estimates the events per second, with weights that decay exponentially.
 type eventRate struct {
 	count            float64
 	started, updated time.Time
 }
 
-// add takes one event.
+// add counts one event.
 func (r *eventRate) add(now time.Time) {
-	if r.updated.IsZero() || now.Sub(r.updated) > rateIdle {
+	if r.updated.IsZero() || now.Sub(r.updated) > rateResetAfter {
 		*r = eventRate{started: now}
 	}
-	r.count = r.left(now) + 1
+	r.count = r.decayed(now) + 1
 	r.updated = now
 }
 
-// left returns the weight of the events so far.
-func (r *eventRate) left(now time.Time) float64 {
-	return r.count * math.Exp(-float64(now.Sub(r.updated))/float64(rateTime))
+// decayed returns the sum of the weights that the events so far have at now.
+func (r *eventRate) decayed(now time.Time) float64 {
+	return r.count * math.Exp(-float64(now.Sub(r.updated))/float64(rateTimeConstant))
 }
 
-// at returns the events a second, over the time since the first where that is short.
-func (r *eventRate) at(now time.Time) float64 {
+// perSecond returns the events per second. Shortly after the first event it corrects for the short time
+// of observation.
+func (r *eventRate) perSecond(now time.Time) float64 {
 	if r.updated.IsZero() {
 		return 0
 	}
-	age := max(rateLeast, now.Sub(r.started))
-	return r.left(now) / (rateTime.Seconds() * (1 - math.Exp(-float64(age)/float64(rateTime))))
+	age := max(minRateSpan, now.Sub(r.started))
+	return r.decayed(now) / (rateTimeConstant.Seconds() * (1 - math.Exp(-float64(age)/float64(rateTimeConstant))))
 }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -10,289 +10,295 @@
 const step = "entry.admission"
 
 const (
-	// fewWaiting is how many requests should wait under overload at the least, so that a freed slot
-	// finds work that the rations let in.
-	fewWaiting = 3
-	// calmAfter is how many times OverloadAfter must pass without a refusal for load until the
+	// minWaiting is the least number of requests that should wait under overload, so that a freed slot
+	// finds a request that the quotas let in.
+	minWaiting = 3
+	// overloadEndFactor times OverloadAfter is how long no request must be refused for load until the
 	// overload counts as over.
-	calmAfter = 10
+	overloadEndFactor = 10
 )
 
 // Result says how an admitted request ended.
 type Result int
 
 const (
-	// ResultOK is an answer, whole or partial, that lacks nothing for load.
+	// ResultOK is a complete answer, or a partial one that lacks no shard because of load.
 	ResultOK Result = iota
-	// ResultShort is an answer that lacks shards for load.
-	ResultShort
-	// ResultOverload is a refusal for load.
+	// ResultPartialOverload is an answer that lacks shards because of load.
+	ResultPartialOverload
+	// ResultOverload is a refusal because of load.
 	ResultOverload
-	// ResultDeadline is a request that ran out of time.
+	// ResultDeadline is a request whose deadline passed.
 	ResultDeadline
-	// ResultFailed is any other failure; it says nothing of load.
+	// ResultFailed is any other failure; it gives no information about load.
 	ResultFailed
 	// ResultCancelled is a request whose caller went away.
 	ResultCancelled
 )
 
-// verdict is the decision about one request: refused where err is set.
-type verdict struct{ err *outcome.Error }
+// decision is the decision about one request: admitted where err is nil, else refused.
+type decision struct{ err *outcome.Error }
 
-// Random gives a number in [0,1).
+// Random returns a number in [0,1).
 type Random func() float64
 
-// gate admits the requests of one service. It is pure: calls give the time, and decisions go into the
-// waiters' channels, which have room. The caller serializes calls.
-type gate struct {
+// limiter admits the requests of one service. It has no clock and no goroutine: each call passes the
+// time, and decisions go into the waiters' channels, which have room, so that a send never blocks. The
+// caller serializes the calls.
+type limiter struct {
 	settings Settings
 	random   Random
-	limit    *limit
+	limit    *concurrencyLimit
 	inFlight int
 	queue    *queue
-	// took estimates the time of each kind, and all of them together.
-	took map[string]*estimate
-	all  estimate
-	// drained counts ends other than refusals for load; saturated is when the limit was last reached from below, zero below it.
-	drained   eventRate
-	saturated time.Time
-	returns   returns
-	// rations hold under overload, which began at overload, zero while there is none; excess is when
-	// a request was last refused for load.
-	rations  rations
-	overload time.Time
-	excess   time.Time
+	// byKind holds the estimated time of each kind, and overall that of all kinds together.
+	byKind  map[string]*estimate
+	overall estimate
+	// completions counts the requests that ended, without those refused for load or cancelled.
+	// saturatedSince is when the requests in flight last reached the limit, zero while they are below
+	// it.
+	completions    eventRate
+	saturatedSince time.Time
+	retries        retrySchedule
+	// quotas apply under overload. overloadSince is when overload began, zero while there is none;
+	// lastLoadRefusal is when a request was last refused for load, or overload began if that is later.
+	quotas          quotaTable
+	overloadSince   time.Time
+	lastLoadRefusal time.Time
 }
 
-func newGate(s Settings, random Random) *gate {
-	return &gate{
-		settings: s, random: random, limit: newLimit(s), queue: &queue{},
-		took: make(map[string]*estimate), returns: returns{most: s.MaxRetryAfter.D()},
+func newLimiter(s Settings, random Random) *limiter {
+	return &limiter{
+		settings: s, random: random, limit: newConcurrencyLimit(s), queue: &queue{},
+		byKind: make(map[string]*estimate), retries: retrySchedule{maxWait: s.MaxRetryAfter.D()},
 	}
 }
 
-// arrive takes a request in: it runs, waits or is refused.
-func (g *gate) arrive(now time.Time, w *waiter) {
-	g.watch(now)
-	g.expire(now)
-	w.cost = g.cost(w.kind)
-	if err := g.refusal(now, w); err != nil {
-		w.verdict <- verdict{err: err}
+// arrive handles a new request: it is admitted, queued or refused.
+func (l *limiter) arrive(now time.Time, w *waiter) {
+	l.updateOverload(now)
+	l.expire(now)
+	w.cost = l.cost(w.kind)
+	if err := l.refusal(now, w); err != nil {
+		w.decision <- decision{err: err}
 		return
 	}
-	g.queue.push(now, w)
-	g.admit(now)
-	if g.queue.length > 0 {
-		g.limit.used()
+	l.queue.push(now, w)
+	l.admit(now)
+	if l.queue.length > 0 {
+		l.limit.markSaturated()
 	}
 }
 
-// refusal returns why the request is refused at the door, or nil. In a full queue another may have to
-// go in its place.
-func (g *gate) refusal(now time.Time, w *waiter) *outcome.Error {
-	asked := g.rations.seen(now, w)
-	if g.inFlight < g.limit.slots() && g.queue.length == 0 {
-		return g.hopeless(now, w, 0)
+// refusal returns the refusal of a request on arrival, or nil. Where the queue is full, another request
+// may be refused in its place.
+func (l *limiter) refusal(now time.Time, w *waiter) *outcome.Error {
+	quota := l.quotas.record(now, w)
+	if l.inFlight < l.limit.slots() && l.queue.length == 0 {
+		return l.refuseTooLate(now, w, 0)
 	}
-	if g.overloaded() {
-		g.rations.work(now, g.capacity(now))
-		if !asked.take(now) {
-			return g.full(now, "more is asked for than can be done")
+	if l.overloaded() {
+		l.quotas.reallocate(now, l.capacity(now))
+		if !quota.take(now) {
+			return l.refuseForLoad(now, "more is asked for than can be done")
 		}
 	}
-	wait := g.wait(now, w)
-	if err := g.hopeless(now, w, wait); err != nil {
+	wait := l.estimateWait(now, w)
+	if err := l.refuseTooLate(now, w, wait); err != nil {
 		return err
 	}
-	if wait > g.settings.MaxWait.D() {
-		return g.full(now, "the wait would be longer than allowed")
+	if wait > l.settings.MaxWait.D() {
+		return l.refuseForLoad(now, "the wait would be longer than allowed")
 	}
-	if g.queue.length < g.settings.Queue {
+	if l.queue.length < l.settings.Queue {
 		return nil
 	}
-	out := g.queue.displace(w)
-	if out == nil {
-		return g.full(now, "the queue is full")
+	displaced := l.queue.displace(w)
+	if displaced == nil {
+		return l.refuseForLoad(now, "the queue is full")
 	}
-	out.verdict <- verdict{err: g.full(now, "a request that goes first took the place")}
+	displaced.decision <- decision{err: l.refuseForLoad(now, "a request that goes first took the place")}
 	return nil
 }
 
-// capacity returns how many requests a second are let in under overload: about as many as end, more
-// while fewer wait than should, less while more do.
-func (g *gate) capacity(now time.Time) float64 {
-	drain := g.drained.at(now)
-	want := max(fewWaiting, drain*g.settings.OverloadWait.D().Seconds())
-	short := (want - float64(g.queue.length)) / want
-	return drain * (1 + rationSwing*max(-1, short))
+// capacity returns how many requests per second are let in under overload: about as many as complete,
+// more while the queue is below its target length and fewer while it is above.
+func (l *limiter) capacity(now time.Time) float64 {
+	drain := l.completions.perSecond(now)
+	target := max(minWaiting, drain*l.settings.OverloadWait.D().Seconds())
+	shortfall := (target - float64(l.queue.length)) / target
+	return drain * (1 + capacitySwing*max(-1, shortfall))
 }
 
-// hopeless refuses a request that can't be done in the time it has left, after the given wait.
-func (g *gate) hopeless(now time.Time, w *waiter, wait time.Duration) *outcome.Error {
-	if left := w.deadline.Sub(now); left > 0 && left >= wait+g.least(now, w.kind) {
+// refuseTooLate returns the refusal of a request that can't finish before its deadline after the given
+// wait, or nil.
+func (l *limiter) refuseTooLate(now time.Time, w *waiter, wait time.Duration) *outcome.Error {
+	if remaining := w.deadline.Sub(now); remaining > 0 && remaining >= wait+l.minTime(now, w.kind) {
 		return nil
 	}
 	e := outcome.NotRun(pb.Reason_REASON_DEADLINE, step, "the time left is too short for the work")
-	return e.WithRetryAfter(g.comeBack(now))
+	return e.WithRetryAfter(l.retryAfter(now))
 }
 
-// full refuses a request for load.
-func (g *gate) full(now time.Time, why string) *outcome.Error {
-	g.excess = now
-	return outcome.NotRun(pb.Reason_REASON_QUEUE_FULL, step, "%s", why).WithRetryAfter(g.comeBack(now))
+// refuseForLoad returns a refusal because of load and records its time.
+func (l *limiter) refuseForLoad(now time.Time, why string) *outcome.Error {
+	l.lastLoadRefusal = now
+	return outcome.NotRun(pb.Reason_REASON_QUEUE_FULL, step, "%s", why).WithRetryAfter(l.retryAfter(now))
 }
 
-// comeBack returns when a refused caller should come back.
-func (g *gate) comeBack(now time.Time) time.Duration {
-	return g.returns.after(now, g.queue.length, g.drain(now), g.random())
+// retryAfter returns the time after which a refused caller should retry.
+func (l *limiter) retryAfter(now time.Time) time.Duration {
+	return l.retries.retryAfter(now, l.queue.length, l.drainRate(now), l.random())
 }
 
-// admit lets waiting requests run while there are slots.
-func (g *gate) admit(now time.Time) {
-	for g.inFlight < g.limit.slots() {
-		w := g.next()
+// admit admits waiting requests while there are free slots.
+func (l *limiter) admit(now time.Time) {
+	for l.inFlight < l.limit.slots() {
+		w := l.next()
 		if w == nil {
 			break
 		}
-		g.inFlight++
-		w.verdict <- verdict{}
+		l.inFlight++
+		w.decision <- decision{}
 	}
 	switch {
-	case g.inFlight < g.limit.slots():
-		g.saturated = time.Time{}
-	case g.saturated.IsZero():
-		g.saturated = now
+	case l.inFlight < l.limit.slots():
+		l.saturatedSince = time.Time{}
+	case l.saturatedSince.IsZero():
+		l.saturatedSince = now
 	}
 }
 
-// next takes the next request out of the queue. Under overload the rations have chosen by weight and
-// share already, and what they let in goes in the order in which it came: an order by weight would let
-// the lighter ones wait in vain.
-func (g *gate) next() *waiter {
-	if g.overloaded() {
-		return g.queue.popOldest()
+// next removes the next request from the queue. Under overload the quotas have already selected by
+// weight and share, and the requests they let in run in order of arrival: an order by weight would let
+// the lighter ones wait until they expire.
+func (l *limiter) next() *waiter {
+	if l.overloaded() {
+		return l.queue.popOldest()
 	}
-	return g.queue.pop()
+	return l.queue.pop()
 }
 
-// ended takes the end of a request that was admitted. took is 0 where it never ran.
-func (g *gate) ended(now time.Time, kind string, took time.Duration, r Result) {
-	g.inFlight--
-	if r == ResultOK || r == ResultShort || r == ResultDeadline {
-		g.estimateOf(kind).add(now, took)
-		g.all.add(now, took)
+// finish records the end of an admitted request. elapsed is 0 where it never ran.
+func (l *limiter) finish(now time.Time, kind string, elapsed time.Duration, r Result) {
+	l.inFlight--
+	if r == ResultOK || r == ResultPartialOverload || r == ResultDeadline {
+		l.estimateOf(kind).add(now, elapsed)
+		l.overall.add(now, elapsed)
 	}
 	if r != ResultOverload && r != ResultCancelled {
-		g.drained.add(now)
+		l.completions.add(now)
 	}
-	g.limit.ended(now, r)
-	g.watch(now)
-	g.expire(now)
-	g.admit(now)
+	l.limit.observe(now, r)
+	l.updateOverload(now)
+	l.expire(now)
+	l.admit(now)
 }
 
-// leave takes out a request whose caller went away, and tells whether it still waited.
-func (g *gate) leave(w *waiter) bool { return g.queue.remove(w) }
+// cancel removes a request whose caller went away, and reports whether it was still waiting.
+func (l *limiter) cancel(w *waiter) bool { return l.queue.remove(w) }
 
-// expire refuses the waiting requests whose time is up.
-func (g *gate) expire(now time.Time) {
-	var gone []*waiter
-	g.queue.each(func(w *waiter) {
-		if !now.Before(g.expiry(now, w)) {
-			gone = append(gone, w)
+// expire refuses the waiting requests whose time in the queue is over.
+func (l *limiter) expire(now time.Time) {
+	var expired []*waiter
+	l.queue.each(func(w *waiter) {
+		if !now.Before(l.expiry(now, w)) {
+			expired = append(expired, w)
 		}
 	})
-	for _, w := range gone {
-		g.queue.remove(w)
-		w.verdict <- verdict{err: g.expired(now, w)}
+	for _, w := range expired {
+		l.queue.remove(w)
+		w.decision <- decision{err: l.expired(now, w)}
 	}
 }
 
-// expiry returns when the time of a waiting request is up.
-func (g *gate) expiry(now time.Time, w *waiter) time.Time {
-	longest := w.arrived.Add(g.settings.MaxWait.D())
-	if latest := w.deadline.Add(-g.least(now, w.kind)); latest.Before(longest) {
+// expiry returns when a waiting request expires: after the longest wait, or when the remaining time no
+// longer suffices for the work, whichever comes first.
+func (l *limiter) expiry(now time.Time, w *waiter) time.Time {
+	longest := w.arrived.Add(l.settings.MaxWait.D())
+	if latest := w.deadline.Add(-l.minTime(now, w.kind)); latest.Before(longest) {
 		return latest
 	}
 	return longest
 }
 
-// expired is the outcome of a request whose time in the queue is up.
-func (g *gate) expired(now time.Time, w *waiter) *outcome.Error {
-	if err := g.hopeless(now, w, 0); err != nil {
+// expired returns the outcome of a waiting request that expired.
+func (l *limiter) expired(now time.Time, w *waiter) *outcome.Error {
+	if err := l.refuseTooLate(now, w, 0); err != nil {
 		return err
 	}
-	return g.full(now, "no slot came free in the time allowed for waiting")
+	return l.refuseForLoad(now, "no slot came free in the time allowed for waiting")
 }
 
-// nextExpiry returns when expire has to be called next, and whether anything waits.
-func (g *gate) nextExpiry(now time.Time) (next time.Time, some bool) {
-	g.queue.each(func(w *waiter) {
-		if at := g.expiry(now, w); !some || at.Before(next) {
-			next, some = at, true
+// nextExpiry returns when expire must be called next, and whether any request waits.
+func (l *limiter) nextExpiry(now time.Time) (next time.Time, ok bool) {
+	l.queue.each(func(w *waiter) {
+		if at := l.expiry(now, w); !ok || at.Before(next) {
+			next, ok = at, true
 		}
 	})
-	return next, some
+	return next, ok
 }
 
-// watch notes when overload begins, once the queue has stood for too long, and when it ends, once
-// nothing has been refused for load for a while.
-func (g *gate) watch(now time.Time) {
-	after := g.settings.OverloadAfter.D()
+// updateOverload detects overload. It begins when the queue has not been empty for OverloadAfter, and
+// ends when no request has been refused for load for overloadEndFactor times that.
+func (l *limiter) updateOverload(now time.Time) {
+	after := l.settings.OverloadAfter.D()
 	switch {
-	case g.overload.IsZero() && g.queue.standing(now) >= after:
-		g.overload, g.excess = now, now
-	case !g.overload.IsZero() && now.Sub(g.excess) >= calmAfter*after:
-		g.overload = time.Time{}
+	case l.overloadSince.IsZero() && l.queue.nonEmptyFor(now) >= after:
+		l.overloadSince, l.lastLoadRefusal = now, now
+	case !l.overloadSince.IsZero() && now.Sub(l.lastLoadRefusal) >= overloadEndFactor*after:
+		l.overloadSince = time.Time{}
 	}
 }
 
-// overloaded tells whether work comes faster than it is done.
-func (g *gate) overloaded() bool { return !g.overload.IsZero() }
+// overloaded reports whether requests arrive faster than they complete.
+func (l *limiter) overloaded() bool { return !l.overloadSince.IsZero() }
 
-// wait estimates how long a new request waits for a slot.
-func (g *gate) wait(now time.Time, w *waiter) time.Duration {
-	ahead := g.queue.ahead(w.weight)
-	if d := g.drain(now); d > 0 {
+// estimateWait estimates how long a new request waits for a slot.
+func (l *limiter) estimateWait(now time.Time, w *waiter) time.Duration {
+	ahead := l.queue.ahead(w.weight)
+	if d := l.drainRate(now); d > 0 {
 		return time.Duration(float64(ahead) / d * float64(time.Second))
 	}
 	return 0
 }
 
-// drain returns how many requests a second the gate ends when it is busy: as counted where it has
-// been busy for a while, else from its limit and the usual time of a request. 0 is not known.
-func (g *gate) drain(now time.Time) float64 {
-	counted := g.drained.at(now)
-	if !g.saturated.IsZero() && now.Sub(g.saturated) >= rateTime {
+// drainRate returns how many requests per second complete while all slots are in use: as counted where
+// they have been in use for rateTimeConstant, else at least the limit divided by the typical time of a
+// request. 0 means that the rate is not known.
+func (l *limiter) drainRate(now time.Time) float64 {
+	counted := l.completions.perSecond(now)
+	if !l.saturatedSince.IsZero() && now.Sub(l.saturatedSince) >= rateTimeConstant {
 		return counted
 	}
-	if t := g.all.typical(); t > 0 {
-		return max(counted, g.limit.value/t.Seconds())
+	if t := l.overall.typical(); t > 0 {
+		return max(counted, l.limit.value/t.Seconds())
 	}
 	return counted
 }
 
-// estimateOf returns the estimate of a kind.
-func (g *gate) estimateOf(kind string) *estimate {
-	e := g.took[kind]
+// estimateOf returns the estimate of a kind and creates it on first use.
+func (l *limiter) estimateOf(kind string) *estimate {
+	e := l.byKind[kind]
 	if e == nil {
 		e = &estimate{}
-		g.took[kind] = e
+		l.byKind[kind] = e
 	}
 	return e
 }
 
-// least returns a time in which a request of the kind surely can't be done.
-func (g *gate) least(now time.Time, kind string) time.Duration {
-	return g.estimateOf(kind).least(now)
+// minTime returns the time below which a request of the kind is assumed not to finish.
+func (l *limiter) minTime(now time.Time, kind string) time.Duration {
+	return l.estimateOf(kind).lowerBound(now)
 }
 
-// defaultCost, in seconds, is charged for a kind of which nothing is known.
+// defaultCost, in seconds, is the cost of a kind without samples.
 const defaultCost = 0.01
 
-// cost returns what a request of the kind takes of its caller's share.
-func (g *gate) cost(kind string) float64 {
-	if t := g.estimateOf(kind).typical(); t > 0 {
+// cost returns the slot time, in seconds, that a request of the kind is charged to its caller.
+func (l *limiter) cost(kind string) float64 {
+	if t := l.estimateOf(kind).typical(); t > 0 {
 		return t.Seconds()
 	}
 	return defaultCost
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -7,39 +7,40 @@
 
 // queue holds the waiting requests of one service by weight, heaviest first.
 type queue struct {
-	classes []*class
+	classes []*weightClass
 	length  int
-	// filledAt is when the queue was last empty.
-	filledAt time.Time
+	// nonEmptySince is when the queue last became non-empty.
+	nonEmptySince time.Time
 }
 
-// classOf returns the class of the weight.
-func (q *queue) classOf(weight int) *class {
-	i, found := slices.BinarySearchFunc(q.classes, weight, func(c *class, w int) int { return w - c.weight })
+// classOf returns the class of the weight and creates it on first use.
+func (q *queue) classOf(weight int) *weightClass {
+	i, found := slices.BinarySearchFunc(q.classes, weight, func(c *weightClass, w int) int { return w - c.weight })
 	if !found {
-		q.classes = slices.Insert(q.classes, i, &class{weight: weight})
+		q.classes = slices.Insert(q.classes, i, &weightClass{weight: weight})
 	}
 	return q.classes[i]
 }
 
-// push adds a waiter.
+// push adds a request.
 func (q *queue) push(now time.Time, w *waiter) {
 	if q.length == 0 {
-		q.filledAt = now
+		q.nonEmptySince = now
 	}
 	q.classOf(w.weight).push(w)
 	q.length++
 }
 
-// standing returns how long the queue has not been empty.
-func (q *queue) standing(now time.Time) time.Duration {
+// nonEmptyFor returns how long the queue has not been empty, 0 where it is.
+func (q *queue) nonEmptyFor(now time.Time) time.Duration {
 	if q.length == 0 {
 		return 0
 	}
-	return now.Sub(q.filledAt)
+	return now.Sub(q.nonEmptySince)
 }
 
-// pop takes the next request out: the heaviest first, callers in turn; nil where none waits.
+// pop removes and returns the next request, from the heaviest class and by fair queueing among its
+// callers, or nil where none waits.
 func (q *queue) pop() *waiter {
 	for _, c := range q.classes {
 		if c.length > 0 {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// popOldest takes out the request that came first.
+// popOldest removes and returns the request that arrived first, or nil where none waits.
 func (q *queue) popOldest() *waiter {
 	var oldest *waiter
 	q.each(func(w *waiter) {
@@ -64,8 +65,8 @@
 	return oldest
 }
 
-// lightest returns the lightest class with requests.
-func (q *queue) lightest() *class {
+// lightest returns the lightest class with requests, or nil.
+func (q *queue) lightest() *weightClass {
 	for i := len(q.classes) - 1; i >= 0; i-- {
 		if q.classes[i].length > 0 {
 			return q.classes[i]
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// ahead returns how many wait that go before a request of the weight.
+// ahead returns how many waiting requests run before a new one of the weight.
 func (q *queue) ahead(weight int) int {
 	n := 0
 	for _, c := range q.classes {
@@ -85,24 +86,24 @@
 	return n
 }
 
-// displace makes room in a full queue for w: the oldest request of the caller with the most waiting in
-// the lightest class leaves. It returns nil where w itself is the one to go, as it is where its own
-// caller would then have as much waiting as the other.
+// displace makes room for w in a full queue: it removes and returns the oldest request of the caller with
+// the highest backlog in the lightest class. It returns nil where w itself is to be refused: where w is
+// lighter than that class, or is of that class and its caller would then have at least that backlog.
 func (q *queue) displace(w *waiter) *waiter {
 	c := q.lightest()
 	if c == nil || c.weight > w.weight {
 		return nil
 	}
-	l := c.fullest()
-	if c.weight == w.weight && l.surplus() <= c.surplusWith(w) {
+	longest := c.longestBacklog()
+	if c.weight == w.weight && longest.backlog() <= c.backlogWith(w) {
 		return nil
 	}
-	out := l.waiting[0]
-	q.remove(out)
-	return out
+	displaced := longest.waiting[0]
+	q.remove(displaced)
+	return displaced
 }
 
-// remove takes the waiter out, and tells whether it was there.
+// remove removes the request, and reports whether it was there.
 func (q *queue) remove(w *waiter) bool {
 	if !q.classOf(w.weight).remove(w) {
 		return false
@@ -111,11 +112,11 @@
 	return true
 }
 
-// each calls f with every waiter.
+// each calls f for each waiting request.
 func (q *queue) each(f func(*waiter)) {
 	for _, c := range q.classes {
-		for _, l := range c.lines {
-			for _, w := range l.waiting {
+		for _, cq := range c.callers {
+			for _, w := range cq.waiting {
 				f(w)
 			}
 		}
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -12,13 +12,13 @@
 	"github.com/matryer/is"
 )
 
-// event is something that happens at a time of the simulation.
+// event is a function that runs at a time of the simulation.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// events are ordered by time.
+// events is a heap ordered by time.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -32,20 +32,20 @@
 	return x
 }
 
-// stream is what one caller sends of one weight, as a share of all that is sent.
+// stream holds the requests of one weight of one caller; share is their share of all requests.
 type stream struct {
 	caller string
 	weight int
-	part   float64
-	// sent, done, shed and the waits of the refused are counted after the start.
+	share  float64
+	// sent, done, shed and the waits of the refused requests are counted from simStart on.
 	sent, done, shed int
 	waits            []time.Duration
 }
 
-// simulation runs a gate against a service with so many slots and a queue, which sheds beyond, in its
-// own time.
+// simulation runs a limiter with simulated time against a service with the given slots and a queue. The
+// service sheds requests that find the queue full.
 type simulation struct {
-	*bench
+	*harness
 	slots, running int
 	queue          []func()
 	random         *rand.Rand
@@ -57,12 +57,12 @@
 const (
 	simService = 30 * time.Millisecond
 	simSigma   = 0.3
-	simQueue   = 2 // for each slot
+	simQueue   = 2 // requests per slot
 	simStart   = 2 * time.Second
 	simEnd     = 8 * time.Second
 )
 
-// capacityOf returns how many requests a second the service can do.
+// capacityOf returns how many requests per second the service completes at most.
 func capacityOf(slots int) float64 {
 	return float64(slots) / (simService.Seconds() * math.Exp(simSigma*simSigma/2))
 }
@@ -79,28 +79,28 @@
 		}
 		w := &waiter{
 			caller: x.caller, share: 1, kind: "k", weight: x.weight, arrived: s.now,
-			deadline: s.now.Add(500 * time.Millisecond), verdict: make(chan verdict, 1),
+			deadline: s.now.Add(500 * time.Millisecond), decision: make(chan decision, 1),
 		}
 		s.waiting[w] = x
-		s.gate.arrive(s.now, w)
+		s.limiter.arrive(s.now, w)
 		s.arrivals(x, rate)
 	})
 }
 
-// tick lets waits run out.
-func (s *simulation) tick() {
-	s.gate.expire(s.now)
-	s.after(time.Millisecond, s.tick)
+// expireEachMillisecond expires waiting requests, again after each millisecond.
+func (s *simulation) expireEachMillisecond() {
+	s.limiter.expire(s.now)
+	s.after(time.Millisecond, s.expireEachMillisecond)
 }
 
-// settle takes the decisions that were made.
-func (s *simulation) settle() {
+// applyDecisions runs the requests that were admitted and records those that were refused.
+func (s *simulation) applyDecisions() {
 	for w, x := range s.waiting {
 		if state(w) == "waits" {
 			continue
 		}
 		delete(s.waiting, w)
-		if v := <-w.verdict; v.err == nil {
+		if v := <-w.decision; v.err == nil {
 			s.run(x)
 		} else if s.at >= simStart {
 			x.waits = append(x.waits, s.now.Sub(w.arrived))
@@ -108,12 +108,12 @@
 	}
 }
 
-// run brings an admitted request to the service.
+// run sends an admitted request to the service.
 func (s *simulation) run(x *stream) {
-	came := s.at
+	admitted := s.at
 	serve := func() {
 		s.running++
-		s.after(time.Duration(float64(simService)*math.Exp(simSigma*s.random.NormFloat64())), func() { s.done(x, came) })
+		s.after(time.Duration(float64(simService)*math.Exp(simSigma*s.random.NormFloat64())), func() { s.done(x, admitted) })
 	}
 	switch {
 	case s.running < s.slots:
@@ -122,11 +122,11 @@
 		s.queue = append(s.queue, serve)
 	default:
 		x.shed++
-		s.after(time.Millisecond, func() { s.gate.ended(s.now, "k", time.Millisecond, ResultOverload) })
+		s.after(time.Millisecond, func() { s.limiter.finish(s.now, "k", time.Millisecond, ResultOverload) })
 	}
 }
 
-func (s *simulation) done(x *stream, came time.Duration) {
+func (s *simulation) done(x *stream, admitted time.Duration) {
 	s.running--
 	if len(s.queue) > 0 {
 		serve := s.queue[0]
@@ -136,26 +136,26 @@
 	if s.at >= simStart {
 		x.done++
 	}
-	s.gate.ended(s.now, "k", s.at-came, ResultOK)
+	s.limiter.finish(s.now, "k", s.at-admitted, ResultOK)
 }
 
-// simulate offers the streams at so many times the capacity.
+// simulate sends the streams at the given multiple of the service's capacity.
 func simulate(slots int, over float64, streams []*stream) {
-	g := newGate(DefaultSettings(), func() float64 { return 0 })
+	g := newLimiter(DefaultSettings(), func() float64 { return 0 })
 	s := &simulation{
-		bench: &bench{gate: g, now: time.Unix(0, 0)}, slots: slots,
+		harness: &harness{limiter: g, now: time.Unix(0, 0)}, slots: slots,
 		random: rand.New(rand.NewPCG(1, 2)), waiting: make(map[*waiter]*stream),
 	}
 	start := s.now
 	for _, x := range streams {
-		s.arrivals(x, capacityOf(slots)*over*x.part)
+		s.arrivals(x, capacityOf(slots)*over*x.share)
 	}
-	s.tick()
+	s.expireEachMillisecond()
 	for s.at < simEnd {
 		e := heap.Pop(&s.events).(event)
 		s.at, s.now = e.at, start.Add(e.at)
 		e.do()
-		s.settle()
+		s.applyDecisions()
 	}
 }
 
@@ -164,8 +164,8 @@
 		for _, over := range []float64{0.8, 1.5, 3, 10} {
 			t.Run(fmt.Sprintf("%d slots, %g times", slots, over), func(t *testing.T) {
 				is := is.New(t)
-				desk, flood := &stream{caller: "desk", weight: 10, part: 0.3}, &stream{caller: "flood", weight: 10, part: 0.3}
-				bulk, portal := &stream{caller: "flood", weight: 1, part: 0.3}, &stream{caller: "portal", weight: 1, part: 0.1}
+				desk, flood := &stream{caller: "desk", weight: 10, share: 0.3}, &stream{caller: "flood", weight: 10, share: 0.3}
+				bulk, portal := &stream{caller: "flood", weight: 1, share: 0.3}, &stream{caller: "portal", weight: 1, share: 0.1}
 				simulate(slots, over, []*stream{desk, flood, bulk, portal})
 				done := desk.done + flood.done + bulk.done + portal.done
 				could := capacityOf(slots) * (simEnd - simStart).Seconds()
@@ -174,17 +174,17 @@
 					return
 				}
 				shed := desk.shed + flood.shed + bulk.shed + portal.shed
-				is.True(shed*5 <= done) // what the service has to refuse itself
+				is.True(shed*5 <= done) // few requests are shed by the service itself
 				heavy := min(desk.sent+flood.sent, int(0.85*could))
 				is.True((desk.done+flood.done)*10 >= heavy*9)           // heavier first
 				is.True(desk.done*10 >= flood.done*9)                   // callers by share
-				is.True(float64(portal.done) >= fairShare*could/3*8/10) // and none starves
+				is.True(float64(portal.done) >= fairShare*could/3*8/10) // no caller starves
 				if over < 3 {
-					return // at little above the capacity a few wait in vain
+					return // slightly above the capacity a few requests expire in the queue
 				}
 				waits := slices.Concat(desk.waits, flood.waits, bulk.waits, portal.waits)
 				slices.Sort(waits)
-				is.True(waits[len(waits)*99/100] <= 10*time.Millisecond) // refused at once
+				is.True(waits[len(waits)*99/100] <= 10*time.Millisecond) // refused immediately
 			})
 		}
 	}
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -10,72 +10,75 @@
 )
 
 const (
-	// hedgeQuantile is the share of calls that end before a hedge is sent.
+	// hedgeQuantile is the share of calls that should end before a hedge is sent.
 	hedgeQuantile = 0.95
-	// median is a quantile; hedgeMedians is how many of it a hedge waits for at least.
-	median       = 0.5
-	hedgeMedians = 3
-	// hedgeDefault is the hedge delay before enough calls were measured, hedgeLeast the least.
-	hedgeDefault = 50 * time.Millisecond
-	hedgeLeast   = time.Millisecond
-	// staleLeast is the least part of the other candidate's latency that an estimate is taken for.
-	staleLeast = 0.5
-	// waitFactor is how many times dearer a leaf may be than one at its limit, to be asked in its stead.
-	waitFactor = 3
-	// forgetAfter is how long a leaf is kept that no bundle names any more.
-	forgetAfter = 10 * time.Minute
+	// medianQuantile is the quantile of the median. minHedgeMedians is the least hedge delay, in medians.
+	medianQuantile  = 0.5
+	minHedgeMedians = 3
+	// defaultHedgeDelay is the hedge delay until enough calls were measured, minHedgeDelay the least.
+	defaultHedgeDelay = 50 * time.Millisecond
+	minHedgeDelay     = time.Millisecond
+	// minStaleShare bounds a stale latency estimate from below, as a share of the greater latency of the
+	// two candidates.
+	minStaleShare = 0.5
+	// maxCostRatio is how many times the cost of a leaf at its limit another leaf may cost to be called
+	// instead.
+	maxCostRatio = 3
+	// leafRetention is how long the state of a leaf is kept that no bundle names any more.
+	leafRetention = 10 * time.Minute
 )
 
-// SuspectSooner divides the hedge delay of a call to a suspect leaf.
-const SuspectSooner = 3
+// SuspectHedgeDivisor divides the hedge delay of a call to a suspect leaf.
+const SuspectHedgeDivisor = 3
 
-// NoHedge is a hedge delay longer than any call.
+// NoHedge is a hedge delay longer than any call: no hedge is sent.
 const NoHedge = time.Hour
 
-// Balancer implements Replicas: two random choices by calls in flight and latency, an adaptive
-// limit for each leaf, slow start, hedge delays and budgets.
+// Balancer implements Replicas with the power of two random choices by calls in flight and latency, an
+// adaptive concurrency limit for each leaf, slow start, hedge delays, and budgets of hedges and retries.
 type Balancer struct {
 	clock  Clock
 	random Random
 
 	mu sync.Mutex
-	// The rest is guarded by mu.
+	// The fields below are guarded by mu. eligible, warm and delays are buffers that calls reuse.
 	leaves         map[string]*leafState
 	hedges         budget
 	retries        budget
 	sheds          shedMeter
 	counts         Counts
-	eligible, warm []choice
+	eligible, warm []candidate
 	delays         []time.Duration
-	forgot         time.Time
+	prunedAt       time.Time
 }
 
-// Counts are the decisions of a balancer since its start.
+// Counts counts the decisions of a Balancer since its creation.
 type Counts struct {
 	Picks uint64 `json:"picks"`
-	// AtLimit counts picks refused because all candidates were at their limit.
+	// AtLimit counts the refused picks: all candidates were at their limit, or it was better to wait for
+	// one that was.
 	AtLimit uint64     `json:"picks_at_limit"`
 	Hedges  ExtraCount `json:"hedges"`
 	Retries ExtraCount `json:"retries"`
 }
 
-// ExtraCount are the decisions on hedges, or on retries.
+// ExtraCount counts the decisions about hedges, or about retries.
 type ExtraCount struct {
 	Granted uint64 `json:"granted"`
-	// OverBudget and Overloaded count refusals.
+	// OverBudget and Overloaded count refusals because the budget is spent or the service is overloaded.
 	OverBudget uint64 `json:"over_budget"`
 	Overloaded uint64 `json:"overloaded"`
 }
 
-// choice is a candidate with its state.
-type choice struct {
+// candidate is the id and the state of a leaf that may be picked.
+type candidate struct {
 	id   string
 	leaf *leafState
 }
 
 var _ Replicas = (*Balancer)(nil)
 
-// New returns a balancer that knows no leaf yet.
+// New returns a Balancer without leaves.
 func New(clock Clock, random Random) *Balancer {
 	return &Balancer{clock: clock, random: random, leaves: make(map[string]*leafState)}
 }
@@ -90,31 +93,32 @@
 		b.counts.AtLimit++
 		return nil, false
 	}
-	c.leaf.begun = append(c.leaf.begun, now)
+	c.leaf.sentTimes = append(c.leaf.sentTimes, now)
 	c.leaf.limit.begin(now, c.leaf.inFlight())
-	b.hedges.call()
-	b.retries.call()
+	b.hedges.recordCall()
+	b.retries.recordCall()
 	b.counts.Picks++
-	made := &call{
+	sent := &call{
 		b: b, id: c.id, leaf: c.leaf, incarnation: c.leaf.incarnation,
-		begun: now, late: b.groupDelay(now, candidates), suspect: c.leaf.late > 0,
+		sentAt: now, lateAfter: b.groupDelay(now, candidates), suspect: c.leaf.lateCalls > 0,
 	}
-	if made.suspect {
-		made.late /= SuspectSooner
+	if sent.suspect {
+		sent.lateAfter /= SuspectHedgeDivisor
 	}
-	return made, true
+	return sent, true
 }
 
-// choose returns the cheaper of two random candidates below their limits, unless a candidate at its
-// limit is so much cheaper that it is better to wait for it: else a straggler would get what its
-// group has no room for. A cold leaf is left out by chance, as long as there are others.
-func (b *Balancer) choose(now time.Time, candidates []string) (choice, bool) {
+// choose returns the cheaper of two random candidates below their limits. It returns false where a
+// candidate at its limit is so much cheaper that it is better to wait for it: otherwise a straggler would
+// receive the calls for which the rest of its group has no room. A cold leaf is left out at random, as
+// long as there are others. It requires mu.
+func (b *Balancer) choose(now time.Time, candidates []string) (candidate, bool) {
 	b.eligible, b.warm = b.eligible[:0], b.warm[:0]
-	full := math.Inf(1)
+	minFullCost := math.Inf(1)
 	for _, id := range candidates {
-		c := choice{id, b.leaf(id)}
+		c := candidate{id, b.leaf(id)}
 		if !c.leaf.limit.allows(c.leaf.inFlight()) {
-			full = min(full, c.leaf.cost(now, 0))
+			minFullCost = min(minFullCost, c.leaf.cost(now, 0))
 			continue
 		}
 		b.eligible = append(b.eligible, c)
@@ -127,25 +131,25 @@
 		from = b.eligible
 	}
 	if len(from) == 0 {
-		return choice{}, false
+		return candidate{}, false
 	}
 	best := from[0]
 	if len(from) > 1 {
 		best = b.cheaper(now, from)
 	}
-	return best, best.leaf.cost(now, 0) <= waitFactor*full
+	return best, best.leaf.cost(now, 0) <= maxCostRatio*minFullCost
 }
 
-// cheaper draws two different candidates and returns the one of less cost.
-func (b *Balancer) cheaper(now time.Time, from []choice) choice {
+// cheaper draws two different candidates and returns the one of lower cost. It requires mu.
+func (b *Balancer) cheaper(now time.Time, from []candidate) candidate {
 	i := b.draw(len(from))
 	j := b.draw(len(from) - 1)
 	if j >= i {
 		j++
 	}
 	one, two := from[i], from[j]
-	least := max(one.leaf.latency.get(now), two.leaf.latency.get(now), 1) * staleLeast
-	if two.leaf.cost(now, least) < one.leaf.cost(now, least) {
+	minLatency := max(one.leaf.latency.get(now), two.leaf.latency.get(now), 1) * minStaleShare
+	if two.leaf.cost(now, minLatency) < one.leaf.cost(now, minLatency) {
 		return two
 	}
 	return one
@@ -154,11 +158,11 @@
 // draw returns a random index below n.
 func (b *Balancer) draw(n int) int { return min(n-1, int(b.random()*float64(n))) }
 
-// leaf returns the state of a leaf, made at the first use. Requires mu.
+// leaf returns the state of a leaf and creates it on first use. It requires mu.
 func (b *Balancer) leaf(id string) *leafState {
 	l := b.leaves[id]
 	if l == nil {
-		l = &leafState{limit: limiter{limit: 1}, told: b.clock()}
+		l = &leafState{limit: limiter{limit: 1}, capacitySetAt: b.clock()}
 		b.leaves[id] = l
 	}
 	return l
@@ -169,19 +173,19 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.leaf(id)
-	l.told = b.clock()
+	l.capacitySetAt = b.clock()
 	l.limit.setCapacity(slots, sharers)
-	b.forget(l.told)
+	b.prune(l.capacitySetAt)
 }
 
-// forget drops leaves that no bundle has named for long. Requires mu.
-func (b *Balancer) forget(now time.Time) {
-	if now.Sub(b.forgot) < forgetAfter {
+// prune drops the idle leaves that no bundle has named for leafRetention. It requires mu.
+func (b *Balancer) prune(now time.Time) {
+	if now.Sub(b.prunedAt) < leafRetention {
 		return
 	}
-	b.forgot = now
+	b.prunedAt = now
 	for id, l := range b.leaves {
-		if l.inFlight() == 0 && now.Sub(l.told) > forgetAfter {
+		if l.inFlight() == 0 && now.Sub(l.capacitySetAt) > leafRetention {
 			delete(b.leaves, id)
 		}
 	}
@@ -206,9 +210,9 @@
 	b.leaf(id).report(b.clock(), load)
 }
 
-// HedgeAfter implements Replicas. It is the lower median over the leaves of their own delays:
-// one straggler in a group doesn't delay the hedges that answer to it, and a group that is slow as
-// a whole isn't hedged in vain. It is NoHedge for a group that is overloaded.
+// HedgeAfter implements Replicas. It returns the lower median of the leaves' own hedge delays, so that one
+// straggler in a group doesn't delay the hedges of calls to it, and a group that is slow as a whole
+// isn't hedged without benefit. It returns NoHedge for an overloaded group.
 func (b *Balancer) HedgeAfter(candidates []string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -219,7 +223,7 @@
 	return b.groupDelay(now, candidates)
 }
 
-// overloaded tells whether all candidates are at their limit or shed lately. Requires mu.
+// overloaded reports whether all candidates are at their limit or shed recently. It requires mu.
 func (b *Balancer) overloaded(now time.Time, candidates []string) bool {
 	for _, id := range candidates {
 		if !b.leaf(id).overloaded(now) {
@@ -229,19 +233,19 @@
 	return len(candidates) > 0
 }
 
-// groupDelay returns the hedge delay of a group. Requires mu.
+// groupDelay returns the hedge delay of a group. It requires mu.
 func (b *Balancer) groupDelay(now time.Time, candidates []string) time.Duration {
 	b.delays = b.delays[:0]
 	for _, id := range candidates {
-		if d, ok := b.leaf(id).tail.hedgeDelay(now); ok {
+		if d, ok := b.leaf(id).histogram.hedgeDelay(now); ok {
 			b.delays = append(b.delays, d)
 		}
 	}
 	if len(b.delays) == 0 {
-		return hedgeDefault
+		return defaultHedgeDelay
 	}
 	slices.Sort(b.delays)
-	return max(hedgeLeast, b.delays[(len(b.delays)-1)/2])
+	return max(minHedgeDelay, b.delays[(len(b.delays)-1)/2])
 }
 
 // AllowHedge implements Replicas.
@@ -258,9 +262,10 @@
 	return b.allow(&b.retries, &b.counts.Retries, share)
 }
 
-// allow grants an extra call, never into a service that sheds. Requires mu.
+// allow decides about an extra call and counts the decision. It grants none while the service sheds. It
+// requires mu.
 func (b *Balancer) allow(from *budget, n *ExtraCount, share float64) bool {
-	if b.sheds.high(b.clock()) {
+	if b.sheds.overloaded(b.clock()) {
 		n.Overloaded++
 		return false
 	}
@@ -277,14 +282,15 @@
 	b    *Balancer
 	id   string
 	leaf *leafState
-	// incarnation that the call went to; the end of one to an earlier incarnation tells nothing.
+	// incarnation is the leaf's incarnation at the call. The result of a call to an earlier incarnation
+	// is ignored.
 	incarnation uint64
-	begun       time.Time
-	// late is the time from which the call counts as late.
-	late    time.Duration
-	suspect bool
-	// ended is guarded by b.mu.
-	ended bool
+	sentAt      time.Time
+	// lateAfter is the elapsed time from which the call counts as late.
+	lateAfter time.Duration
+	suspect   bool
+	// done is guarded by b.mu.
+	done bool
 }
 
 // Leaf implements Call.
@@ -297,15 +303,15 @@
 func (c *call) Done(r Result) {
 	c.b.mu.Lock()
 	defer c.b.mu.Unlock()
-	if c.ended {
+	if c.done {
 		return
 	}
-	c.ended = true
+	c.done = true
 	now := c.b.clock()
-	took := now.Sub(c.begun)
-	c.leaf.ended(c.begun)
+	elapsed := now.Sub(c.sentAt)
+	c.leaf.removeCall(c.sentAt)
 	if c.leaf.incarnation == c.incarnation {
-		c.leaf.done(now, took, took >= c.late, r)
+		c.leaf.finish(now, elapsed, elapsed >= c.lateAfter, r)
 	}
 	c.b.sheds.add(now, r)
 }
--- a/internal/route/candidates.go
+++ b/internal/route/candidates.go
@@ -6,8 +6,8 @@
 	"github.com/burdockplank/burdockplank/internal/subset"
 )
 
-// candidates returns the gathers that may take new work for the service: those of the own zone's
-// subset that are ready, or, where the own zone has none, those of the other zones' subsets.
+// candidates returns the gathers that accept new work for the service: the ready ones of the subset of the
+// given zone, this VM's own, or those of the other zones' subsets where it has none.
 func candidates(svc *bundle.Service, zone string, vms []*pb.Vm) []Gather {
 	if own := ready(subset.For(svc, zone, vms)); len(own) > 0 {
 		return own
@@ -21,19 +21,19 @@
 	return others
 }
 
-// ready returns the gathers of the plan's members that say they take new work.
+// ready returns the gathers of the plan's live members that report themselves ready for new work.
 func ready(p subset.Plan) []Gather {
-	var found []Gather
+	var gathers []Gather
 	for _, vm := range p.Members {
 		g, ok := gatherOf(vm)
 		if ok && vm.GetState() == pb.VmState_VM_STATE_LIVE && g.State == pb.ProcessState_PROCESS_STATE_READY {
-			found = append(found, g)
+			gathers = append(gathers, g)
 		}
 	}
-	return found
+	return gathers
 }
 
-// zones returns the zones of the VMs, each once, in the order of the VMs.
+// zones returns the distinct zones of the VMs, in the order of the VMs.
 func zones(vms []*pb.Vm) []string {
 	var names []string
 	seen := make(map[string]bool)
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -14,81 +14,85 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// Step names the duty in outcomes.
+// Step names this package's step in outcomes.
 const Step = "entry.route"
 
-// The waits told to callers when a gather can't be reached; jitter is added.
+// The retry-after time of a request whose gather can't be reached, and the range of the jitter added to it.
 const (
 	unreachableRetryAfter = 500 * time.Millisecond
-	unreachableSpread     = time.Second
+	unreachableJitter     = time.Second
 )
 
-// errSilentText is the error of net/http for a connection whose ping stayed without an answer; it
-// isn't exported. Were the text to change, such a connection would count as broken, and sending again
+// errUnresponsiveText is the text of the error of net/http for a connection whose ping was not answered;
+// the error isn't exported. If the text changed, such a connection would count as broken, and a retry
 // would need the budget.
-const errSilentText = "http2: client connection lost"
+const errUnresponsiveText = "http2: client connection lost"
 
-// callError is how a call to a gather ended.
+// callError describes how a call to a gather failed.
 type callError struct {
-	// notTaken is true where the gather surely did not take the request.
+	// notTaken is true where it is certain that the gather did not accept the request.
 	notTaken bool
-	// silent is true where the connection went silent, which says nothing about the gather.
-	silent bool
-	// here is true where the call was not made, for this process was paused.
-	here bool
-	// typed is the gather's own outcome, nil where it gave none.
-	typed *outcome.Error
-	err   error
+	// unresponsive is true where the connection became unresponsive, which gives no information about
+	// the gather.
+	unresponsive bool
+	// pausedHere is true where the call was not made because this process was paused.
+	pausedHere bool
+	// outcome is the outcome that the gather returned, or pausedError made, nil where there is none.
+	outcome *outcome.Error
+	err     error
 }
 
-// lackedAlone are the reasons of a gather for which another one may well take the request: what the
-// first lacks it lacks alone.
-var lackedAlone = []pb.Reason{pb.Reason_REASON_DRAINING, pb.Reason_REASON_PAUSED, pb.Reason_REASON_NO_BUNDLE}
+// retryElsewhere holds the reasons of a refusal that concern only the gather that refused, so that another
+// one may accept the request.
+var retryElsewhere = []pb.Reason{pb.Reason_REASON_DRAINING, pb.Reason_REASON_PAUSED, pb.Reason_REASON_NO_BUNDLE}
 
-// errPaused says that the process was paused while the request was here.
-var errPaused = errors.New("paused since the request came")
+// errPaused is the error of a call that isn't made because the process was paused after the request
+// arrived.
+var errPaused = errors.New("process paused after the request arrived")
 
-// pausedHere is the end of a call that is not made.
-func pausedHere() *callError {
+// pausedError returns the error of a call that isn't made because this process was paused.
+func pausedError() *callError {
 	end := outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "this entry was paused since the request came").WithRetryAfter(unreachableRetryAfter)
-	return &callError{notTaken: true, here: true, typed: end, err: errPaused}
+	return &callError{notTaken: true, pausedHere: true, outcome: end, err: errPaused}
 }
 
-// classify reads the error of a call to a gather.
+// classify returns the callError for the error of a call to a gather, nil for nil.
 func classify(err error) *callError {
 	if err == nil {
 		return nil
 	}
 	ce := &callError{err: err}
 	if o, ok := outcome.FromConnect(err); ok && o != nil {
-		ce.typed = o
+		ce.outcome = o
 		ce.notTaken = o.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN &&
-			slices.Contains(lackedAlone, o.Reason)
+			slices.Contains(retryElsewhere, o.Reason)
 		return ce
 	}
-	ce.notTaken = neverConnected(err)
-	ce.silent = strings.Contains(err.Error(), errSilentText)
+	ce.notTaken = dialFailed(err)
+	ce.unresponsive = strings.Contains(err.Error(), errUnresponsiveText)
 	return ce
 }
 
-// mayFollow tells whether one more call may follow; spent is true after the one that is allowed for
-// any other cause than silence.
-func (ce *callError) mayFollow(ctx context.Context, spent bool) bool {
-	return ctx.Err() == nil && !ce.here && (ce.silent || !spent && (ce.notTaken || ce.broken()))
+// retryable reports whether the request may be sent once more. A request is retried any number of times,
+// up to maxSends, after unresponsive connections, but only once for any other cause; retried is true
+// after that.
+func (ce *callError) retryable(ctx context.Context, retried bool) bool {
+	return ctx.Err() == nil && !ce.pausedHere && (ce.unresponsive || !retried && (ce.notTaken || ce.broken()))
 }
 
-// broken tells whether the connection ended before the gather's answer had come.
-func (ce *callError) broken() bool { return ce.typed == nil && !connect.IsWireError(ce.err) }
+// broken reports whether the connection ended before the gather's answer arrived.
+func (ce *callError) broken() bool { return ce.outcome == nil && !connect.IsWireError(ce.err) }
 
-// neverConnected tells whether err arose while the connection was being opened, before any byte of
-// the request was written.
-func neverConnected(err error) bool {
+// dialFailed reports whether err arose while the connection was being opened, before any byte of the
+// request was written.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// ended returns the reason where the request's own context ended, or unspecified.
-func ended(ctx context.Context, err error) pb.Reason {
+// contextReason returns the reason for the end of the request's own context, or unspecified where it has
+// not ended. An error with the code for a passed deadline counts as such an end.
+func contextReason(ctx context.Context, err error) pb.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded), connect.CodeOf(err) == connect.CodeDeadlineExceeded:
 		return pb.Reason_REASON_DEADLINE
@@ -98,17 +102,17 @@
 	return pb.Reason_REASON_UNSPECIFIED
 }
 
-// resultOf says what the end of a call tells about the gather.
+// resultOf returns the result that the end of a call counts as in the gather's stats.
 func resultOf(ctx context.Context, ce *callError) result {
 	switch {
 	case ce == nil:
 		return resultOK
-	case ce.typed != nil && !ce.notTaken:
+	case ce.outcome != nil && !ce.notTaken:
 		return resultOK
 	case ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled):
-		return resultGivenUp
-	case ce.silent:
-		return resultGivenUp
+		return resultNeutral
+	case ce.unresponsive:
+		return resultNeutral
 	}
 	return resultFailed
 }
--- a/internal/route/reach.go
+++ b/internal/route/reach.go
@@ -2,8 +2,9 @@
 
 import "github.com/burdockplank/burdockplank/internal/feed"
 
-// Reaches tells whether the view names a gather that takes new work for each service of its bundle.
-func Reaches(v *feed.View) bool {
+// AllServicesReachable reports whether the view has a gather that accepts new work for each service of its
+// bundle. It is false without a bundle.
+func AllServicesReachable(v *feed.View) bool {
 	if v.Bundle == nil {
 		return false
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -14,47 +14,47 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// Request is what every hop knows of a request besides its message.
+// Request is what every hop knows about a request besides its message.
 type Request struct {
 	Identity *pb.Identity
 	Service  *bundle.Service
-	// View is the one by which the request was authenticated; it is used to the end. AsOf is a time before it was
-	// taken.
+	// View is the view with which the request was authenticated; it is used until the request ends. AsOf
+	// is a time before View was taken.
 	View *feed.View
 	AsOf time.Time
 }
 
-// Options are the parts of a Router that tests replace.
+// Options holds the dependencies of a Router, which tests replace, and its reply margin.
 type Options struct {
 	Dial Dial
-	// FreshSince is that of the feed.Source.
+	// FreshSince is the method of the feed.Source.
 	FreshSince func(t time.Time) bool
 	Parse      ParseTicket
 	Resolver   TicketResolver
 	Clock      Clock
 	Random     Random
-	// ReplyMargin is kept back from the deadline given to a gather, so that its answer arrives before
+	// ReplyMargin is subtracted from the deadline given to a gather, so that its answer arrives before
 	// the caller's own deadline.
 	ReplyMargin time.Duration
 }
 
-// Router brings requests to gathers. It is safe for concurrent use.
+// Router sends requests to gathers. It is safe for concurrent use.
 type Router struct {
-	o       Options
-	table   *table
-	budget  *budget
-	metrics *metrics
-	plans   plans
-	// pruned is the view by which the table was last pruned.
+	options    Options
+	table      *statsTable
+	budget     *budget
+	metrics    *metrics
+	candidates candidateCache
+	// pruned is the view with which the table was last pruned.
 	pruned atomic.Pointer[feed.View]
 }
 
-// New returns a router that has seen no gather yet.
+// New returns a Router without stats of gathers that registers its metrics with reg.
 func New(reg prometheus.Registerer, o Options) *Router {
-	return &Router{o: o, table: newTable(), budget: newBudget(), metrics: newMetrics(reg)}
+	return &Router{options: o, table: newStatsTable(), budget: newBudget(), metrics: newMetrics(reg)}
 }
 
-// Search brings a search to one gather of the service's subset. Errors are *outcome.Error.
+// Search sends a search to one gather of the service's subset. Errors are *outcome.Error.
 func (r *Router) Search(ctx context.Context, q Request, req *pb.SearchRequest) (*pb.SearchResponse, error) {
 	var res *pb.GatherSearchResponse
 	g, err := r.forward(ctx, q, pb.OutcomeKind_OUTCOME_KIND_FAILED, func(ctx context.Context, c burdockv1connect.GatherServiceClient) (err error) {
@@ -70,7 +70,7 @@
 	return res.GetSearch(), nil
 }
 
-// IssueTicket has any ready gather of the subset mint a ticket. Errors are *outcome.Error.
+// IssueTicket requests a ticket from any ready gather of the subset. Errors are *outcome.Error.
 func (r *Router) IssueTicket(ctx context.Context, q Request, req *pb.IssueTicketRequest) (*pb.IssueTicketResponse, error) {
 	var res *pb.GatherIssueTicketResponse
 	g, err := r.forward(ctx, q, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, func(ctx context.Context, c burdockv1connect.GatherServiceClient) (err error) {
@@ -89,45 +89,45 @@
 // call is one call to a gather's client.
 type call func(ctx context.Context, c burdockv1connect.GatherServiceClient) error
 
-// maxSends bounds how often one request is sent where connections go silent under it.
+// maxSends bounds how often one request is sent while its connections become unresponsive.
 const maxSends = 4
 
-// forward makes the call at a chosen gather. It makes it once more, at another gather where there is
-// one, if the first surely did not take it or the connection ended before its answer came, and again
-// for each connection that goes silent: searches and the minting of tickets may run twice. The kind
-// is that of a call that was taken and brought nothing.
-func (r *Router) forward(ctx context.Context, q Request, lost pb.OutcomeKind, fn call) (Gather, error) {
+// forward makes the call to a chosen gather. It makes it once more, to another gather where there is one,
+// if the first certainly did not accept it or the connection ended before its answer arrived, and again
+// for each connection that becomes unresponsive: searches and requests for tickets may run twice.
+// unansweredKind is the outcome kind of a call that a gather may have accepted and did not answer.
+func (r *Router) forward(ctx context.Context, q Request, unansweredKind pb.OutcomeKind, fn call) (Gather, error) {
 	r.budget.earn()
 	r.prune(q.View)
-	among := r.plans.of(q.View, q.Service)
-	g, ok := choose(r.table, q.Service.Name, among, "", r.o.Clock(), r.o.Random)
+	gathers := r.candidates.of(q.View, q.Service)
+	g, ok := choose(r.table, q.Service.Name, gathers, "", r.options.Clock(), r.options.Random)
 	if !ok {
 		return g, r.unreachable(pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, "", "no gather is ready")
 	}
 	ce := r.send(ctx, q, g, fn)
-	taken, spent := false, false
-	for sends := 1; ce != nil && sends < maxSends && ce.mayFollow(ctx, spent); sends++ {
-		spent = spent || !ce.silent
-		next, ok := r.next(q, among, g, ce)
+	mayHaveRun, retried := false, false
+	for sends := 1; ce != nil && sends < maxSends && ce.retryable(ctx, retried); sends++ {
+		retried = retried || !ce.unresponsive
+		next, ok := r.nextGather(q, gathers, g, ce)
 		if !ok {
 			break
 		}
-		taken = taken || !ce.notTaken
+		mayHaveRun = mayHaveRun || !ce.notTaken
 		g = next
 		ce = r.send(ctx, q, g, fn)
 	}
 	if ce == nil {
 		return g, nil
 	}
-	end := r.final(ctx, g, ce, lost)
-	if taken && end.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
+	end := r.finalOutcome(ctx, g, ce, unansweredKind)
+	if mayHaveRun && end.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
 		// The last gather did not run it, but an earlier one may have.
-		end.Kind = lost
+		end.Kind = unansweredKind
 	}
 	return g, end
 }
 
-// prune drops what is known of VMs that have left, once for each view.
+// prune drops the stats of VMs that are not in the view, once for each view.
 func (r *Router) prune(v *feed.View) {
 	if r.pruned.Swap(v) == v {
 		return
@@ -139,14 +139,15 @@
 	r.table.prune(ids)
 }
 
-// next returns the gather for one more call after one that ended as given. Where the zone's subset has
-// no other, other zones are asked, and where they have none, and only the connection broke, the same
-// gather over a new connection. A connection that went silent costs no budget: only the calls in
-// flight at that moment are lost so.
-func (r *Router) next(q Request, among []Gather, tried Gather, ce *callError) (Gather, bool) {
-	g, ok := choose(r.table, q.Service.Name, among, tried.VM, r.o.Clock(), r.o.Random)
+// nextGather returns the gather for one more call after one to tried that ended with ce. It is another
+// gather of the given ones, or one of another zone where they have none. Where there is no other either,
+// and only the connection broke, it is the same gather again, over a new connection. A retry after an
+// unresponsive connection takes nothing from the budget, because such a connection loses only the calls
+// that are in flight at that moment.
+func (r *Router) nextGather(q Request, gathers []Gather, tried Gather, ce *callError) (Gather, bool) {
+	g, ok := choose(r.table, q.Service.Name, gathers, tried.VM, r.options.Clock(), r.options.Random)
 	if !ok {
-		g, ok = choose(r.table, q.Service.Name, elsewhere(q, tried), tried.VM, r.o.Clock(), r.o.Random)
+		g, ok = choose(r.table, q.Service.Name, inOtherZones(q, tried), tried.VM, r.options.Clock(), r.options.Random)
 	}
 	if !ok && ce.broken() && !ce.notTaken {
 		g, ok = tried, true
@@ -154,7 +155,7 @@
 	if !ok {
 		return g, false
 	}
-	if !ce.silent && !r.budget.take() {
+	if !ce.unresponsive && !r.budget.take() {
 		r.metrics.reroutes.WithLabelValues(q.Service.Name, "no_budget").Inc()
 		return g, false
 	}
@@ -162,8 +163,8 @@
 	return g, true
 }
 
-// elsewhere returns the ready gathers of the zones other than that of the one tried.
-func elsewhere(q Request, tried Gather) []Gather {
+// inOtherZones returns the ready gathers of the zones other than that of the gather already tried.
+func inOtherZones(q Request, tried Gather) []Gather {
 	var vms []*pb.Vm
 	for _, vm := range q.View.VMs {
 		if vm.GetZone() != tried.Zone {
@@ -173,68 +174,69 @@
 	return candidates(q.Service, tried.Zone, vms)
 }
 
-// send makes the call at one gather, unless the process was paused since the request was authenticated: its caller
-// may have lost its token meanwhile, and gathers may have left.
+// send makes the call to one gather, unless the process was paused after the request was authenticated: the
+// caller may have lost its token meanwhile, and gathers may have left.
 func (r *Router) send(ctx context.Context, q Request, g Gather, fn call) *callError {
-	if !r.o.FreshSince(q.AsOf) {
-		return pausedHere()
+	if !r.options.FreshSince(q.AsOf) {
+		return pausedError()
 	}
-	return r.at(ctx, q, g, fn)
+	return r.callGather(ctx, q, g, fn)
 }
 
-// at makes the call at one gather and counts it.
-func (r *Router) at(ctx context.Context, q Request, g Gather, fn call) *callError {
+// callGather makes the call to one gather and records it in the gather's stats.
+func (r *Router) callGather(ctx context.Context, q Request, g Gather, fn call) *callError {
 	s := r.table.of(q.Service.Name, g)
 	s.begin()
-	start := r.o.Clock()
-	cctx, cancel := r.margin(ctx)
+	start := r.options.Clock()
+	cctx, cancel := r.withReplyMargin(ctx)
 	defer cancel()
-	ce := classify(fn(cctx, r.o.Dial(g.Address)))
-	now := r.o.Clock()
+	ce := classify(fn(cctx, r.options.Dial(g.Address)))
+	now := r.options.Clock()
 	s.end(now, now.Sub(start), resultOf(ctx, ce))
 	return ce
 }
 
-// marginShare bounds the reply margin to a share of the time left.
-const marginShare = 10
+// marginDivisor bounds the reply margin to that fraction of the remaining time.
+const marginDivisor = 10
 
-// margin shortens the deadline by the reply margin.
-func (r *Router) margin(ctx context.Context) (context.Context, context.CancelFunc) {
+// withReplyMargin returns ctx with its deadline earlier by the reply margin.
+func (r *Router) withReplyMargin(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	left := deadline.Sub(r.o.Clock())
-	return context.WithDeadline(ctx, deadline.Add(-min(r.o.ReplyMargin, left/marginShare)))
+	remaining := deadline.Sub(r.options.Clock())
+	return context.WithDeadline(ctx, deadline.Add(-min(r.options.ReplyMargin, remaining/marginDivisor)))
 }
 
-// final turns the end of a call into the outcome for the caller.
-func (r *Router) final(ctx context.Context, g Gather, ce *callError, lost pb.OutcomeKind) *outcome.Error {
-	if ce.typed != nil {
-		return ce.typed
+// finalOutcome converts the failure of the last call to the outcome for the caller.
+func (r *Router) finalOutcome(ctx context.Context, g Gather, ce *callError, unansweredKind pb.OutcomeKind) *outcome.Error {
+	if ce.outcome != nil {
+		return ce.outcome
 	}
-	kind := lost
+	kind := unansweredKind
 	if ce.notTaken {
 		kind = pb.OutcomeKind_OUTCOME_KIND_NOT_RUN
 	}
-	if reason := ended(ctx, ce.err); reason != pb.Reason_REASON_UNSPECIFIED {
+	if reason := contextReason(ctx, ce.err); reason != pb.Reason_REASON_UNSPECIFIED {
 		return (&outcome.Error{Kind: kind, Reason: reason, Step: Step}).WithPeer(g.VM).WithCause(ce.err)
 	}
 	return r.unreachable(kind, g.VM, "the gather can't be reached").WithCause(ce.err)
 }
 
-// unreachable says that a gather can't be reached now, and when to come back.
+// unreachable returns the outcome of a request whose gather can't be reached, with a retry-after time.
 func (r *Router) unreachable(kind pb.OutcomeKind, vm, message string) *outcome.Error {
 	e := &outcome.Error{Kind: kind, Reason: pb.Reason_REASON_UNREACHABLE, Step: Step, Message: message}
-	return e.WithPeer(vm).WithRetryAfter(r.comeBack())
+	return e.WithPeer(vm).WithRetryAfter(r.retryAfter())
 }
 
-// comeBack returns a wait with jitter.
-func (r *Router) comeBack() time.Duration {
-	return unreachableRetryAfter + time.Duration(r.o.Random(int(unreachableSpread/time.Millisecond)))*time.Millisecond
+// retryAfter returns a retry-after time with jitter.
+func (r *Router) retryAfter() time.Duration {
+	return unreachableRetryAfter + time.Duration(r.options.Random(int(unreachableJitter/time.Millisecond)))*time.Millisecond
 }
 
-// echoed tells whether an answer is the one to the request: the gather has to repeat who asked.
+// echoed reports whether an answer belongs to the request: the gather must repeat the request's id and
+// caller. It counts a mismatch.
 func (r *Router) echoed(q Request, got *pb.Identity, inner string) bool {
 	ok := got.GetRequestId() == q.Identity.GetRequestId() && got.GetCaller() == q.Identity.GetCaller()
 	ok = ok && (inner == "" || inner == q.Identity.GetRequestId())
@@ -244,7 +246,7 @@
 	return ok
 }
 
-// mismatch is the outcome of a call whose answer belongs to another request.
+// mismatch returns the outcome of a call whose answer belongs to another request.
 func mismatch(kind pb.OutcomeKind, g Gather) *outcome.Error {
 	return &outcome.Error{
 		Kind: kind, Reason: pb.Reason_REASON_ANSWER_MISMATCH, Step: Step, Peer: g.VM,
--- a/internal/route/stats.go
+++ b/internal/route/stats.go
@@ -7,105 +7,107 @@
 )
 
 const (
-	// statsHalfLife is how fast what was seen of a gather is forgotten, so that one that was slow or
-	// failing is tried again.
-	statsHalfLife = 2 * time.Second
-	// sampleShare is the weight of a new sample below the peak.
-	sampleShare = 0.2
-	// failurePenalty multiplies the cost of a gather all of whose recent calls failed, plus one.
+	// decayHalfLife is the half-life of a gather's latency and failures, so that a gather that was slow
+	// or failing is tried again.
+	decayHalfLife = 2 * time.Second
+	// sampleWeight is the weight of a new sample in the moving averages, for a latency below the peak.
+	sampleWeight = 0.2
+	// failurePenalty plus one multiplies the cost of a gather whose recent calls all failed.
 	failurePenalty = 20
-	// latencyFloor keeps the cost of an unused gather above 0, so that calls in flight count.
-	latencyFloor = float64(time.Millisecond)
+	// minLatency, in nanoseconds, is added to a gather's latency. It keeps the cost of an unused gather
+	// above 0, so that its calls in flight count.
+	minLatency = float64(time.Millisecond)
 )
 
-// stats is what this entry saw of one gather for one service.
+// stats holds this entry's measurements of one gather for one service. It is safe for concurrent use.
 type stats struct {
 	incarnation uint64
 
 	mu sync.Mutex
-	// inFlight counts calls, latency is a peak-EWMA in nanoseconds, failures an EWMA from 0 to 1, and
-	// updated when the two were last decayed; all guarded by mu.
+	// inFlight counts the calls in flight, latency is a peak EWMA in nanoseconds, failures is an EWMA
+	// from 0 to 1, and updated is when the latter two were last decayed. All are guarded by mu.
 	inFlight int
 	latency  float64
 	failures float64
 	updated  time.Time
 }
 
-// decay forgets by the time that went by; mu is held.
+// decay reduces latency and failures by the time since the last update. It requires mu.
 func (s *stats) decay(now time.Time) {
 	if !s.updated.IsZero() && now.After(s.updated) {
-		f := math.Exp2(-float64(now.Sub(s.updated)) / float64(statsHalfLife))
+		f := math.Exp2(-float64(now.Sub(s.updated)) / float64(decayHalfLife))
 		s.latency *= f
 		s.failures *= f
 	}
 	s.updated = now
 }
 
-// begin counts a call in flight.
+// begin counts a new call in flight.
 func (s *stats) begin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight++
 }
 
-// end counts a call out. A call that was given up says nothing about the gather's failures.
-func (s *stats) end(now time.Time, took time.Duration, r result) {
+// end records the end of a call. A neutral result changes neither latency nor failures.
+func (s *stats) end(now time.Time, elapsed time.Duration, r result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 	s.decay(now)
-	if r == resultGivenUp {
+	if r == resultNeutral {
 		return
 	}
 	failed := 0.0
 	if r == resultFailed {
 		failed = 1
 	}
-	s.failures += sampleShare * (failed - s.failures)
-	// A slow call counts at once, a fast one slowly; a failure's speed says nothing good.
-	if l := float64(took); l > s.latency {
+	s.failures += sampleWeight * (failed - s.failures)
+	// A slow call counts immediately, a fast one slowly. A fast failure doesn't lower the latency.
+	if l := float64(elapsed); l > s.latency {
 		s.latency = l
 	} else if r == resultOK {
-		s.latency += sampleShare * (l - s.latency)
+		s.latency += sampleWeight * (l - s.latency)
 	}
 }
 
-// cost is the price of one more call: the work ahead of it times the time it takes.
+// cost returns the cost of one more call, in nanoseconds: the calls in flight with it, times the latency,
+// raised by recent failures.
 func (s *stats) cost(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	return float64(s.inFlight+1) * (latencyFloor + s.latency) * (1 + failurePenalty*s.failures)
+	return float64(s.inFlight+1) * (minLatency + s.latency) * (1 + failurePenalty*s.failures)
 }
 
-// result says how a call to a gather ended, as far as the choice of gathers is concerned.
+// result is how a call to a gather ended, for the choice of gathers.
 type result int
 
 const (
 	resultOK result = iota
-	// resultFailed is a call that the gather did not take or did not answer.
+	// resultFailed is a call that the gather did not accept or did not answer.
 	resultFailed
-	// resultGivenUp is a call whose caller went away, or whose connection went silent.
-	resultGivenUp
+	// resultNeutral is a call whose caller went away, or whose connection became unresponsive.
+	resultNeutral
 )
 
-// key names a gather for a service.
-type key struct{ service, vm string }
+// statsKey identifies a gather by its VM, for a service.
+type statsKey struct{ service, vm string }
 
-// table holds the stats of all gathers.
-type table struct {
+// statsTable holds the stats of all gathers. It is safe for concurrent use.
+type statsTable struct {
 	mu sync.Mutex
 	// byKey is guarded by mu.
-	byKey map[key]*stats
+	byKey map[statsKey]*stats
 }
 
-func newTable() *table { return &table{byKey: make(map[key]*stats)} }
+func newStatsTable() *statsTable { return &statsTable{byKey: make(map[statsKey]*stats)} }
 
-// of returns the stats of a gather; a new incarnation starts afresh.
-func (t *table) of(service string, g Gather) *stats {
+// of returns the stats of a gather and creates them on first use. A new incarnation starts with new ones.
+func (t *statsTable) of(service string, g Gather) *stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := key{service: service, vm: g.VM}
+	k := statsKey{service: service, vm: g.VM}
 	s := t.byKey[k]
 	if s == nil || s.incarnation != g.Incarnation {
 		s = &stats{incarnation: g.Incarnation}
@@ -115,7 +117,7 @@
 }
 
 // prune drops the stats of VMs that are not in the set.
-func (t *table) prune(vms map[string]bool) {
+func (t *statsTable) prune(vms map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for k := range t.byKey {
--- a/internal/search/calls.go
+++ b/internal/search/calls.go
@@ -51,7 +51,7 @@
 func (r *run) hedgeDelay(s *shard, call balance.Call) time.Duration {
 	d := r.q.replicas.HedgeAfter(s.replicas)
 	if call.Suspect() {
-		return d / balance.SuspectSooner
+		return d / balance.SuspectHedgeDivisor
 	}
 	return d
 }
--- a/internal/search/sim_test.go
+++ b/internal/search/sim_test.go
@@ -189,7 +189,7 @@
 	}
 	for _, m := range a.GetCoverage().GetMissing() {
 		if m.GetReason() == pb.Reason_REASON_OVERLOAD {
-			result = admission.ResultShort
+			result = admission.ResultPartialOverload
 		}
 	}
 	return a, nil
