--- a/cmd/burdock-gather/wire.go
+++ b/cmd/burdock-gather/wire.go
@@ -24,7 +24,7 @@
 		wire.Bind(new(feed.Source), new(*feed.Manager)),
 		wire.Bind(new(feed.Reporter), new(*feed.Manager)),
 		wire.Bind(new(gather.Searcher), new(*search.Engine)),
-		wire.Bind(new(gather.Keeper), new(*order.Manager)),
+		wire.Bind(new(gather.OrderManager), new(*order.Manager)),
 		wire.Bind(new(gather.Upstreams), new(*upstream.Pool)),
 		wire.Struct(new(daemon), "*"),
 	)
--- a/internal/gather/door.go
+++ b/internal/gather/door.go
@@ -20,8 +20,8 @@
 	maxRequestID = 128
 )
 
-// Door decides which requests come in, and counts those that run. It is safe for concurrent use.
-type Door struct {
+// Admitter decides which requests come in, and counts those that run. It is safe for concurrent use.
+type Admitter struct {
 	source     feed.Source
 	bundleWait time.Duration
 
@@ -33,14 +33,14 @@
 	idle     chan struct{}
 }
 
-// NewDoor returns an open door.
-func NewDoor(source feed.Source, bundleWait time.Duration) *Door {
-	return &Door{source: source, bundleWait: bundleWait, idle: make(chan struct{})}
+// NewAdmitter returns an open door.
+func NewAdmitter(source feed.Source, bundleWait time.Duration) *Admitter {
+	return &Admitter{source: source, bundleWait: bundleWait, idle: make(chan struct{})}
 }
 
-// Enter lets a request for new work in, or says why not; nothing has been sent then. The function
+// Admit lets a request for new work in, or says why not; nothing has been sent then. The function
 // returned must be called at the request's end.
-func (d *Door) Enter(ctx context.Context, id *pb.Identity, service string) (leave func(), err error) {
+func (d *Admitter) Admit(ctx context.Context, id *pb.Identity, service string) (leave func(), err error) {
 	if !d.begin(false) {
 		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, Step, "the gather is draining").After(drainRetry)
 	}
@@ -51,14 +51,14 @@
 	return sync.OnceFunc(d.end), nil
 }
 
-// EnterOrder counts an order in, while draining too. It may be a resend of one that has run, so
+// AdmitOrder counts an order in, while draining too. It may be a resend of one that has run, so
 // only the keeper of tickets, who knows, may say that it was not run.
-func (d *Door) EnterOrder() (leave func()) {
+func (d *Admitter) AdmitOrder() (leave func()) {
 	d.begin(true)
 	return sync.OnceFunc(d.end)
 }
 
-func (d *Door) begin(order bool) bool {
+func (d *Admitter) begin(order bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.draining && !order {
@@ -68,14 +68,14 @@
 	return true
 }
 
-func (d *Door) end() {
+func (d *Admitter) end() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.running--
 	d.closeIdle()
 }
 
-func (d *Door) closeIdle() {
+func (d *Admitter) closeIdle() {
 	if !d.draining || d.running > 0 {
 		return
 	}
@@ -87,7 +87,7 @@
 }
 
 // check identifies the request by the bundle in force.
-func (d *Door) check(ctx context.Context, id *pb.Identity, service string) error {
+func (d *Admitter) check(ctx context.Context, id *pb.Identity, service string) error {
 	if n := len(id.GetRequestId()); n == 0 || n > maxRequestID {
 		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "want a request id of 1 to %d bytes", maxRequestID)
 	}
@@ -110,7 +110,7 @@
 
 // bundle returns the bundle in force once it is at least as new as the entry's. An entry with an
 // older bundle is served by this gather's newer one.
-func (d *Door) bundle(ctx context.Context, version uint64) (*bundle.Bundle, error) {
+func (d *Admitter) bundle(ctx context.Context, version uint64) (*bundle.Bundle, error) {
 	wait := time.NewTimer(d.bundleWait)
 	defer wait.Stop()
 	for {
@@ -130,7 +130,7 @@
 }
 
 // Close lets no new work in.
-func (d *Door) Close() {
+func (d *Admitter) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.draining = true
@@ -138,10 +138,10 @@
 }
 
 // Idle is closed when the door is closed and no request is inside.
-func (d *Door) Idle() <-chan struct{} { return d.idle }
+func (d *Admitter) Idle() <-chan struct{} { return d.idle }
 
 // state returns what the dump shows.
-func (d *Door) state() (draining bool, running int) {
+func (d *Admitter) state() (draining bool, running int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.draining, d.running
--- a/internal/gather/gather_test.go
+++ b/internal/gather/gather_test.go
@@ -95,27 +95,27 @@
 	tests := map[string]struct {
 		id      *pb.Identity
 		service string
-		before  func(f *fakeFeed, d *Door)
+		before  func(f *fakeFeed, d *Admitter)
 		reason  pb.Reason
 		waited  time.Duration
 	}{
 		"known caller":                    {id: identity("desk", 3)},
 		"entry with an older bundle":      {id: identity("desk", 2)},
 		"entry with a newer bundle":       {id: identity("desk", 4), reason: pb.Reason_REASON_NO_BUNDLE, waited: 200 * time.Millisecond},
-		"newer bundle comes in time":      {id: identity("desk", 4), before: func(f *fakeFeed, _ *Door) { time.AfterFunc(50*time.Millisecond, func() { f.set(4) }) }, waited: 50 * time.Millisecond},
+		"newer bundle comes in time":      {id: identity("desk", 4), before: func(f *fakeFeed, _ *Admitter) { time.AfterFunc(50*time.Millisecond, func() { f.set(4) }) }, waited: 50 * time.Millisecond},
 		"unknown caller":                  {id: identity("stranger", 3), reason: pb.Reason_REASON_UNAUTHENTICATED},
 		"service not the caller's":        {id: identity("desk", 3), service: "clips", reason: pb.Reason_REASON_UNKNOWN_SERVICE},
 		"no request id":                   {id: &pb.Identity{Caller: "desk"}, reason: pb.Reason_REASON_INVALID_REQUEST},
 		"no identity":                     {reason: pb.Reason_REASON_INVALID_REQUEST},
-		"no fresh news, as after a pause": {id: identity("desk", 3), before: func(f *fakeFeed, _ *Door) { f.stale = true }, reason: pb.Reason_REASON_PAUSED},
-		"draining":                        {id: identity("desk", 3), before: func(_ *fakeFeed, d *Door) { d.Close() }, reason: pb.Reason_REASON_DRAINING},
+		"no fresh news, as after a pause": {id: identity("desk", 3), before: func(f *fakeFeed, _ *Admitter) { f.stale = true }, reason: pb.Reason_REASON_PAUSED},
+		"draining":                        {id: identity("desk", 3), before: func(_ *fakeFeed, d *Admitter) { d.Close() }, reason: pb.Reason_REASON_DRAINING},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFakeFeed(3)
-				d := NewDoor(f, 200*time.Millisecond)
+				d := NewAdmitter(f, 200*time.Millisecond)
 				if tt.before != nil {
 					tt.before(f, d)
 				}
@@ -123,7 +123,7 @@
 					tt.service = "teachers"
 				}
 				start := time.Now()
-				leave, err := d.Enter(context.Background(), tt.id, tt.service)
+				leave, err := d.Admit(context.Background(), tt.id, tt.service)
 				is.Equal(time.Since(start), tt.waited)
 				e, refused := outcome.As(err)
 				is.Equal(refused, tt.reason != pb.Reason_REASON_UNSPECIFIED)
@@ -143,7 +143,7 @@
 // tried is upstreams that have all been tried.
 type tried struct{}
 
-func (tried) Settled() <-chan struct{} {
+func (tried) Initialized() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -152,7 +152,7 @@
 // untried is upstreams that are tried when the channel is closed.
 type untried chan struct{}
 
-func (u untried) Settled() <-chan struct{} { return u }
+func (u untried) Initialized() <-chan struct{} { return u }
 
 func TestReadyOnlyWhenLeavesWereTried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gather/manager.go
+++ b/internal/gather/manager.go
@@ -26,8 +26,8 @@
 // maxMessageBytes bounds one message from another process: a handover of many records is the largest.
 const maxMessageBytes = 16 << 20
 
-// Keeper keeps the tickets and runs the orders; *order.Manager does.
-type Keeper interface {
+// OrderManager keeps the tickets and runs the orders; *order.Manager does.
+type OrderManager interface {
 	Orders
 	// Drain issues no more tickets, ends running orders and hands the records to other gathers.
 	Drain(ctx context.Context)
@@ -35,8 +35,8 @@
 
 // Upstreams tells when the leaves were first tried; *upstream.Pool does.
 type Upstreams interface {
-	// Settled returns a channel that is closed once each leaf was connected to or could not be.
-	Settled() <-chan struct{}
+	// Initialized returns a channel that is closed once each leaf was connected to or could not be.
+	Initialized() <-chan struct{}
 }
 
 // Manager owns the listener for entries and other gathers, and the drain of the process.
@@ -45,8 +45,8 @@
 	log      *zap.Logger
 	source   feed.Source
 	reporter feed.Reporter
-	door     *Door
-	keeper   Keeper
+	door     *Admitter
+	keeper   OrderManager
 	leaves   Upstreams
 	server   *http.Server
 	// listening is true once requests are taken; draining from the signal on.
@@ -56,10 +56,10 @@
 }
 
 // NewManager returns a manager that doesn't listen yet.
-func NewManager(s *Settings, log *zap.Logger, reg prometheus.Registerer, source feed.Source, reporter feed.Reporter, searcher Searcher, keeper Keeper, peers burdockv1connect.TicketPeerServiceHandler, leaves Upstreams) *Manager {
+func NewManager(s *Settings, log *zap.Logger, reg prometheus.Registerer, source feed.Source, reporter feed.Reporter, searcher Searcher, keeper OrderManager, peers burdockv1connect.TicketPeerServiceHandler, leaves Upstreams) *Manager {
 	m := &Manager{
 		settings: s, log: log, source: source, reporter: reporter, keeper: keeper, leaves: leaves,
-		door: NewDoor(source, s.Gather.BundleWait.D()),
+		door: NewAdmitter(source, s.Gather.BundleWait.D()),
 	}
 	m.server = rpc.NewServer(m.handler(NewService(m.door, searcher, keeper, NewMetrics(reg)), peers))
 	return m
@@ -105,7 +105,7 @@
 // announce tells the other VMs that the process takes work once it has tried its leaves: a search
 // that came before would find none of them.
 func (m *Manager) announce(ctx context.Context) {
-	if !wait(ctx, m.leaves.Settled()) {
+	if !wait(ctx, m.leaves.Initialized()) {
 		return
 	}
 	m.stateMu.Lock()
@@ -169,7 +169,7 @@
 
 func (m *Manager) settled() bool {
 	select {
-	case <-m.leaves.Settled():
+	case <-m.leaves.Initialized():
 		return true
 	default:
 		return false
--- a/internal/gather/service.go
+++ b/internal/gather/service.go
@@ -26,7 +26,7 @@
 
 // Service implements GatherService. Each request passes the door first.
 type Service struct {
-	door    *Door
+	door    *Admitter
 	search  Searcher
 	orders  Orders
 	metrics *Metrics
@@ -35,14 +35,14 @@
 var _ burdockv1connect.GatherServiceHandler = (*Service)(nil)
 
 // NewService returns a service that takes requests as its door allows.
-func NewService(door *Door, s Searcher, o Orders, m *Metrics) *Service {
+func NewService(door *Admitter, s Searcher, o Orders, m *Metrics) *Service {
 	return &Service{door: door, search: s, orders: o, metrics: m}
 }
 
 // Search implements GatherService.
 func (s *Service) Search(ctx context.Context, req *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error) {
 	id := req.GetIdentity()
-	leave, err := s.door.Enter(ctx, id, req.GetSearch().GetService())
+	leave, err := s.door.Admit(ctx, id, req.GetSearch().GetService())
 	if err != nil {
 		return nil, s.refuse(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
 	}
@@ -57,7 +57,7 @@
 // IssueTicket implements GatherService.
 func (s *Service) IssueTicket(ctx context.Context, req *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
 	id := req.GetIdentity()
-	leave, err := s.door.Enter(ctx, id, req.GetTicket().GetService())
+	leave, err := s.door.Admit(ctx, id, req.GetTicket().GetService())
 	if err != nil {
 		return nil, s.refuse(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
 	}
@@ -72,7 +72,7 @@
 // Order implements GatherService. Resends are answered while draining too; whether the order may
 // run, and whether it has, is known to the keeper of its ticket alone.
 func (s *Service) Order(ctx context.Context, req *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
-	leave := s.door.EnterOrder()
+	leave := s.door.AdmitOrder()
 	defer leave()
 	res, err := s.orders.Order(ctx, req)
 	if err != nil {
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -25,7 +25,7 @@
 func dialGatherers(bind string) func(address string) delegate.Client {
 	dialer := rpc.Dialer(bind)
 	dialer.Timeout = gathererDial
-	dialer.Control = rpc.EndSilent(gathererSilent)
+	dialer.Control = rpc.TCPUserTimeout(gathererSilent)
 	shared := &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: gathererIdle, IdleConnTimeout: peerIdle, DisableCompression: true,
 	}}
--- a/internal/rpc/silent.go
+++ b/internal/rpc/silent.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// EndSilent returns a net.Dialer's Control that ends a connection whose sent bytes stay unacknowledged for
+// TCPUserTimeout returns a net.Dialer's Control that ends a connection whose sent bytes stay unacknowledged for
 // the given time: an open connection can go silent without a reset.
-func EndSilent(after time.Duration) func(network, address string, c syscall.RawConn) error {
+func TCPUserTimeout(after time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -129,9 +129,9 @@
 	p.removed = slices.DeleteFunc(p.removed, func(l *leaf) bool { return ended[l] })
 }
 
-// Settled returns a channel that is closed once a bundle is there and every leaf that this VM serves
+// Initialized returns a channel that is closed once a bundle is there and every leaf that this VM serves
 // has been connected to or could not be. It stays closed when leaves come later.
-func (p *Pool) Settled() <-chan struct{} { return p.settled }
+func (p *Pool) Initialized() <-chan struct{} { return p.settled }
 
 // settleOnce closes settled when it is time to. It is called by the pool's loop alone.
 func (p *Pool) settleOnce() {
