--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -10,8 +10,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// maxProbes bounds how many connections are tried for one order.
-const maxProbes = 4
+// maxOrderConns bounds how many connections are tried for one order.
+const maxOrderConns = 4
 
 // The procedures as labels of a metric.
 const (
@@ -29,9 +29,9 @@
 	xctx, x := withExchange(ctx, c)
 	res, rerr := l.client.Search(xctx, req)
 	if rerr != nil {
-		return nil, l.failed(ctx, x, methodSearch, rerr)
+		return nil, l.callError(ctx, x, methodSearch, rerr)
 	}
-	p.metrics.called(l.service, methodSearch, resultOK)
+	p.metrics.countCall(l.service, methodSearch, resultOK)
 	return res, nil
 }
 
@@ -39,7 +39,7 @@
 // order is hardly ever written to a connection gone silent, which would leave its outcome unknown.
 func (p *Pool) Execute(ctx context.Context, id string, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
 	deadline := workDeadline(ctx)
-	l, c, err := p.beginProven(ctx, id, deadline)
+	l, c, err := p.beginVerified(ctx, id, deadline)
 	if err != nil {
 		return nil, err
 	}
@@ -48,9 +48,9 @@
 	x.order, x.deadline = true, deadline
 	res, rerr := l.client.Execute(xctx, req)
 	if rerr != nil {
-		return nil, l.failed(ctx, x, methodExecute, rerr)
+		return nil, l.callError(ctx, x, methodExecute, rerr)
 	}
-	p.metrics.called(l.service, methodExecute, resultOK)
+	p.metrics.countCall(l.service, methodExecute, resultOK)
 	return res, nil
 }
 
@@ -60,50 +60,50 @@
 	if l == nil {
 		return nil, nil, &CallError{Leaf: id, Err: errUnknownLeaf}
 	}
-	c, err := l.await(ctx)
+	c, err := l.acquireWait(ctx)
 	if err != nil {
-		p.metrics.called(l.service, method, resultNotSent)
+		p.metrics.countCall(l.service, method, resultNotSent)
 		return nil, nil, &CallError{Leaf: id, Incarnation: l.state().Incarnation, Err: err}
 	}
 	return l, c, nil
 }
 
-// beginProven is begin with a connection that has just shown life, on which an order is counted.
+// beginVerified is begin with a connection that has just shown life, on which an order is counted.
 // Nothing of the call is sent while connections are tried, and none is tried past the deadline.
-func (p *Pool) beginProven(ctx context.Context, id string, deadline time.Time) (*leaf, *conn, error) {
+func (p *Pool) beginVerified(ctx context.Context, id string, deadline time.Time) (*leaf, *conn, error) {
 	if !deadline.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, deadline)
 		defer cancel()
 	}
-	for range maxProbes {
+	for range maxOrderConns {
 		l, c, err := p.begin(ctx, id, methodExecute)
 		if err != nil {
 			return nil, nil, err
 		}
-		proven := time.Since(c.wire.heard()) < freshEnough || c.probe(ctx)
-		if proven && ctx.Err() == nil && l.beginOrder(c) {
+		verified := time.Since(c.tcp.lastHeard()) < maxUnverifiedAge || c.probe(ctx)
+		if verified && ctx.Err() == nil && l.beginOrder(c) {
 			return l, c, nil
 		}
 		l.release(c)
 		if ctx.Err() != nil {
-			p.metrics.called(l.service, methodExecute, resultNotSent)
+			p.metrics.countCall(l.service, methodExecute, resultNotSent)
 			return nil, nil, &CallError{Leaf: id, Err: ctx.Err()}
 		}
 	}
 	return nil, nil, &CallError{Leaf: id, Err: errNoConnection}
 }
 
-// failed turns the failure of a call into a *CallError, and takes in what it says of the leaf.
-func (l *leaf) failed(ctx context.Context, x *exchange, method string, err error) *CallError {
+// callError turns the failure of a call into a *CallError, and takes in what it says of the leaf.
+func (l *leaf) callError(ctx context.Context, x *exchange, method string, err error) *CallError {
 	e := &CallError{Leaf: l.id, Wrote: !x.notSent(), Err: err}
 	l.mu.Lock()
 	e.Incarnation = x.conn.incarnation
-	silent := x.conn.silenced
+	silent := x.conn.foundSilent
 	l.mu.Unlock()
 	switch refusal := refusalOf(err); {
 	case refusal != nil:
-		l.refusedBy(e, refusal)
+		l.applyRefusal(e, refusal)
 	case excludedByGoAway(x.err):
 		e.Refusal = pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING
 	case refusedStream(x.err):
@@ -112,15 +112,15 @@
 		e.Err = ctx.Err()
 	case silent:
 		e.ConnectionSilent, e.Err = true, errSilent
-	case x.conn.wire.crashed():
+	case x.conn.tcp.crashed():
 		e.ConnectionLost = true
 	}
-	l.pool.metrics.called(l.service, method, resultOf(e))
+	l.pool.metrics.countCall(l.service, method, resultOf(e))
 	return e
 }
 
-// refusedBy takes in the leaf's own statement that it did not start the work.
-func (l *leaf) refusedBy(e *CallError, r *pb.LeafRefusal) {
+// applyRefusal takes in the leaf's own statement that it did not start the work.
+func (l *leaf) applyRefusal(e *CallError, r *pb.LeafRefusal) {
 	e.Refusal = r.GetReason()
 	if n := r.GetIncarnation(); n != 0 {
 		e.Incarnation = n
@@ -128,11 +128,11 @@
 	switch e.Refusal {
 	case pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING:
 		l.mu.Lock()
-		l.departs(e.Incarnation, pb.DepartureSource_DEPARTURE_SOURCE_REFUSAL)
+		l.recordDeparture(e.Incarnation, pb.DepartureSource_DEPARTURE_SOURCE_REFUSAL)
 		l.mu.Unlock()
-		l.pool.wakeUp()
+		l.pool.wakeLoop()
 	case pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SNAPSHOT_GONE:
-		l.askSoon()
+		l.pollNow()
 	}
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,40 +8,40 @@
 
 // How a connection's silence is judged.
 const (
-	// quietBusy is how long a connection may be silent after a call was sent before it is pinged.
-	quietBusy = 200 * time.Millisecond
-	// quietIdle is how long any connection may be silent before it is pinged, so that it is found
+	// busyPingAfter is how long a connection may be silent after a call was sent before it is pinged.
+	busyPingAfter = 200 * time.Millisecond
+	// idlePingAfter is how long any connection may be silent before it is pinged, so that it is found
 	// silent before a call needs it, and within a second of its silence whenever the first call comes.
-	quietIdle = 400 * time.Millisecond
-	// pingLimit is how long a ping may stay without an answer.
-	pingLimit = 300 * time.Millisecond
-	// pingSlack is by how much a ping's own timer may be late before the process itself must have
+	idlePingAfter = 400 * time.Millisecond
+	// pingTimeout is how long a ping may stay without an answer.
+	pingTimeout = 300 * time.Millisecond
+	// maxPingTimerDelay is by how much a ping's own timer may be late before the process itself must have
 	// been paused; such a ping proves nothing.
-	pingSlack = 100 * time.Millisecond
-	// freshEnough is how lately a connection must have been heard of to take an order unasked.
-	freshEnough = 50 * time.Millisecond
+	maxPingTimerDelay = 100 * time.Millisecond
+	// maxUnverifiedAge is how lately a connection must have been heard of to take an order unasked.
+	maxUnverifiedAge = 50 * time.Millisecond
 )
 
 // errSilent ends calls on a connection that gave no sign of life.
 var errSilent = errors.New("connection went silent")
 
-// fate is why a connection is out of use.
-type fate string
+// retireReason is why a connection is out of use.
+type retireReason string
 
 // The fates of a connection; they are labels of a metric too.
 const (
-	fateNone    fate = ""
-	fateSilent  fate = "silent"
-	fateLost    fate = "lost"
-	fateGoAway  fate = "goaway"
-	fateRetired fate = "retired"
-	fateClosed  fate = "closed"
+	retireNone   retireReason = ""
+	retireSilent retireReason = "silent"
+	retireLost   retireReason = "lost"
+	retireGoAway retireReason = "goaway"
+	retireByPool retireReason = "retired"
+	retireClosed retireReason = "closed"
 )
 
 // conn is one connection to a leaf.
 type conn struct {
 	leaf   *leaf
-	wire   *wire
+	tcp    *trackedConn
 	h2     h2Conn
 	opened time.Time
 
@@ -52,66 +52,66 @@
 	inFlight    int
 	// orders is how many of the calls in flight are orders.
 	orders int
-	// asked is when the first call after the last byte heard was sent.
-	asked   time.Time
-	pinging bool
-	// doubted is when another connection to the leaf was last pinged in vain; this one has to be heard
+	// unansweredSince is when the first call after the last byte heard was sent.
+	unansweredSince time.Time
+	pinging         bool
+	// suspectAt is when another connection to the leaf was last pinged in vain; this one has to be heard
 	// of since.
-	doubted time.Time
-	// fate is set once; no call is sent from then on.
-	fate fate
-	// silenced is true once the connection gave no sign of life; silent is closed then.
-	silenced bool
-	silent   chan struct{}
-	// departed is true once a GOAWAY on it was taken in as evidence.
-	departed bool
+	suspectAt time.Time
+	// retired is set once; no call is sent from then on.
+	retired retireReason
+	// foundSilent is true once the connection gave no sign of life; silent is closed then.
+	foundSilent bool
+	silent      chan struct{}
+	// goAwayRecorded is true once a GOAWAY on it was taken in as evidence.
+	goAwayRecorded bool
 }
 
 // usable tells whether a new call may be sent. Requires leaf.mu.
 func (c *conn) usable() bool {
-	return c.fate == fateNone && !c.doubtful() && c.wire.usable() && c.h2.CanTakeNewRequest()
+	return c.retired == retireNone && !c.suspect() && c.tcp.usable() && c.h2.CanTakeNewRequest()
 }
 
-// doubtful tells whether the connection has yet to show that it lives. Requires leaf.mu.
-func (c *conn) doubtful() bool { return !c.doubted.IsZero() && !c.wire.heard().After(c.doubted) }
+// suspect tells whether the connection has yet to show that it lives. Requires leaf.mu.
+func (c *conn) suspect() bool { return !c.suspectAt.IsZero() && !c.tcp.lastHeard().After(c.suspectAt) }
 
 // begin counts a call. Requires leaf.mu.
 func (c *conn) begin(now time.Time) {
 	c.inFlight++
-	if !c.asked.After(c.wire.heard()) {
-		c.asked = now
+	if !c.unansweredSince.After(c.tcp.lastHeard()) {
+		c.unansweredSince = now
 	}
 }
 
-// owesSign tells whether the connection has been silent for so long that it has to be pinged.
+// needsPing tells whether the connection has been silent for so long that it has to be pinged.
 // Requires leaf.mu.
-func (c *conn) owesSign(now time.Time) bool {
-	heard := c.wire.heard()
+func (c *conn) needsPing(now time.Time) bool {
+	heard := c.tcp.lastHeard()
 	switch {
-	case c.doubtful(), now.Sub(heard) >= quietIdle:
+	case c.suspect(), now.Sub(heard) >= idlePingAfter:
 		return true
-	case c.asked.After(heard):
-		return now.Sub(c.asked) >= quietBusy
+	case c.unansweredSince.After(heard):
+		return now.Sub(c.unansweredSince) >= busyPingAfter
 	}
-	return c.inFlight > 0 && now.Sub(heard) >= quietBusy
+	return c.inFlight > 0 && now.Sub(heard) >= busyPingAfter
 }
 
 // probe pings the connection, and takes it out of use where no answer comes. It returns whether the
 // connection is known to live.
 func (c *conn) probe(ctx context.Context) bool {
 	start := time.Now()
-	pctx, cancel := context.WithTimeout(ctx, pingLimit)
+	pctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	err := c.h2.Ping(pctx)
 	cancel()
-	took := time.Since(start)
-	if err == nil || c.wire.heard().After(start) {
+	elapsed := time.Since(start)
+	if err == nil || c.tcp.lastHeard().After(start) {
 		return true
 	}
-	if ctx.Err() != nil || took > pingLimit+pingSlack {
+	if ctx.Err() != nil || elapsed > pingTimeout+maxPingTimerDelay {
 		return false
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		c.leaf.silence(c, start)
+		c.leaf.markSilent(c, start)
 	}
 	return false
 }
--- a/internal/upstream/dump.go
+++ b/internal/upstream/dump.go
@@ -52,7 +52,7 @@
 	defer l.mu.Unlock()
 	d := LeafDump{
 		Leaf: l.id, Service: l.service, Address: l.address, Incarnation: l.presence.incarnation,
-		Slots: l.slots, Snapshots: l.snapshots, Planned: l.want, Connections: []ConnDump{},
+		Slots: l.slots, Snapshots: l.snapshots, Planned: l.planned, Connections: []ConnDump{},
 	}
 	if s := l.presence.leaving(); s != pb.DepartureSource_DEPARTURE_SOURCE_UNSPECIFIED {
 		d.Leaving = sourceName(s)
@@ -62,9 +62,9 @@
 	}
 	for _, c := range l.conns {
 		d.Connections = append(d.Connections, ConnDump{
-			Incarnation: c.incarnation, InFlight: c.inFlight, OutOfUse: string(c.fate),
+			Incarnation: c.incarnation, InFlight: c.inFlight, OutOfUse: string(c.retired),
 			Age:   now.Sub(c.opened).Round(time.Millisecond).String(),
-			Quiet: now.Sub(c.wire.heard()).Round(time.Millisecond).String(),
+			Quiet: now.Sub(c.tcp.lastHeard()).Round(time.Millisecond).String(),
 		})
 	}
 	return d
@@ -74,7 +74,7 @@
 func (l *leaf) closeAll() {
 	l.mu.Lock()
 	all := l.conns
-	l.conns, l.want = nil, 0
+	l.conns, l.planned = nil, 0
 	l.mu.Unlock()
 	for _, c := range all {
 		_ = c.h2.Close()
--- a/internal/upstream/fake_test.go
+++ b/internal/upstream/fake_test.go
@@ -41,8 +41,8 @@
 
 	mu sync.Mutex
 	// pipes are the leaf's ends of its open connections, most the highest count; guarded by mu.
-	pipes []*fakePipe
-	most  int
+	pipes   []*fakePipe
+	maxOpen int
 	// listener of the incarnation that runs; guarded by mu.
 	listener *pipeListener
 }
@@ -111,7 +111,7 @@
 	}
 	f.mu.Lock()
 	f.pipes = append(f.pipes, p)
-	f.most = max(f.most, len(f.pipes))
+	f.maxOpen = max(f.maxOpen, len(f.pipes))
 	f.mu.Unlock()
 	return near, ctx.Err()
 }
--- a/internal/upstream/frames.go
+++ b/internal/upstream/frames.go
@@ -17,39 +17,39 @@
 // the one goroutine that reads.
 type frameScanner struct {
 	// head is the frame header, and for GOAWAY the fixed part of the payload, as far as read.
-	head [frameHeaderLen + goAwayLen]byte
-	have int
-	// skip is how much payload is still to come.
-	skip int
+	head     [frameHeaderLen + goAwayLen]byte
+	headRead int
+	// payloadRemaining is how much payload is still to come.
+	payloadRemaining int
 }
 
 // scan takes the next bytes and returns the error code of a GOAWAY that ends in them.
 func (f *frameScanner) scan(b []byte) (code uint32, found bool) {
 	for len(b) > 0 {
-		if f.skip > 0 {
-			n := min(f.skip, len(b))
-			f.skip -= n
+		if f.payloadRemaining > 0 {
+			n := min(f.payloadRemaining, len(b))
+			f.payloadRemaining -= n
 			b = b[n:]
 			continue
 		}
-		n := copy(f.head[f.have:f.want()], b)
-		f.have += n
+		n := copy(f.head[f.headRead:f.headLen()], b)
+		f.headRead += n
 		b = b[n:]
-		if f.have < f.want() {
+		if f.headRead < f.headLen() {
 			continue
 		}
 		if f.isGoAway() {
 			code, found = binary.BigEndian.Uint32(f.head[frameHeaderLen+4:]), true
 		}
-		f.skip = f.payload() - (f.have - frameHeaderLen)
-		f.have = 0
+		f.payloadRemaining = f.payload() - (f.headRead - frameHeaderLen)
+		f.headRead = 0
 	}
 	return code, found
 }
 
-// want is how many bytes of head have to be read before the frame can be judged.
-func (f *frameScanner) want() int {
-	if f.have >= frameHeaderLen && f.isGoAway() {
+// headLen is how many bytes of head have to be read before the frame can be judged.
+func (f *frameScanner) headLen() int {
+	if f.headRead >= frameHeaderLen && f.isGoAway() {
 		return frameHeaderLen + goAwayLen
 	}
 	return frameHeaderLen
--- a/internal/upstream/gauges.go
+++ b/internal/upstream/gauges.go
@@ -27,7 +27,7 @@
 	for _, l := range g.pool.all() {
 		leaves[leafKey{l.service, stateName(l.state())}]++
 		l.mu.Lock()
-		conns[l.service] += l.live()
+		conns[l.service] += l.openConns()
 		l.mu.Unlock()
 	}
 	for k, n := range leaves {
--- a/internal/upstream/h2.go
+++ b/internal/upstream/h2.go
@@ -43,10 +43,10 @@
 
 func (h h2Transport) open(c net.Conn) (h2Conn, error) { return h.t.NewClientConn(c) }
 
-// endAtSilence ends the request once its connection is found silent, though the connection may stay
+// cancelWhenSilent ends the request once its connection is found silent, though the connection may stay
 // open for orders. The HTTP/2 client watches the field of old for as long as the stream runs; a
 // context of its own for each search would cost more.
-func endAtSilence(req *http.Request, c *conn) { req.Cancel = c.silent }
+func cancelWhenSilent(req *http.Request, c *conn) { req.Cancel = c.silent }
 
 // refusedStream tells whether the protocol guarantees that the peer did not process the call: it
 // reset the stream with REFUSED_STREAM (RFC 9113, section 8.7).
--- a/internal/upstream/leaf.go
+++ b/internal/upstream/leaf.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// awaitLimit is how long a call waits for a connection that is about to become usable.
-	awaitLimit = 100 * time.Millisecond
-	// recoverLimit is how long after a silence the leaf counts as connected while it has no usable
+	// connWaitTimeout is how long a call waits for a connection that is about to become usable.
+	connWaitTimeout = 100 * time.Millisecond
+	// reconnectGracePeriod is how long after a silence the leaf counts as connected while it has no usable
 	// connection but one is being opened.
-	recoverLimit = 300 * time.Millisecond
+	reconnectGracePeriod = 300 * time.Millisecond
 )
 
 // leaf is one upstream of the pool, with its connections.
@@ -38,9 +38,9 @@
 	mu sync.Mutex
 	// The rest is guarded by mu.
 
-	// want is the number of connections by plan, 0 where the leaf is removed.
-	want  int
-	slots int
+	// planned is the number of connections by plan, 0 where the leaf is removed.
+	planned int
+	slots   int
 	// conns are all open connections, out of use or not.
 	conns    []*conn
 	presence presence
@@ -59,8 +59,8 @@
 	pollAt  time.Time
 	// changed is closed and replaced when a connection may have become usable.
 	changed chan struct{}
-	// tried is true once a first connection was opened or could not be.
-	tried bool
+	// attempted is true once a first connection was opened or could not be.
+	attempted bool
 	// openError is how the last try to open a connection failed, nil after a success.
 	openError error
 }
@@ -70,16 +70,16 @@
 func (l *leaf) acquire(now time.Time) (*conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.want == 0 {
+	if l.planned == 0 {
 		return nil, errUnknownLeaf
 	}
-	l.absorb()
+	l.applyConnEvents()
 	if l.isLeaving() {
 		return nil, errLeaving
 	}
 	var best *conn
 	for _, c := range l.conns {
-		if c.usable() && (best == nil || c.better(best)) {
+		if c.usable() && (best == nil || c.preferredOver(best)) {
 			best = c
 		}
 	}
@@ -90,17 +90,17 @@
 	return best, nil
 }
 
-// await is acquire that waits a little where a connection is about to become usable.
-func (l *leaf) await(ctx context.Context) (*conn, error) {
+// acquireWait is acquire that waits a little where a connection is about to become usable.
+func (l *leaf) acquireWait(ctx context.Context) (*conn, error) {
 	if c, err := l.acquire(time.Now()); err != errNoConnection {
 		return c, err
 	}
-	limit := time.NewTimer(awaitLimit)
+	limit := time.NewTimer(connWaitTimeout)
 	defer limit.Stop()
 	for {
-		changed, hopeful := l.prospect()
+		changed, expected := l.nextChange()
 		c, err := l.acquire(time.Now())
-		if err != errNoConnection || !hopeful {
+		if err != errNoConnection || !expected {
 			return c, err
 		}
 		select {
@@ -113,21 +113,21 @@
 	}
 }
 
-// prospect returns a channel that closes at the next change, and whether one is due soon.
-func (l *leaf) prospect() (changed <-chan struct{}, hopeful bool) {
+// nextChange returns a channel that closes at the next change, and whether one is due soon.
+func (l *leaf) nextChange() (changed <-chan struct{}, expected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.changed, l.hopeful()
+	return l.changed, l.connDue()
 }
 
-// hopeful tells whether a connection is about to become usable: a first try to open one is under way,
+// connDue tells whether a connection is about to become usable: a first try to open one is under way,
 // or one only has to answer a ping. Requires mu.
-func (l *leaf) hopeful() bool {
-	hopeful := l.backoff.failures == 0 && l.live() < l.target()
+func (l *leaf) connDue() bool {
+	expected := l.backoff.failures == 0 && l.openConns() < l.targetConns()
 	for _, c := range l.conns {
-		hopeful = hopeful || (c.fate == fateNone && c.doubtful())
+		expected = expected || (c.retired == retireNone && c.suspect())
 	}
-	return hopeful
+	return expected
 }
 
 // notify wakes calls that wait for a connection. Requires mu.
@@ -136,22 +136,22 @@
 	l.changed = make(chan struct{})
 }
 
-// better tells whether c should take a call rather than other. Requires leaf.mu.
-func (c *conn) better(other *conn) bool {
+// preferredOver tells whether c should take a call rather than other. Requires leaf.mu.
+func (c *conn) preferredOver(other *conn) bool {
 	if c.inFlight != other.inFlight {
 		return c.inFlight < other.inFlight
 	}
-	return c.wire.heard().After(other.wire.heard())
+	return c.tcp.lastHeard().After(other.tcp.lastHeard())
 }
 
 // release ends a call on the connection.
 func (l *leaf) release(c *conn) {
 	l.mu.Lock()
 	c.inFlight--
-	done := c.fate != fateNone && c.inFlight == 0
+	done := c.retired != retireNone && c.inFlight == 0
 	l.mu.Unlock()
 	if done {
-		l.pool.wakeUp()
+		l.pool.wakeLoop()
 	}
 }
 
@@ -178,83 +178,83 @@
 	return l.presence.leaving() != pb.DepartureSource_DEPARTURE_SOURCE_UNSPECIFIED
 }
 
-// absorb takes in what the connections' readers noted. Requires mu.
-func (l *leaf) absorb() {
+// applyConnEvents takes in what the connections' readers noted. Requires mu.
+func (l *leaf) applyConnEvents() {
 	for _, c := range l.conns {
-		if c.wire.leaving.Load() && !c.departed {
-			c.departed = true
-			l.departs(c.incarnation, pb.DepartureSource_DEPARTURE_SOURCE_GOAWAY)
+		if c.tcp.goAway.Load() && !c.goAwayRecorded {
+			c.goAwayRecorded = true
+			l.recordDeparture(c.incarnation, pb.DepartureSource_DEPARTURE_SOURCE_GOAWAY)
 		}
-		if at, broke := c.wire.broke(); broke && at.After(l.brokeAt) {
+		if at, broke := c.tcp.brokenAt(); broke && at.After(l.brokeAt) {
 			l.brokeAt = at
 		}
 		switch {
-		case c.fate != fateNone:
-		case c.wire.lost.Load():
-			l.retire(c, fateLost)
-		case c.wire.leaving.Load() || c.wire.failed.Load():
-			l.retire(c, fateGoAway)
-		case c.wire.closing.Load():
-			l.retire(c, fateClosed)
+		case c.retired != retireNone:
+		case c.tcp.lost.Load():
+			l.retire(c, retireLost)
+		case c.tcp.goAway.Load() || c.tcp.goAwayErr.Load():
+			l.retire(c, retireGoAway)
+		case c.tcp.closing.Load():
+			l.retire(c, retireClosed)
 		}
 	}
 }
 
 // retire takes a connection out of use; its calls run on. Requires mu.
-func (l *leaf) retire(c *conn, why fate) {
-	if c.fate != fateNone {
+func (l *leaf) retire(c *conn, why retireReason) {
+	if c.retired != retireNone {
 		return
 	}
-	c.fate = why
+	c.retired = why
 	now := time.Now()
-	ended := why == fateLost || why == fateGoAway || why == fateClosed
-	if ended && now.Sub(c.opened) < settled && !now.Before(l.retryAt) {
+	ended := why == retireLost || why == retireGoAway || why == retireClosed
+	if ended && now.Sub(c.opened) < stableAfter && !now.Before(l.retryAt) {
 		l.retryAt = now.Add(l.backoff.next())
 	}
 	l.pool.metrics.closed.WithLabelValues(l.service, string(why)).Inc()
 }
 
-// silence takes a connection out of use that gave no sign of life since it was pinged at the given
+// markSilent takes a connection out of use that gave no sign of life since it was pinged at the given
 // time, and ends its searches. Orders stay: they can't be sent again, and where the leaf was only
 // paused or cut off their answers still come. What cut the connection may have cut the others as
 // well: those not heard of since are pinged too, and take no call before they are heard of.
-func (l *leaf) silence(c *conn, pinged time.Time) {
+func (l *leaf) markSilent(c *conn, pinged time.Time) {
 	l.mu.Lock()
-	if c.silenced {
+	if c.foundSilent {
 		l.mu.Unlock()
 		return
 	}
-	c.silenced = true
+	c.foundSilent = true
 	close(c.silent)
-	l.retire(c, fateSilent)
+	l.retire(c, retireSilent)
 	keep := c.orders > 0
 	l.brokeAt = time.Now()
-	l.recoverBy = l.brokeAt.Add(recoverLimit)
+	l.recoverBy = l.brokeAt.Add(reconnectGracePeriod)
 	for _, other := range l.conns {
-		if other.fate == fateNone && pinged.After(other.doubted) {
-			other.doubted = pinged
+		if other.retired == retireNone && pinged.After(other.suspectAt) {
+			other.suspectAt = pinged
 		}
 	}
 	l.mu.Unlock()
 	if !keep {
 		_ = c.h2.Close()
 	}
-	l.pool.wakeUp()
+	l.pool.wakeLoop()
 }
 
-// recovers tells whether a silent connection is being replaced and a call may wait for the new one.
+// recovering tells whether a silent connection is being replaced and a call may wait for the new one.
 // Requires mu.
-func (l *leaf) recovers(now time.Time) bool { return now.Before(l.recoverBy) && l.hopeful() }
+func (l *leaf) recovering(now time.Time) bool { return now.Before(l.recoverBy) && l.connDue() }
 
-// departs takes in evidence of departure seen by this process and reports it. Requires mu.
-func (l *leaf) departs(incarnation uint64, source pb.DepartureSource) {
-	var news bool
+// recordDeparture takes in evidence of departure seen by this process and reports it. Requires mu.
+func (l *leaf) recordDeparture(incarnation uint64, source pb.DepartureSource) {
+	var isNew bool
 	if incarnation == 0 {
-		news = l.presence.refuse(time.Now())
+		isNew = l.presence.recordRefused(time.Now())
 	} else {
-		news = l.presence.depart(incarnation, source)
+		isNew = l.presence.recordDeparture(incarnation, source)
 	}
-	if !news {
+	if !isNew {
 		return
 	}
 	l.pool.metrics.departures.WithLabelValues(l.service, sourceName(source)).Inc()
@@ -265,37 +265,37 @@
 	})
 }
 
-// target is how many connections the leaf should have now: a leaving leaf keeps one, which shows
+// targetConns is how many connections the leaf should have now: a leaving leaf keeps one, which shows
 // its next incarnation. One that only refused a connection keeps all, for a new one shows whether
 // that still holds. Requires mu.
-func (l *leaf) target() int {
+func (l *leaf) targetConns() int {
 	switch l.presence.leaving() {
 	case pb.DepartureSource_DEPARTURE_SOURCE_UNSPECIFIED, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT:
-		return l.want
+		return l.planned
 	}
-	return min(1, l.want)
+	return min(1, l.planned)
 }
 
 // state returns a copy of what is known.
 func (l *leaf) state() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.absorb()
+	l.applyConnEvents()
 	s := State{
 		Leaf: l.id, Incarnation: l.presence.incarnation, Leaving: l.isLeaving(),
 		Snapshots: append([]uint64(nil), l.snapshots...), Slots: l.slots,
-		Survived: !l.brokeAt.IsZero() && l.presence.shown.After(l.brokeAt),
+		Survived: !l.brokeAt.IsZero() && l.presence.lastConfirmed.After(l.brokeAt),
 	}
 	for _, c := range l.conns {
 		s.Connected = s.Connected || c.usable()
 	}
-	s.Connected = s.Connected || l.recovers(time.Now())
+	s.Connected = s.Connected || l.recovering(time.Now())
 	return s
 }
 
-// wasTried tells whether a connection was opened or could not be, or none is wanted.
-func (l *leaf) wasTried() bool {
+// wasAttempted tells whether a connection was opened or could not be, or none is wanted.
+func (l *leaf) wasAttempted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tried || l.want == 0
+	return l.attempted || l.planned == 0
 }
--- a/internal/upstream/metrics.go
+++ b/internal/upstream/metrics.go
@@ -51,11 +51,11 @@
 	return m
 }
 
-func (m *metrics) called(service, method, result string) {
+func (m *metrics) countCall(service, method, result string) {
 	m.calls.WithLabelValues(service, method, result).Inc()
 }
 
-func (m *metrics) pinged(service string, alive bool) {
+func (m *metrics) countPing(service string, alive bool) {
 	result := "no_answer"
 	if alive {
 		result = "alive"
@@ -63,7 +63,7 @@
 	m.pings.WithLabelValues(service, result).Inc()
 }
 
-func (m *metrics) polled(service string, err error) {
+func (m *metrics) countPoll(service string, err error) {
 	result := resultOK
 	if err != nil {
 		result = resultError
--- a/internal/upstream/once_test.go
+++ b/internal/upstream/once_test.go
@@ -143,10 +143,10 @@
 				is := is.New(t)
 				r := &rawLeaf{onOrder: tt.onOrder}
 				p, _ := startPool(t, r.dial)
-				settle()
+				waitForConnections()
 				_, err := p.Execute(t.Context(), testLeaf, &pb.LeafExecuteRequest{Ticket: "t1"})
 				time.Sleep(5 * time.Second)
-				e := callFailure(err)
+				e := asCallError(err)
 				is.True(e.Wrote)
 				is.Equal(e.Refusal, tt.refusal)
 				is.Equal(e.NotStarted(), tt.refusal != unspecified)
@@ -157,36 +157,36 @@
 	}
 }
 
-func TestOrderGivenUpBeforeItsMessageIsReadIsNotSent(t *testing.T) {
+func TestOrderAbandonedBeforeItsBodyIsReadIsNotSent(t *testing.T) {
 	is := is.New(t)
 	body := func() io.ReadCloser { return io.NopCloser(strings.NewReader("order")) }
-	read := &exchange{gate: &gate{ReadCloser: body()}}
-	_, err := read.gate.Read(make([]byte, 1))
+	read := &exchange{body: &sealableBody{ReadCloser: body()}}
+	_, err := read.body.Read(make([]byte, 1))
 	is.NoErr(err)
 	is.True(!read.notSent()) // a byte was taken for sending
-	_, err = read.gate.Read(make([]byte, 8))
+	_, err = read.body.Read(make([]byte, 8))
 	is.NoErr(err)
 
-	unread := &exchange{gate: &gate{ReadCloser: body()}}
+	unread := &exchange{body: &sealableBody{ReadCloser: body()}}
 	is.True(unread.notSent())
-	_, err = unread.gate.Read(make([]byte, 1))
+	_, err = unread.body.Read(make([]byte, 1))
 	is.Equal(err, errSealed) // and never will be
 	is.True(unread.notSent())
 
 	is.True((&exchange{}).notSent()) // the HTTP/2 client was never asked
 }
 
-func TestExchangeTakesOneRequest(t *testing.T) {
+func TestExchangeAcceptsOneRequest(t *testing.T) {
 	is := is.New(t)
 	ctx, x := withExchange(t.Context(), &conn{})
-	x.gate = &gate{}
+	x.body = &sealableBody{}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://127.0.0.1/", nil)
 	is.NoErr(err)
 	_, err = exchangeClient{}.Do(req)
 	is.True(err != nil)
 }
 
-func TestScannerFindsGoAwayHoweverBytesAreCut(t *testing.T) {
+func TestFrameScannerFindsGoAwayAcrossReads(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
 	fr := http2.NewFramer(&b, nil)
--- a/internal/upstream/open.go
+++ b/internal/upstream/open.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// openLimit bounds opening a connection, with its first status.
-	openLimit = time.Second
-	// pollEvery is the mean time between two questions for a leaf's status.
-	pollEvery = 2 * time.Second
-	// pollLimit bounds one question.
-	pollLimit = 500 * time.Millisecond
-	// backoffFirst and backoffMost bound the waiting time after a connection could not be opened.
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = 2 * time.Second
-	// settled is how long a connection must have lasted for its end not to slow the next.
-	settled = time.Second
+	// openTimeout bounds opening a connection, with its first status.
+	openTimeout = time.Second
+	// pollInterval is the mean time between two questions for a leaf's status.
+	pollInterval = 2 * time.Second
+	// pollTimeout bounds one question.
+	pollTimeout = 500 * time.Millisecond
+	// minBackoff and backoffMost bound the waiting time after a connection could not be opened.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// stableAfter is how long a connection must have lasted for its end not to slow the next.
+	stableAfter = time.Second
 )
 
 // backoff doubles the waiting time with each failure.
@@ -31,9 +31,9 @@
 
 // next returns the jittered time until the next try.
 func (b *backoff) next() time.Duration {
-	d := backoffMost
+	d := maxBackoff
 	if b.failures < 6 {
-		d = min(backoffMost, backoffFirst<<b.failures)
+		d = min(maxBackoff, minBackoff<<b.failures)
 	}
 	b.failures++
 	return jitter(d)
@@ -46,15 +46,15 @@
 
 // open opens one connection, learns the incarnation on it, and adds it.
 func (l *leaf) open() {
-	ctx, cancel := context.WithTimeout(l.pool.ctx, openLimit)
+	ctx, cancel := context.WithTimeout(l.pool.ctx, openTimeout)
 	defer cancel()
 	opened := time.Now()
 	c, st, err := l.dial(ctx, opened)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.opening, l.tried = false, true
+	l.opening, l.attempted = false, true
 	l.openError = err
-	defer l.pool.wakeUp()
+	defer l.pool.wakeLoop()
 	if err != nil {
 		l.openFailed(err)
 		return
@@ -63,9 +63,9 @@
 	l.conns = append(l.conns, c)
 	l.notify()
 	if st != nil {
-		l.learn(c, st)
+		l.applyStatus(c, st)
 	} else {
-		l.presence.connected(0, opened)
+		l.presence.recordConnected(0, opened)
 	}
 }
 
@@ -80,7 +80,7 @@
 		return
 	}
 	l.pool.metrics.opened.WithLabelValues(l.service, "refused").Inc()
-	l.departs(0, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT)
+	l.recordDeparture(0, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT)
 }
 
 // dial opens a connection and asks for the status on it. A leaf that answers no status is taken
@@ -90,19 +90,19 @@
 	if err != nil {
 		return nil, nil, eris.Wrapf(err, "gather.upstream: dial %s", l.id)
 	}
-	w := newWire(nc, l.pool.epoch, l.pool.wakeUp)
-	_ = w.SetWriteDeadline(opened.Add(openLimit)) // the preface is written without a context
+	w := newTrackedConn(nc, l.pool.epoch, l.pool.wakeLoop)
+	_ = w.SetWriteDeadline(opened.Add(openTimeout)) // the preface is written without a context
 	h2, err := l.pool.transport.open(w)
 	_ = w.SetWriteDeadline(time.Time{})
 	if err != nil {
 		_ = w.Close()
 		return nil, nil, eris.Wrapf(err, "gather.upstream: start HTTP/2 with %s", l.id)
 	}
-	c := &conn{leaf: l, wire: w, h2: h2, opened: opened, silent: make(chan struct{})}
-	st, err := l.askStatus(ctx, c)
+	c := &conn{leaf: l, tcp: w, h2: h2, opened: opened, silent: make(chan struct{})}
+	st, err := l.requestStatus(ctx, c)
 	if err == nil && st.GetLeaf() != "" && st.GetLeaf() != l.id {
 		err = eris.Errorf("gather.upstream: %s answers as %s", l.id, st.GetLeaf())
-	} else if err != nil && c.wire.usable() && h2.Ping(ctx) == nil {
+	} else if err != nil && c.tcp.usable() && h2.Ping(ctx) == nil {
 		return c, nil, nil
 	}
 	if err != nil {
@@ -112,9 +112,9 @@
 	return c, st, nil
 }
 
-// askStatus asks for the status over the connection.
-func (l *leaf) askStatus(ctx context.Context, c *conn) (*pb.LeafStatusResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, pollLimit)
+// requestStatus asks for the status over the connection.
+func (l *leaf) requestStatus(ctx context.Context, c *conn) (*pb.LeafStatusResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	ctx, _ = withExchange(ctx, c)
 	return l.client.Status(ctx, &pb.LeafStatusRequest{})
@@ -122,35 +122,35 @@
 
 // poll asks for the status over an open connection that was begun.
 func (l *leaf) poll(c *conn) {
-	st, err := l.askStatus(l.pool.ctx, c)
+	st, err := l.requestStatus(l.pool.ctx, c)
 	l.release(c)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.polling = false
-	l.pool.metrics.polled(l.service, err)
+	l.pool.metrics.countPoll(l.service, err)
 	if err != nil {
 		return
 	}
-	l.learn(c, st)
-	if time.Since(c.opened) >= settled {
+	l.applyStatus(c, st)
+	if time.Since(c.opened) >= stableAfter {
 		l.backoff = backoff{}
 	}
 }
 
-// learn takes in a status answered on the connection. All of it is a hint, but that a draining
+// applyStatus takes in a status answered on the connection. All of it is a hint, but that a draining
 // leaf drains. A connection belongs to one incarnation: another one on it is not believed.
 // Requires mu.
-func (l *leaf) learn(c *conn, st *pb.LeafStatusResponse) {
+func (l *leaf) applyStatus(c *conn, st *pb.LeafStatusResponse) {
 	n := st.GetIncarnation()
 	if n == 0 || (c.incarnation != 0 && c.incarnation != n) {
 		return
 	}
 	if st.GetDraining() {
-		l.departs(n, pb.DepartureSource_DEPARTURE_SOURCE_STATUS)
+		l.recordDeparture(n, pb.DepartureSource_DEPARTURE_SOURCE_STATUS)
 	}
 	if c.incarnation == 0 || n == l.presence.incarnation {
 		c.incarnation = n
-		if !l.presence.connected(n, c.opened) {
+		if !l.presence.recordConnected(n, c.opened) {
 			return
 		}
 	}
@@ -163,10 +163,10 @@
 	}
 }
 
-// askSoon makes the next status due now.
-func (l *leaf) askSoon() {
+// pollNow makes the next status due now.
+func (l *leaf) pollNow() {
 	l.mu.Lock()
 	l.pollAt = time.Time{}
 	l.mu.Unlock()
-	l.pool.wakeUp()
+	l.pool.wakeLoop()
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// tendEvery is how often the pool looks after its connections when nothing wakes it.
-	tendEvery = 50 * time.Millisecond
-	// maxAnswerBytes bounds a leaf's answer.
-	maxAnswerBytes = 4 << 20
+	// maintainInterval is how often the pool looks after its connections when nothing wakes it.
+	maintainInterval = 50 * time.Millisecond
+	// maxResponseBytes bounds a leaf's answer.
+	maxResponseBytes = 4 << 20
 )
 
 // Config is what a Pool needs to know of its own VM.
@@ -44,19 +44,19 @@
 	epoch     time.Time
 
 	// ctx ends when the pool closes; work counts the pool's goroutines.
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 	// closed forbids new goroutines; guarded by workMu.
-	closed bool
-	workMu sync.Mutex
-	wake   chan struct{}
-	// settled is closed by the pool's loop once the leaves of the first bundle were tried.
-	settled chan struct{}
+	closed  bool
+	spawnMu sync.Mutex
+	wake    chan struct{}
+	// initialized is closed by the pool's loop once the leaves of the first bundle were tried.
+	initialized chan struct{}
 
 	mu sync.RWMutex
-	// viewed is true from the first view with a bundle on; guarded by mu.
-	viewed bool
+	// hasBundle is true from the first view with a bundle on; guarded by mu.
+	hasBundle bool
 	// leaves by id; guarded by mu.
 	leaves map[string]*leaf
 	// removed leaves whose calls still run; guarded by mu.
@@ -75,10 +75,10 @@
 		dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", address)
 		},
-		epoch:   time.Now(),
-		wake:    make(chan struct{}, 1),
-		settled: make(chan struct{}),
-		leaves:  make(map[string]*leaf),
+		epoch:       time.Now(),
+		wake:        make(chan struct{}, 1),
+		initialized: make(chan struct{}),
+		leaves:      make(map[string]*leaf),
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	if reg != nil {
@@ -91,7 +91,7 @@
 // the pool then.
 func (p *Pool) Run(ctx context.Context) error {
 	defer p.Close()
-	tick := time.NewTicker(tendEvery)
+	tick := time.NewTicker(maintainInterval)
 	defer tick.Stop()
 	for {
 		changed := p.source.Changed()
@@ -103,24 +103,24 @@
 			case <-changed:
 				waiting = false
 			case <-p.wake:
-				p.tend(time.Now())
+				p.maintain(time.Now())
 			case <-tick.C:
-				p.tend(time.Now())
+				p.maintain(time.Now())
 			}
 		}
 	}
 }
 
-// tend looks after all leaves and forgets the removed ones that have ended. It is called by the
+// maintain looks after all leaves and forgets the removed ones that have ended. It is called by the
 // pool's loop alone.
-func (p *Pool) tend(now time.Time) {
+func (p *Pool) maintain(now time.Time) {
 	ended := make(map[*leaf]bool)
 	for _, l := range p.all() {
-		if !l.tend(now) {
+		if !l.maintain(now) {
 			ended[l] = true
 		}
 	}
-	p.settleOnce()
+	p.checkInitialized()
 	if len(ended) == 0 {
 		return
 	}
@@ -131,27 +131,27 @@
 
 // Initialized returns a channel that is closed once a bundle is there and every leaf that this VM serves
 // has been connected to or could not be. It stays closed when leaves come later.
-func (p *Pool) Initialized() <-chan struct{} { return p.settled }
+func (p *Pool) Initialized() <-chan struct{} { return p.initialized }
 
-// settleOnce closes settled when it is time to. It is called by the pool's loop alone.
-func (p *Pool) settleOnce() {
+// checkInitialized closes settled when it is time to. It is called by the pool's loop alone.
+func (p *Pool) checkInitialized() {
 	p.mu.RLock()
-	viewed := p.viewed
+	viewed := p.hasBundle
 	p.mu.RUnlock()
-	if p.isSettled() || !viewed {
+	if p.isInitialized() || !viewed {
 		return
 	}
 	for _, l := range p.all() {
-		if !l.wasTried() {
+		if !l.wasAttempted() {
 			return
 		}
 	}
-	close(p.settled)
+	close(p.initialized)
 }
 
-func (p *Pool) isSettled() bool {
+func (p *Pool) isInitialized() bool {
 	select {
-	case <-p.settled:
+	case <-p.initialized:
 		return true
 	default:
 		return false
@@ -161,29 +161,29 @@
 // Close ends the pool: connections are closed, calls that still run are cut.
 func (p *Pool) Close() {
 	p.cancel()
-	p.workMu.Lock()
+	p.spawnMu.Lock()
 	p.closed = true
-	p.workMu.Unlock()
-	p.work.Wait()
+	p.spawnMu.Unlock()
+	p.goroutines.Wait()
 	for _, l := range p.all() {
 		l.closeAll()
 	}
 }
 
-// wakeUp makes the loop tend its connections soon. It doesn't block.
-func (p *Pool) wakeUp() {
+// wakeLoop makes the loop tend its connections soon. It doesn't block.
+func (p *Pool) wakeLoop() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// goDo runs f in a goroutine of the pool, unless the pool is closing.
-func (p *Pool) goDo(f func()) {
-	p.workMu.Lock()
-	defer p.workMu.Unlock()
+// spawn runs f in a goroutine of the pool, unless the pool is closing.
+func (p *Pool) spawn(f func()) {
+	p.spawnMu.Lock()
+	defer p.spawnMu.Unlock()
 	if !p.closed {
-		p.work.Go(f)
+		p.goroutines.Go(f)
 	}
 }
 
@@ -219,5 +219,5 @@
 func newClient(address string) burdockv1connect.LeafServiceClient {
 	return burdockv1connect.NewLeafServiceClient(exchangeClient{}, "http://"+address,
 		connect.WithAcceptCompression("gzip", nil, nil),
-		connect.WithReadMaxBytes(maxAnswerBytes))
+		connect.WithReadMaxBytes(maxResponseBytes))
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,8 +14,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// settle lets the pool open its connections.
-func settle() {
+// waitForConnections lets the pool open its connections.
+func waitForConnections() {
 	time.Sleep(100 * time.Millisecond)
 	synctest.Wait()
 }
@@ -24,7 +24,7 @@
 	return p.Search(ctx, testLeaf, &pb.LeafSearchRequest{RequestId: "r1"})
 }
 
-func callFailure(err error) *CallError {
+func asCallError(err error) *CallError {
 	var e *CallError
 	if errors.As(err, &e) {
 		return e
@@ -32,12 +32,12 @@
 	return &CallError{Err: errors.New("no call error")}
 }
 
-func TestPoolOpensItsConnectionsAheadOfNeed(t *testing.T) {
+func TestPoolOpensConnectionsBeforeFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		is.Equal(f.open(), 2) // as many as the plan says, before any call
 		s, ok := p.State(testLeaf)
 		is.True(ok)
@@ -50,25 +50,25 @@
 
 // A pool is settled once each leaf was tried, whether a connection came about or not, and not before
 // there is a bundle.
-func TestSettledWhenEachLeafWasTried(t *testing.T) {
+func TestInitializedAfterEachLeafWasAttempted(t *testing.T) {
 	for name, err := range map[string]error{"connected": nil, "refused": syscall.ECONNREFUSED} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFakeLeaf(t)
-				goOn := make(chan struct{})
+				proceed := make(chan struct{})
 				p, _ := startPool(t, func(ctx context.Context, address string) (net.Conn, error) {
-					<-goOn
+					<-proceed
 					if err != nil {
 						return nil, err
 					}
 					return f.dial(ctx, address)
 				})
-				settle()
-				is.True(!p.isSettled())
-				close(goOn)
-				settle()
-				is.True(p.isSettled())
+				waitForConnections()
+				is.True(!p.isInitialized())
+				close(proceed)
+				waitForConnections()
+				is.True(p.isInitialized())
 			})
 		})
 	}
@@ -79,11 +79,11 @@
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, fd := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		f.silenceAll()
 		start := time.Now()
 		_, err := search(t.Context(), p)
-		e := callFailure(err)
+		e := asCallError(err)
 		is.True(e.ConnectionSilent)
 		is.True(e.Wrote)
 		is.True(!e.ConnectionLost) // it says nothing about the leaf
@@ -95,19 +95,19 @@
 		}
 		is.NoErr(err)
 		is.True(time.Since(start) < time.Second)
-		settle()
+		waitForConnections()
 		s, _ := p.State(testLeaf)
 		is.True(!s.Leaving)
 		is.Equal(len(fd.reported()), 0)
 	})
 }
 
-func TestIdleConnectionGoneSilentIsFoundBeforeACallNeedsIt(t *testing.T) {
+func TestSilentIdleConnectionIsDetectedBeforeACall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		f.silenceAll()
 		time.Sleep(2 * time.Second)
 		_, err := search(t.Context(), p)
@@ -115,31 +115,31 @@
 	})
 }
 
-func TestSlowCallIsNotTakenForSilence(t *testing.T) {
+func TestSlowCallIsNotMistakenForSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		f.setAnswer(func(context.Context) error { time.Sleep(5 * time.Second); return nil })
 		_, err := search(t.Context(), p)
 		is.NoErr(err)
 	})
 }
 
-func TestOrderIsNotWrittenToAConnectionGoneSilent(t *testing.T) {
+func TestOrderIsNotWrittenToSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		f.silenceAll()
 		_, err := p.Execute(t.Context(), testLeaf, &pb.LeafExecuteRequest{Ticket: "t1"})
 		if err != nil { // no connection was left: surely not run
-			is.True(!callFailure(err).Wrote)
+			is.True(!asCallError(err).Wrote)
 			is.Equal(f.executions.Load(), int64(0))
 		}
-		settle()
+		waitForConnections()
 		_, err = p.Execute(t.Context(), testLeaf, &pb.LeafExecuteRequest{Ticket: "t2"})
 		is.NoErr(err)
 	})
@@ -147,12 +147,12 @@
 
 // An order can't be sent again: closing its silent connection would make its end unknown for good,
 // though the leaf was only paused.
-func TestOrderOutlivesThePauseOfItsLeaf(t *testing.T) {
+func TestOrderSurvivesPauseOfItsLeaf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		f.setAnswer(func(context.Context) error { time.Sleep(100 * time.Millisecond); return nil })
 		order := make(chan error, 2)
 		for range cap(order) { // one on each connection
@@ -166,7 +166,7 @@
 		resume := f.pauseAll()
 		start := time.Now()
 		_, err := search(t.Context(), p)
-		is.True(callFailure(err).ConnectionSilent) // a search ends, to be sent again elsewhere
+		is.True(asCallError(err).ConnectionSilent) // a search ends, to be sent again elsewhere
 		is.True(time.Since(start) < time.Second)
 		time.Sleep(time.Second)
 		f.setAnswer(func(context.Context) error { return nil })
@@ -176,31 +176,31 @@
 		for range cap(order) {
 			is.NoErr(<-order)
 		}
-		settle()
+		waitForConnections()
 		is.Equal(f.executions.Load(), int64(2))
 		is.Equal(f.open(), 2) // the silent ones are closed once their orders have ended
 	})
 }
 
-func TestOrderIsNotWrittenPastItsDeadline(t *testing.T) {
+func TestOrderIsNotSentAfterItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
-		told := make(chan time.Duration, 1)
+		waitForConnections()
+		remaining := make(chan time.Duration, 1)
 		f.setAnswer(func(ctx context.Context) error {
 			deadline, _ := ctx.Deadline()
-			told <- time.Until(deadline)
+			remaining <- time.Until(deadline)
 			time.Sleep(2 * time.Second)
 			return nil
 		})
 		ctx := WithWorkDeadline(t.Context(), time.Now().Add(time.Second))
 		_, err := p.Execute(ctx, testLeaf, &pb.LeafExecuteRequest{Ticket: "t"})
 		is.NoErr(err) // a late answer is taken
-		is.Equal((<-told).Round(10*time.Millisecond), time.Second)
+		is.Equal((<-remaining).Round(10*time.Millisecond), time.Second)
 		_, err = p.Execute(ctx, testLeaf, &pb.LeafExecuteRequest{Ticket: "u"})
-		is.True(callFailure(err).NotStarted())
+		is.True(asCallError(err).NotStarted())
 		is.Equal(f.executions.Load(), int64(1))
 	})
 }
@@ -210,9 +210,9 @@
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		f.setAnswer(func(context.Context) error { f.crash(); return nil })
-		e := callFailure(second(p.Execute(t.Context(), testLeaf, &pb.LeafExecuteRequest{Ticket: "t1"})))
+		e := asCallError(errorOf(p.Execute(t.Context(), testLeaf, &pb.LeafExecuteRequest{Ticket: "t1"})))
 		is.True(e.ConnectionLost)
 		is.True(e.Wrote)
 		is.Equal(e.Incarnation, uint64(1))
@@ -229,12 +229,12 @@
 
 // A leaf whose connections break while it lives on is known to have survived as soon as one is open
 // again; one that comes back as another incarnation isn't the one that was lost.
-func TestLeafThatSurvivesBrokenConnectionsIsKnown(t *testing.T) {
+func TestSurvivedIsSetAfterBrokenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		s, _ := p.State(testLeaf)
 		is.True(!s.Survived)
 		f.refuse.Store(true) // no connection opens at the very instant of the break
@@ -251,14 +251,14 @@
 	})
 }
 
-func second[T any](_ T, err error) error { return err }
+func errorOf[T any](_ T, err error) error { return err }
 
 func TestDeadlineAndCancelReachTheLeaf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		ended := make(chan error, 1)
 		f.setAnswer(func(ctx context.Context) error {
 			deadline, ok := ctx.Deadline()
@@ -270,14 +270,14 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
-		e := callFailure(second(search(ctx, p)))
+		e := asCallError(errorOf(search(ctx, p)))
 		is.True(errors.Is(e.Err, context.DeadlineExceeded))
 		is.True(e.Wrote)
 		<-ended
 	})
 }
 
-func TestEvidenceOfDepartureStopsNewWorkAtOnce(t *testing.T) {
+func TestDepartureEvidenceStopsNewWorkAtOnce(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		cause  func(p *Pool, f *fakeLeaf)
@@ -295,12 +295,12 @@
 		}, pb.DepartureSource_DEPARTURE_SOURCE_GOAWAY},
 		{"status", func(_ *Pool, f *fakeLeaf) {
 			f.draining.Store(true)
-			time.Sleep(pollEvery * 2)
+			time.Sleep(pollInterval * 2)
 			f.draining.Store(false)
 		}, pb.DepartureSource_DEPARTURE_SOURCE_STATUS},
 		{"refused connection", func(_ *Pool, f *fakeLeaf) {
 			f.crash()
-			time.Sleep(2*backoffFirst + tendEvery) // the first backoff, its jitter, a tick
+			time.Sleep(2*minBackoff + maintainInterval) // the first backoff, its jitter, a tick
 		}, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -308,9 +308,9 @@
 				is := is.New(t)
 				f := newFakeLeaf(t)
 				p, fd := startPool(t, f.dial)
-				settle()
+				waitForConnections()
 				tt.cause(p, f)
-				e := callFailure(second(search(t.Context(), p)))
+				e := asCallError(errorOf(search(t.Context(), p)))
 				is.True(errors.Is(e.Err, errLeaving))
 				is.True(!e.Wrote)
 				is.True(len(fd.reported()) > 0)
@@ -334,21 +334,21 @@
 	}
 }
 
-func TestEvidenceOfOtherVMsCounts(t *testing.T) {
+func TestDepartureEvidenceOfOtherVMsIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, fd := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		v := testView()
 		v.Upstreams = []*pb.Upstream{{Id: testLeaf, Leaving: false}} // the list lags
 		v.Departures = []*pb.Departure{{Leaf: testLeaf, Incarnation: 1, Source: pb.DepartureSource_DEPARTURE_SOURCE_REFUSAL, Vm: "vm-2"}}
 		fd.publish(v)
 		synctest.Wait()
-		is.True(errors.Is(second(search(t.Context(), p)), errLeaving))
+		is.True(errors.Is(errorOf(search(t.Context(), p)), errLeaving))
 		fd.publish(testView()) // evidence that has aged out of the view still holds
 		time.Sleep(time.Minute)
-		is.True(errors.Is(second(search(t.Context(), p)), errLeaving))
+		is.True(errors.Is(errorOf(search(t.Context(), p)), errLeaving))
 		is.Equal(len(fd.reported()), 0)
 	})
 }
@@ -358,35 +358,35 @@
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, fd := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		v := testView()
 		v.Departures = []*pb.Departure{{Leaf: testLeaf, Source: pb.DepartureSource_DEPARTURE_SOURCE_CONNECT, Vm: "vm-2"}}
 		fd.publish(v)
 		synctest.Wait()
-		is.True(errors.Is(second(search(t.Context(), p)), errLeaving))
+		is.True(errors.Is(errorOf(search(t.Context(), p)), errLeaving))
 		time.Sleep(500 * time.Millisecond)
 		_, err := search(t.Context(), p)
 		is.NoErr(err) // a connection opened since shows that the leaf is there
-		is.True(f.most <= 2)
+		is.True(f.maxOpen <= 2)
 	})
 }
 
-func TestViewChangeCutsNoCall(t *testing.T) {
+func TestViewChangeDoesNotInterruptCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, fd := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		f.setAnswer(func(context.Context) error { time.Sleep(3 * time.Second); return nil })
 		done := make(chan error)
-		go func() { done <- second(search(t.Context(), p)) }()
+		go func() { done <- errorOf(search(t.Context(), p)) }()
 		synctest.Wait()
 		v := testView()
 		v.Bundle.Services["teachers"].Leaves = nil
 		fd.publish(v)
 		synctest.Wait()
 		is.Equal(f.open(), 1) // only the one with the call is left
-		is.True(errors.Is(second(search(t.Context(), p)), errUnknownLeaf))
+		is.True(errors.Is(errorOf(search(t.Context(), p)), errUnknownLeaf))
 		is.NoErr(<-done)
 		synctest.Wait()
 		is.Equal(f.open(), 0)
@@ -394,12 +394,12 @@
 	})
 }
 
-func TestConnectionsStayWithinThePlanUnderFaults(t *testing.T) {
+func TestConnectionCountStaysWithinPlanUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		for range 20 { // one second is the bound for a silent connection to be out of use
 			f.silenceAll()
 			ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
@@ -407,8 +407,8 @@
 			cancel()
 			time.Sleep(time.Second)
 		}
-		settle()
+		waitForConnections()
 		is.Equal(f.open(), 2)
-		is.True(f.most <= 2) // the old one is closed before the fresh one is opened
+		is.True(f.maxOpen <= 2) // the old one is closed before the fresh one is opened
 	})
 }
--- a/internal/upstream/presence.go
+++ b/internal/upstream/presence.go
@@ -6,8 +6,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// maxNamed bounds how many departed incarnations of one leaf are remembered.
-const maxNamed = 16
+// maxDeparted bounds how many departed incarnations of one leaf are remembered.
+const maxDeparted = 16
 
 // presence judges whether a leaf is leaving, from all evidence. It is pure; the leaf's mutex guards
 // it. The rules, strongest first:
@@ -26,34 +26,34 @@
 type presence struct {
 	// incarnation is the current one, 0 until it is known.
 	incarnation uint64
-	// learned is when the first connection to the current incarnation was opened.
-	learned time.Time
-	// shown is when the newest connection was opened on which the current incarnation answered.
-	shown time.Time
+	// incarnationSince is when the first connection to the current incarnation was opened.
+	incarnationSince time.Time
+	// lastConfirmed is when the newest connection was opened on which the current incarnation answered.
+	lastConfirmed time.Time
 	// replaced is true once an incarnation was seen to follow another.
 	replaced bool
-	// accepted is when the newest connection was opened whose status was not draining.
-	accepted time.Time
-	// named holds the incarnations that are known to leave, and by which evidence.
-	named map[uint64]pb.DepartureSource
-	// refused is the time of the newest refused connection, zero where there was none.
-	refused time.Time
+	// lastAccepted is when the newest connection was opened whose status was not draining.
+	lastAccepted time.Time
+	// departed holds the incarnations that are known to leave, and by which evidence.
+	departed map[uint64]pb.DepartureSource
+	// lastRefused is the time of the newest refused connection, zero where there was none.
+	lastRefused time.Time
 	// listed is true where the newest view says leaving without naming an incarnation.
 	listed bool
 }
 
 // leaving returns the evidence by which the leaf is leaving, or unspecified where it isn't.
 func (p *presence) leaving() pb.DepartureSource {
-	if s, ok := p.named[p.incarnation]; ok {
+	if s, ok := p.departed[p.incarnation]; ok {
 		return s
 	}
 	if p.incarnation == 0 {
-		for _, s := range p.named {
+		for _, s := range p.departed {
 			return s
 		}
 	}
 	switch {
-	case !p.refused.IsZero() && !p.refused.Before(p.accepted):
+	case !p.lastRefused.IsZero() && !p.lastRefused.Before(p.lastAccepted):
 		return pb.DepartureSource_DEPARTURE_SOURCE_CONNECT
 	case p.listed:
 		return pb.DepartureSource_DEPARTURE_SOURCE_LIST
@@ -61,72 +61,72 @@
 	return pb.DepartureSource_DEPARTURE_SOURCE_UNSPECIFIED
 }
 
-// connected takes in a connection that was opened at the given time to an incarnation, 0 where its
+// recordConnected takes in a connection that was opened at the given time to an incarnation, 0 where its
 // status was not answered. It returns false where the connection belongs to an earlier incarnation
 // than the current one.
-func (p *presence) connected(incarnation uint64, opened time.Time) bool {
+func (p *presence) recordConnected(incarnation uint64, opened time.Time) bool {
 	if incarnation == 0 || incarnation == p.incarnation {
-		if incarnation != 0 && opened.After(p.shown) {
-			p.shown = opened
+		if incarnation != 0 && opened.After(p.lastConfirmed) {
+			p.lastConfirmed = opened
 		}
-		p.accept(opened)
+		p.recordAccepted(opened)
 		return true
 	}
 	if p.incarnation != 0 {
-		if opened.Before(p.learned) {
+		if opened.Before(p.incarnationSince) {
 			return false
 		}
 		p.replaced = true
 		p.listed = false
 	}
-	p.incarnation, p.learned, p.shown = incarnation, opened, opened
-	p.accept(opened)
+	p.incarnation, p.incarnationSince, p.lastConfirmed = incarnation, opened, opened
+	p.recordAccepted(opened)
 	return true
 }
 
-func (p *presence) accept(opened time.Time) {
-	if _, gone := p.named[p.incarnation]; !gone && opened.After(p.accepted) {
-		p.accepted = opened
+func (p *presence) recordAccepted(opened time.Time) {
+	if _, gone := p.departed[p.incarnation]; !gone && opened.After(p.lastAccepted) {
+		p.lastAccepted = opened
 	}
 }
 
-// depart takes in evidence that names an incarnation, and returns whether it is news.
-func (p *presence) depart(incarnation uint64, source pb.DepartureSource) bool {
-	if _, known := p.named[incarnation]; known {
+// recordDeparture takes in evidence that names an incarnation, and returns whether it is news.
+func (p *presence) recordDeparture(incarnation uint64, source pb.DepartureSource) bool {
+	if _, known := p.departed[incarnation]; known {
 		return false
 	}
-	if p.named == nil {
-		p.named = make(map[uint64]pb.DepartureSource)
+	if p.departed == nil {
+		p.departed = make(map[uint64]pb.DepartureSource)
 	}
-	if len(p.named) >= maxNamed {
-		p.forgetOne()
+	if len(p.departed) >= maxDeparted {
+		p.evictOne()
 	}
-	p.named[incarnation] = source
+	p.departed[incarnation] = source
 	return true
 }
 
-// forgetOne drops one departed incarnation that isn't the current one.
-func (p *presence) forgetOne() {
-	for n := range p.named {
+// evictOne drops one departed incarnation that isn't the current one.
+func (p *presence) evictOne() {
+	for n := range p.departed {
 		if n != p.incarnation {
-			delete(p.named, n)
+			delete(p.departed, n)
 			return
 		}
 	}
 }
 
-// refuse takes in a refused connection of the given time, and returns whether it is news: whether
+// recordRefused takes in a refused connection of the given time, and returns whether it is news: whether
 // the leaf was not refusing before.
-func (p *presence) refuse(at time.Time) bool {
-	news := p.refused.IsZero() || p.refused.Before(p.accepted)
-	if at.After(p.refused) {
-		p.refused = at
+func (p *presence) recordRefused(at time.Time) bool {
+	isNew := p.lastRefused.IsZero() || p.lastRefused.Before(p.lastAccepted)
+	if at.After(p.lastRefused) {
+		p.lastRefused = at
 	}
-	return news && !p.refused.Before(p.accepted)
+	return isNew && !p.lastRefused.Before(p.lastAccepted)
 }
 
-// list takes in what the newest view says: whether the leaf is leaving, and since when.
-func (p *presence) list(leaving bool, since time.Time) {
-	outdated := p.replaced && since.Before(p.learned)
+// recordListed takes in what the newest view says: whether the leaf is leaving, and since when.
+func (p *presence) recordListed(leaving bool, since time.Time) {
+	outdated := p.replaced && since.Before(p.incarnationSince)
 	p.listed = leaving && !outdated
 }
--- a/internal/upstream/presence_test.go
+++ b/internal/upstream/presence_test.go
@@ -24,75 +24,75 @@
 		do   func(p *presence)
 		want pb.DepartureSource
 	}{
-		{"no evidence", func(p *presence) { p.connected(1, at(0)) }, byNone},
+		{"no evidence", func(p *presence) { p.recordConnected(1, at(0)) }, byNone},
 		{"named evidence outlives new connections", func(p *presence) {
-			p.connected(1, at(0))
-			p.depart(1, byRefusal)
-			p.connected(1, at(5))
+			p.recordConnected(1, at(0))
+			p.recordDeparture(1, byRefusal)
+			p.recordConnected(1, at(5))
 		}, byRefusal},
 		{"another incarnation ends it", func(p *presence) {
-			p.connected(1, at(0))
-			p.depart(1, byRefusal)
-			p.connected(2, at(5))
+			p.recordConnected(1, at(0))
+			p.recordDeparture(1, byRefusal)
+			p.recordConnected(2, at(5))
 		}, byNone},
 		{"an old connection doesn't bring the old incarnation back", func(p *presence) {
-			p.connected(1, at(0))
-			p.connected(2, at(5))
-			p.depart(2, byRefusal)
-			p.connected(1, at(4))
+			p.recordConnected(1, at(0))
+			p.recordConnected(2, at(5))
+			p.recordDeparture(2, byRefusal)
+			p.recordConnected(1, at(4))
 		}, byRefusal},
 		{"evidence of an incarnation not current", func(p *presence) {
-			p.connected(2, at(0))
-			p.depart(1, byRefusal)
+			p.recordConnected(2, at(0))
+			p.recordDeparture(1, byRefusal)
 		}, byNone},
 		{"evidence comes before the incarnation", func(p *presence) {
-			p.depart(2, byRefusal)
-			p.connected(2, at(0))
+			p.recordDeparture(2, byRefusal)
+			p.recordConnected(2, at(0))
 		}, byRefusal},
 		{"refused connection", func(p *presence) {
-			p.connected(1, at(0))
-			p.refuse(at(1))
+			p.recordConnected(1, at(0))
+			p.recordRefused(at(1))
 		}, byConnect},
 		{"refused connection, then one accepted by the same incarnation", func(p *presence) {
-			p.connected(1, at(0))
-			p.refuse(at(1))
-			p.connected(1, at(2))
+			p.recordConnected(1, at(0))
+			p.recordRefused(at(1))
+			p.recordConnected(1, at(2))
 		}, byNone},
 		{"refused connection older than the newest accepted", func(p *presence) {
-			p.connected(1, at(2))
-			p.refuse(at(1))
+			p.recordConnected(1, at(2))
+			p.recordRefused(at(1))
 		}, byNone},
 		{"an accepted connection of a draining leaf clears nothing", func(p *presence) {
-			p.connected(1, at(0))
-			p.refuse(at(1))
-			p.depart(1, byRefusal)
-			p.connected(1, at(2))
+			p.recordConnected(1, at(0))
+			p.recordRefused(at(1))
+			p.recordDeparture(1, byRefusal)
+			p.recordConnected(1, at(2))
 		}, byRefusal},
 		{"list while it says so", func(p *presence) {
-			p.connected(1, at(0))
-			p.list(true, at(1))
+			p.recordConnected(1, at(0))
+			p.recordListed(true, at(1))
 		}, byList},
 		{"list that says live again", func(p *presence) {
-			p.connected(1, at(0))
-			p.list(true, at(1))
-			p.list(false, time.Time{})
+			p.recordConnected(1, at(0))
+			p.recordListed(true, at(1))
+			p.recordListed(false, time.Time{})
 		}, byNone},
 		{"list that says live doesn't end other evidence", func(p *presence) {
-			p.connected(1, at(0))
-			p.depart(1, byRefusal)
-			p.list(false, time.Time{})
+			p.recordConnected(1, at(0))
+			p.recordDeparture(1, byRefusal)
+			p.recordListed(false, time.Time{})
 		}, byRefusal},
 		{"list that speaks of the incarnation before", func(p *presence) {
-			p.connected(1, at(0))
-			p.connected(2, at(5))
-			p.list(true, at(4))
+			p.recordConnected(1, at(0))
+			p.recordConnected(2, at(5))
+			p.recordListed(true, at(4))
 		}, byNone},
 		{"list known before the first incarnation", func(p *presence) {
-			p.list(true, at(0))
-			p.connected(1, at(1))
-			p.list(true, at(0))
+			p.recordListed(true, at(0))
+			p.recordConnected(1, at(1))
+			p.recordListed(true, at(0))
 		}, byList},
-		{"no status was ever answered", func(p *presence) { p.connected(0, at(0)) }, byNone},
+		{"no status was ever answered", func(p *presence) { p.recordConnected(0, at(0)) }, byNone},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -103,13 +103,13 @@
 	}
 }
 
-func TestPresenceForgetsOldIncarnationsOnly(t *testing.T) {
+func TestPresenceEvictsOldIncarnationsOnly(t *testing.T) {
 	is := is.New(t)
 	var p presence
-	p.connected(1, time.Now())
-	for n := uint64(1); n <= 10*maxNamed; n++ {
-		p.depart(n, byRefusal)
+	p.recordConnected(1, time.Now())
+	for n := uint64(1); n <= 10*maxDeparted; n++ {
+		p.recordDeparture(n, byRefusal)
 	}
-	is.True(len(p.named) <= maxNamed)
+	is.True(len(p.departed) <= maxDeparted)
 	is.Equal(p.leaving(), byRefusal)
 }
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/silence_test.go
@@ -23,14 +23,14 @@
 
 // A silent connection is out of use within a second of its silence, whenever the first call after it
 // comes, and where none comes.
-func TestSilentConnectionIsGivenUpWithinASecondOfItsSilence(t *testing.T) {
+func TestSilentConnectionIsRetiredWithinOneSecond(t *testing.T) {
 	for phase := time.Duration(0); phase <= time.Second; phase += 50 * time.Millisecond {
 		t.Run(phase.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFakeLeaf(t)
 				p, _ := startPool(t, f.dial)
-				settle()
+				waitForConnections()
 				f.silenceAll()
 				is.Equal(f.silentOpen(), 2)
 				if phase < time.Second {
@@ -51,7 +51,7 @@
 		is := is.New(t)
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
-		settle()
+		waitForConnections()
 		f.silenceAll()
 		for start := time.Now(); time.Since(start) < 2*time.Second; time.Sleep(time.Millisecond) {
 			s, _ := p.State(testLeaf)
--- a/internal/upstream/tend.go
+++ b/internal/upstream/tend.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// tend looks after the leaf's connections: it closes those out of use, pings the quiet, opens what
+// maintain looks after the leaf's connections: it closes those out of use, pings the quiet, opens what
 // is missing and asks for the status when it is due. It returns false once a removed leaf has no
 // connection left. It doesn't block.
-func (l *leaf) tend(now time.Time) bool {
+func (l *leaf) maintain(now time.Time) bool {
 	l.mu.Lock()
-	l.absorb()
-	l.trim()
-	idle := l.takeIdle()
+	l.applyConnEvents()
+	l.retireExcess()
+	idle := l.removeIdle()
 	for _, c := range l.conns {
-		l.checkQuiet(c, now)
+		l.pingIfQuiet(c, now)
 	}
 	l.openIfMissing(now)
 	l.pollIfDue(now)
-	alive := l.want > 0 || len(l.conns) > 0 || l.opening || l.polling
+	alive := l.planned > 0 || len(l.conns) > 0 || l.opening || l.polling
 	l.mu.Unlock()
 	for _, c := range idle {
 		_ = c.h2.Close()
@@ -25,36 +25,36 @@
 	return alive
 }
 
-// trim retires connections beyond the target, the oldest first, and those of earlier incarnations.
+// retireExcess retires connections beyond the target, the oldest first, and those of earlier incarnations.
 // Requires mu.
-func (l *leaf) trim() {
+func (l *leaf) retireExcess() {
 	n := 0
 	for _, c := range l.conns {
-		if c.fate != fateNone {
+		if c.retired != retireNone {
 			continue
 		}
 		if c.incarnation != 0 && c.incarnation != l.presence.incarnation {
-			l.retire(c, fateRetired)
+			l.retire(c, retireByPool)
 			continue
 		}
 		n++
 	}
 	for _, c := range l.conns {
-		if n <= l.target() {
+		if n <= l.targetConns() {
 			return
 		}
-		if c.fate == fateNone {
-			l.retire(c, fateRetired)
+		if c.retired == retireNone {
+			l.retire(c, retireByPool)
 			n--
 		}
 	}
 }
 
-// takeIdle removes and returns the connections out of use whose calls have ended. Requires mu.
-func (l *leaf) takeIdle() []*conn {
+// removeIdle removes and returns the connections out of use whose calls have ended. Requires mu.
+func (l *leaf) removeIdle() []*conn {
 	var idle, kept []*conn
 	for _, c := range l.conns {
-		if c.fate != fateNone && c.inFlight == 0 {
+		if c.retired != retireNone && c.inFlight == 0 {
 			idle = append(idle, c)
 		} else {
 			kept = append(kept, c)
@@ -64,18 +64,18 @@
 	return idle
 }
 
-// checkQuiet pings a connection that owes a sign of life. Requires mu.
-func (l *leaf) checkQuiet(c *conn, now time.Time) {
-	if c.pinging || c.silenced || c.wire.closing.Load() || c.wire.lost.Load() {
+// pingIfQuiet pings a connection that owes a sign of life. Requires mu.
+func (l *leaf) pingIfQuiet(c *conn, now time.Time) {
+	if c.pinging || c.foundSilent || c.tcp.closing.Load() || c.tcp.lost.Load() {
 		return
 	}
-	if !c.owesSign(now) {
+	if !c.needsPing(now) {
 		return
 	}
 	c.pinging = true
-	l.pool.goDo(func() {
+	l.pool.spawn(func() {
 		alive := c.probe(l.pool.ctx)
-		l.pool.metrics.pinged(l.service, alive)
+		l.pool.metrics.countPing(l.service, alive)
 		l.mu.Lock()
 		c.pinging = false
 		l.notify()
@@ -83,13 +83,13 @@
 	})
 }
 
-// live is the number of connections that the leaf may still count: all but those that this side has
+// openConns is the number of connections that the leaf may still count: all but those that this side has
 // closed or the peer has. A silent one that is kept for its orders makes room for a new one, as if
 // it was closed. Requires mu.
-func (l *leaf) live() int {
+func (l *leaf) openConns() int {
 	n := 0
 	for _, c := range l.conns {
-		if !c.silenced && !c.wire.closing.Load() && !c.wire.lost.Load() {
+		if !c.foundSilent && !c.tcp.closing.Load() && !c.tcp.lost.Load() {
 			n++
 		}
 	}
@@ -98,33 +98,33 @@
 
 // openIfMissing opens one connection where there are fewer than planned. Requires mu.
 func (l *leaf) openIfMissing(now time.Time) {
-	if l.opening || l.live() >= l.target() || now.Before(l.retryAt) {
+	if l.opening || l.openConns() >= l.targetConns() || now.Before(l.retryAt) {
 		return
 	}
 	l.opening = true
-	l.pool.goDo(l.open)
+	l.pool.spawn(l.open)
 }
 
 // pollIfDue asks for the status over a connection that is open. Requires mu.
 func (l *leaf) pollIfDue(now time.Time) {
-	if l.polling || l.want == 0 || now.Before(l.pollAt) {
+	if l.polling || l.planned == 0 || now.Before(l.pollAt) {
 		return
 	}
-	c := l.anyUsable()
+	c := l.lastHeardUsable()
 	if c == nil {
 		return
 	}
 	l.polling = true
-	l.pollAt = now.Add(jitter(pollEvery))
+	l.pollAt = now.Add(jitter(pollInterval))
 	c.begin(now)
-	l.pool.goDo(func() { l.poll(c) })
+	l.pool.spawn(func() { l.poll(c) })
 }
 
-// anyUsable returns the connection heard of last. Requires mu.
-func (l *leaf) anyUsable() *conn {
+// lastHeardUsable returns the connection heard of last. Requires mu.
+func (l *leaf) lastHeardUsable() *conn {
 	var best *conn
 	for _, c := range l.conns {
-		if c.usable() && (best == nil || c.wire.heard().After(best.wire.heard())) {
+		if c.usable() && (best == nil || c.tcp.lastHeard().After(best.tcp.lastHeard())) {
 			best = c
 		}
 	}
--- a/internal/upstream/view.go
+++ b/internal/upstream/view.go
@@ -11,8 +11,8 @@
 	"github.com/burdockplank/burdockplank/internal/subset"
 )
 
-// planned is one leaf that this VM should be connected to.
-type planned struct {
+// plannedLeaf is one leaf that this VM should be connected to.
+type plannedLeaf struct {
 	service     string
 	leaf        *bundle.Leaf
 	connections int
@@ -26,10 +26,10 @@
 	}
 	plan := p.plan(v)
 	p.mu.Lock()
-	p.viewed = true
+	p.hasBundle = true
 	for id, l := range p.leaves {
 		if w, ok := plan[id]; !ok || w.leaf.Address != l.address || w.service != l.service {
-			l.setWant(0)
+			l.setPlanned(0)
 			p.removed = append(p.removed, l)
 			delete(p.leaves, id)
 		}
@@ -40,17 +40,17 @@
 			l = p.newLeaf(w)
 			p.leaves[id] = l
 		}
-		l.setWant(w.connections)
+		l.setPlanned(w.connections)
 	}
 	p.mu.Unlock()
-	p.takeEvidence(v)
-	p.wakeUp()
+	p.applyEvidence(v)
+	p.wakeLoop()
 }
 
 // plan returns the leaves this VM serves, by id.
-func (p *Pool) plan(v *feed.View) map[string]planned {
+func (p *Pool) plan(v *feed.View) map[string]plannedLeaf {
 	vms := withSelf(v)
-	all := make(map[string]planned)
+	all := make(map[string]plannedLeaf)
 	for _, name := range slices.Sorted(maps.Keys(v.Bundle.Services)) {
 		s := v.Bundle.Services[name]
 		sub := subset.For(s, v.Zone, vms)
@@ -59,7 +59,7 @@
 		}
 		for _, l := range s.Leaves {
 			if _, taken := all[l.ID]; !taken {
-				all[l.ID] = planned{service: s.Name, leaf: l, connections: sub.ConnectionsPerLeaf}
+				all[l.ID] = plannedLeaf{service: s.Name, leaf: l, connections: sub.ConnectionsPerLeaf}
 			}
 		}
 	}
@@ -77,21 +77,21 @@
 	return append(append([]*pb.Vm(nil), v.VMs...), self)
 }
 
-func (p *Pool) newLeaf(w planned) *leaf {
+func (p *Pool) newLeaf(w plannedLeaf) *leaf {
 	return &leaf{
 		pool: p, id: w.leaf.ID, service: w.service, address: w.leaf.Address,
 		client: newClient(w.leaf.Address), slots: w.leaf.Slots, changed: make(chan struct{}),
 	}
 }
 
-func (l *leaf) setWant(n int) {
+func (l *leaf) setPlanned(n int) {
 	l.mu.Lock()
-	l.want = n
+	l.planned = n
 	l.mu.Unlock()
 }
 
-// takeEvidence takes in the departures that other VMs saw, and the list.
-func (p *Pool) takeEvidence(v *feed.View) {
+// applyEvidence takes in the departures that other VMs saw, and the list.
+func (p *Pool) applyEvidence(v *feed.View) {
 	listed := make(map[string]time.Time)
 	for _, u := range v.Upstreams {
 		if u.GetLeaving() {
@@ -104,54 +104,54 @@
 		switch {
 		case l == nil:
 		case d.GetIncarnation() != 0:
-			l.hearDeparture(d)
+			l.applyDeparture(d)
 		case d.GetSource() == pb.DepartureSource_DEPARTURE_SOURCE_LIST:
 			if old, ok := listed[l.id]; !ok || at.After(old) {
 				listed[l.id] = at
 			}
 		default:
-			l.hearRefused(at)
+			l.applyRefusedConnection(at)
 		}
 	}
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	for id, l := range p.leaves {
 		since, leaving := listed[id]
-		l.hearList(leaving, since)
+		l.applyListed(leaving, since)
 	}
 }
 
-func (l *leaf) hearDeparture(d *pb.Departure) {
+func (l *leaf) applyDeparture(d *pb.Departure) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.presence.depart(d.GetIncarnation(), d.GetSource())
+	l.presence.recordDeparture(d.GetIncarnation(), d.GetSource())
 }
 
-// hearRefused takes in a connection refused to another VM. A connection of the own that is opened
+// applyRefusedConnection takes in a connection refused to another VM. A connection of the own that is opened
 // from now on shows whether it still holds, so one makes place for it.
-func (l *leaf) hearRefused(at time.Time) {
+func (l *leaf) applyRefusedConnection(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.presence.refuse(at) {
+	if !l.presence.recordRefused(at) {
 		return
 	}
-	l.retryAt = time.Now().Add(jitter(backoffFirst))
-	if c := l.oldest(); c != nil && l.live() >= l.target() {
-		l.retire(c, fateRetired)
+	l.retryAt = time.Now().Add(jitter(minBackoff))
+	if c := l.oldest(); c != nil && l.openConns() >= l.targetConns() {
+		l.retire(c, retireByPool)
 	}
 }
 
-func (l *leaf) hearList(leaving bool, since time.Time) {
+func (l *leaf) applyListed(leaving bool, since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.presence.list(leaving, since)
+	l.presence.recordListed(leaving, since)
 }
 
 // oldest returns the connection in use that was opened first, or nil. Requires mu.
 func (l *leaf) oldest() *conn {
 	var old *conn
 	for _, c := range l.conns {
-		if c.fate == fateNone && (old == nil || c.opened.Before(old.opened)) {
+		if c.retired == retireNone && (old == nil || c.opened.Before(old.opened)) {
 			old = c
 		}
 	}
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// wire is a TCP connection that notes when it was last heard of, that its peer closed it, and that
+// trackedConn is a TCP connection that notes when it was last heard of, that its peer closed it, and that
 // its peer announced to go away. Its fields are atomic: the HTTP/2 client's goroutines write them,
 // calls and the pool's loop read them.
-type wire struct {
+type trackedConn struct {
 	net.Conn
 	// epoch is the pool's start; times are kept as nanoseconds since then.
 	epoch time.Time
@@ -23,44 +23,44 @@
 	closing atomic.Bool
 	// lost is set where reading or writing failed though this side did not close.
 	lost atomic.Bool
-	// leaving is set by a GOAWAY without error, failed by one with an error.
-	leaving, failed atomic.Bool
+	// goAway is set by a GOAWAY without error, failed by one with an error.
+	goAway, goAwayErr atomic.Bool
 
 	frames frameScanner
 }
 
-func newWire(c net.Conn, epoch time.Time, wake func()) *wire {
-	w := &wire{Conn: c, epoch: epoch, wake: wake}
+func newTrackedConn(c net.Conn, epoch time.Time, wake func()) *trackedConn {
+	w := &trackedConn{Conn: c, epoch: epoch, wake: wake}
 	w.lastRead.Store(int64(time.Since(epoch)))
 	return w
 }
 
 // Read implements net.Conn.
-func (w *wire) Read(b []byte) (int, error) {
+func (w *trackedConn) Read(b []byte) (int, error) {
 	n, err := w.Conn.Read(b)
 	if n > 0 {
 		w.lastRead.Store(int64(time.Since(w.epoch)))
 		if code, found := w.frames.scan(b[:n]); found {
-			w.noteGoAway(code)
+			w.recordGoAway(code)
 		}
 	}
 	if err != nil {
-		w.noteLost()
+		w.recordLost()
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
-func (w *wire) Write(b []byte) (int, error) {
+func (w *trackedConn) Write(b []byte) (int, error) {
 	n, err := w.Conn.Write(b)
 	if err != nil {
-		w.noteLost()
+		w.recordLost()
 	}
 	return n, err
 }
 
-// noteLost notes that the connection broke, unless this side has closed it.
-func (w *wire) noteLost() {
+// recordLost notes that the connection broke, unless this side has closed it.
+func (w *trackedConn) recordLost() {
 	if w.closing.Load() || w.lost.Load() {
 		return
 	}
@@ -71,26 +71,26 @@
 
 // Close implements net.Conn. The HTTP/2 client closes a connection for itself after a GOAWAY or a
 // breach of the protocol.
-func (w *wire) Close() error {
+func (w *trackedConn) Close() error {
 	w.closing.Store(true)
 	w.wake()
 	return w.Conn.Close()
 }
 
-func (w *wire) noteGoAway(code uint32) {
+func (w *trackedConn) recordGoAway(code uint32) {
 	if code == goAwayNoError {
-		w.leaving.Store(true)
+		w.goAway.Store(true)
 	} else {
-		w.failed.Store(true)
+		w.goAwayErr.Store(true)
 	}
 	w.wake()
 }
 
-// heard returns when a byte last came.
-func (w *wire) heard() time.Time { return w.epoch.Add(time.Duration(w.lastRead.Load())) }
+// lastHeard returns when a byte last came.
+func (w *trackedConn) lastHeard() time.Time { return w.epoch.Add(time.Duration(w.lastRead.Load())) }
 
-// broke returns when the connection broke, and whether it did.
-func (w *wire) broke() (time.Time, bool) {
+// brokenAt returns when the connection broke, and whether it did.
+func (w *trackedConn) brokenAt() (time.Time, bool) {
 	if !w.lost.Load() {
 		return time.Time{}, false
 	}
@@ -98,9 +98,9 @@
 }
 
 // crashed tells whether the peer ended the connection without having announced it.
-func (w *wire) crashed() bool { return w.lost.Load() && !w.leaving.Load() && !w.failed.Load() }
+func (w *trackedConn) crashed() bool { return w.lost.Load() && !w.goAway.Load() && !w.goAwayErr.Load() }
 
 // usable tells whether a new call may be sent.
-func (w *wire) usable() bool {
-	return !w.closing.Load() && !w.lost.Load() && !w.leaving.Load() && !w.failed.Load()
+func (w *trackedConn) usable() bool {
+	return !w.closing.Load() && !w.lost.Load() && !w.goAway.Load() && !w.goAwayErr.Load()
 }
