--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -13,7 +13,7 @@
 // maxOrderConns bounds how many connections are tried for one order.
 const maxOrderConns = 4
 
-// The procedures as labels of a metric.
+// The procedures as metric labels.
 const (
 	methodSearch  = "search"
 	methodExecute = "execute"
@@ -35,8 +35,9 @@
 	return res, nil
 }
 
-// Execute implements Caller. A connection that was not heard of lately is pinged first, so that an
-// order is hardly ever written to a connection gone silent, which would leave its outcome unknown.
+// Execute implements Caller. A connection that was not heard from within maxUnverifiedAge is pinged
+// first. An order is thus rarely written to a silent connection, which would leave its outcome
+// unknown.
 func (p *Pool) Execute(ctx context.Context, id string, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
 	deadline := workDeadline(ctx)
 	l, c, err := p.beginVerified(ctx, id, deadline)
@@ -54,7 +55,7 @@
 	return res, nil
 }
 
-// begin picks the connection for a call; it must be released. The error is a *CallError.
+// begin picks the connection for a call; the caller must release it. The error is a *CallError.
 func (p *Pool) begin(ctx context.Context, id, method string) (*leaf, *conn, error) {
 	l := p.leaf(id)
 	if l == nil {
@@ -68,8 +69,9 @@
 	return l, c, nil
 }
 
-// beginVerified is begin with a connection that has just shown life, on which an order is counted.
-// Nothing of the call is sent while connections are tried, and none is tried past the deadline.
+// beginVerified is like begin but returns a connection that has just shown a sign of life, and
+// counts an order on it. Nothing of the call is sent while connections are tried, and none is tried
+// after the deadline.
 func (p *Pool) beginVerified(ctx context.Context, id string, deadline time.Time) (*leaf, *conn, error) {
 	if !deadline.IsZero() {
 		var cancel context.CancelFunc
@@ -94,7 +96,8 @@
 	return nil, nil, &CallError{Leaf: id, Err: errNoConnection}
 }
 
-// callError turns the failure of a call into a *CallError, and takes in what it says of the leaf.
+// callError turns the failure of a call into a *CallError, and applies what it shows about the
+// leaf.
 func (l *leaf) callError(ctx context.Context, x *exchange, method string, err error) *CallError {
 	e := &CallError{Leaf: l.id, Wrote: !x.notSent(), Err: err}
 	l.mu.Lock()
@@ -119,7 +122,7 @@
 	return e
 }
 
-// applyRefusal takes in the leaf's own statement that it did not start the work.
+// applyRefusal applies the leaf's own statement that it did not start the work.
 func (l *leaf) applyRefusal(e *CallError, r *pb.LeafRefusal) {
 	e.Refusal = r.GetReason()
 	if n := r.GetIncarnation(); n != 0 {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -6,19 +6,22 @@
 	"time"
 )
 
-// How a connection's silence is judged.
+// Timing of the detection of silent connections.
 const (
-	// busyPingAfter is how long a connection may be silent after a call was sent before it is pinged.
+	// busyPingAfter is how long a connection may be silent after a call was sent before it is
+	// pinged.
 	busyPingAfter = 200 * time.Millisecond
-	// idlePingAfter is how long any connection may be silent before it is pinged, so that it is found
-	// silent before a call needs it, and within a second of its silence whenever the first call comes.
+	// idlePingAfter is how long any connection may be silent before it is pinged. A silent
+	// connection is thus detected before a call needs it, and within a second of the start of its
+	// silence, whenever the first call comes.
 	idlePingAfter = 400 * time.Millisecond
-	// pingTimeout is how long a ping may stay without an answer.
+	// pingTimeout is how long a ping may stay unanswered.
 	pingTimeout = 300 * time.Millisecond
-	// maxPingTimerDelay is by how much a ping's own timer may be late before the process itself must have
-	// been paused; such a ping proves nothing.
+	// maxPingTimerDelay is how late a ping's own timer may fire. A later timer means that this
+	// process was paused, and the unanswered ping proves nothing.
 	maxPingTimerDelay = 100 * time.Millisecond
-	// maxUnverifiedAge is how lately a connection must have been heard of to take an order unasked.
+	// maxUnverifiedAge is how recently a connection must have been heard from to take an order
+	// without a ping.
 	maxUnverifiedAge = 50 * time.Millisecond
 )
 
@@ -28,7 +31,7 @@
 // retireReason is why a connection is out of use.
 type retireReason string
 
-// The fates of a connection; they are labels of a metric too.
+// The reasons to retire a connection; they are also metric labels.
 const (
 	retireNone   retireReason = ""
 	retireSilent retireReason = "silent"
@@ -47,32 +50,33 @@
 
 	// The rest is guarded by leaf.mu.
 
-	// incarnation that answered on it, 0 where it did not say.
+	// incarnation that answered on the connection, 0 if it is unknown.
 	incarnation uint64
 	inFlight    int
 	// orders is how many of the calls in flight are orders.
 	orders int
-	// unansweredSince is when the first call after the last byte heard was sent.
+	// unansweredSince is when the first call after the last received byte was sent.
 	unansweredSince time.Time
 	pinging         bool
-	// suspectAt is when another connection to the leaf was last pinged in vain; this one has to be heard
-	// of since.
+	// suspectAt is when another connection to the leaf was last pinged without an answer. This
+	// connection is suspect until a byte arrives on it after that time.
 	suspectAt time.Time
-	// retired is set once; no call is sent from then on.
+	// retired is set once. No call is sent afterwards.
 	retired retireReason
-	// foundSilent is true once the connection gave no sign of life; silent is closed then.
+	// foundSilent is true after the connection was found silent; the channel silent is closed then.
 	foundSilent bool
 	silent      chan struct{}
-	// goAwayRecorded is true once a GOAWAY on it was taken in as evidence.
+	// goAwayRecorded is true after a GOAWAY on the connection was recorded as evidence of
+	// departure.
 	goAwayRecorded bool
 }
 
-// usable tells whether a new call may be sent. Requires leaf.mu.
+// usable reports whether a new call may be sent. Requires leaf.mu.
 func (c *conn) usable() bool {
 	return c.retired == retireNone && !c.suspect() && c.tcp.usable() && c.h2.CanTakeNewRequest()
 }
 
-// suspect tells whether the connection has yet to show that it lives. Requires leaf.mu.
+// suspect reports whether the connection has yet to show a sign of life. Requires leaf.mu.
 func (c *conn) suspect() bool { return !c.suspectAt.IsZero() && !c.tcp.lastHeard().After(c.suspectAt) }
 
 // begin counts a call. Requires leaf.mu.
@@ -83,7 +87,7 @@
 	}
 }
 
-// needsPing tells whether the connection has been silent for so long that it has to be pinged.
+// needsPing reports whether the connection has been silent for so long that it must be pinged.
 // Requires leaf.mu.
 func (c *conn) needsPing(now time.Time) bool {
 	heard := c.tcp.lastHeard()
@@ -96,8 +100,8 @@
 	return c.inFlight > 0 && now.Sub(heard) >= busyPingAfter
 }
 
-// probe pings the connection, and takes it out of use where no answer comes. It returns whether the
-// connection is known to live.
+// probe pings the connection, and takes it out of use if no answer comes. It returns whether the
+// connection is known to be alive.
 func (c *conn) probe(ctx context.Context) bool {
 	start := time.Now()
 	pctx, cancel := context.WithTimeout(ctx, pingTimeout)
--- a/internal/upstream/dump.go
+++ b/internal/upstream/dump.go
@@ -7,35 +7,35 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// LeafDump is what a dump shows of one leaf.
+// LeafDump is one leaf in the operator dump.
 type LeafDump struct {
 	Leaf        string `json:"leaf"`
 	Service     string `json:"service"`
 	Address     string `json:"address"`
 	Incarnation uint64 `json:"incarnation"`
-	// Leaving names the evidence of departure, empty where there is none.
+	// Leaving names the evidence of departure, empty if there is none.
 	Leaving   string   `json:"leaving,omitempty"`
 	Slots     int      `json:"slots"`
 	Snapshots []uint64 `json:"snapshots"`
 	// Planned is how many connections the plan gives this VM.
 	Planned     int        `json:"planned_connections"`
 	Connections []ConnDump `json:"connections"`
-	// OpenError is how the last try to open a connection failed.
+	// OpenError is the error of the last attempt to open a connection.
 	OpenError string `json:"open_error,omitempty"`
 }
 
-// ConnDump is what a dump shows of one connection.
+// ConnDump is one connection in the operator dump.
 type ConnDump struct {
 	Incarnation uint64 `json:"incarnation"`
 	InFlight    int    `json:"in_flight"`
-	// OutOfUse says why no more calls are sent on it, empty where they are.
+	// OutOfUse says why no more calls are sent on the connection, empty if it is in use.
 	OutOfUse string `json:"out_of_use,omitempty"`
-	// Age and Quiet count from its opening and from its last byte.
+	// Age is the time since the connection was opened, Quiet the time since its last received byte.
 	Age   string `json:"age"`
 	Quiet string `json:"quiet"`
 }
 
-// Dump implements operator.Dumper: the leaves in order of their ids.
+// Dump implements operator.Dumper. It returns the leaves sorted by id.
 func (p *Pool) Dump() any {
 	all := p.all()
 	sort.Slice(all, func(i, j int) bool { return all[i].id < all[j].id })
@@ -70,7 +70,7 @@
 	return d
 }
 
-// closeAll closes every connection, also those with calls.
+// closeAll closes every connection, including those with calls in flight.
 func (l *leaf) closeAll() {
 	l.mu.Lock()
 	all := l.conns
--- a/internal/upstream/fake_test.go
+++ b/internal/upstream/fake_test.go
@@ -40,14 +40,14 @@
 	answer atomic.Pointer[func(context.Context) error]
 
 	mu sync.Mutex
-	// pipes are the leaf's ends of its open connections, most the highest count; guarded by mu.
+	// pipes are the leaf's ends of its open connections, maxOpen their highest number; guarded by mu.
 	pipes   []*fakePipe
 	maxOpen int
-	// listener of the incarnation that runs; guarded by mu.
+	// listener of the running incarnation; guarded by mu.
 	listener *pipeListener
 }
 
-// pipeListener is a net.Listener whose connections are made by hand.
+// pipeListener is a net.Listener that accepts connections from a channel.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -76,7 +76,7 @@
 	return f
 }
 
-// start serves a new incarnation.
+// start starts serving as a new incarnation.
 func (f *fakeLeaf) start(t *testing.T, incarnation uint64) {
 	f.incarnation.Store(incarnation)
 	mux := http.NewServeMux()
@@ -90,7 +90,7 @@
 	t.Cleanup(func() { _ = srv.Close() })
 }
 
-// crash ends the leaf at once with its connections.
+// crash stops the leaf abruptly and closes its connections.
 func (f *fakeLeaf) crash() { _ = f.srv.Close(); f.refuse.Store(true) }
 
 func (f *fakeLeaf) dial(ctx context.Context, _ string) (net.Conn, error) {
@@ -116,7 +116,7 @@
 	return near, ctx.Err()
 }
 
-// silenceAll makes the connections open now lose all bytes both ways.
+// silenceAll makes the connections open now lose all bytes in both directions.
 func (f *fakeLeaf) silenceAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// breakAll breaks the connections open now; the leaf lives on.
+// breakAll breaks the connections open now; the leaf keeps running.
 func (f *fakeLeaf) breakAll() {
 	f.mu.Lock()
 	pipes := append([]*fakePipe(nil), f.pipes...)
@@ -135,7 +135,7 @@
 	}
 }
 
-// pauseAll holds what the leaf writes on the connections open now until the function is called.
+// pauseAll blocks the leaf's writes on the connections open now until resume is called.
 func (f *fakeLeaf) pauseAll() (resume func()) {
 	over := make(chan struct{})
 	f.mu.Lock()
@@ -157,7 +157,7 @@
 	net.Conn
 	leaf   *fakeLeaf
 	silent atomic.Bool
-	// paused holds what the leaf writes until the channel is closed; nil holds nothing.
+	// paused blocks the leaf's writes until the channel is closed; nil blocks nothing.
 	paused atomic.Pointer[chan struct{}]
 }
 
--- a/internal/upstream/frames.go
+++ b/internal/upstream/frames.go
@@ -2,28 +2,30 @@
 
 import "encoding/binary"
 
-// The parts of the HTTP/2 framing (RFC 9113, section 4.1) that tell of a peer's departure.
+// The parts of the HTTP/2 framing (RFC 9113, section 4.1) needed to recognize a GOAWAY frame.
 const (
 	frameHeaderLen = 9
 	frameGoAway    = 0x7
-	// goAwayLen is the fixed part of a GOAWAY frame: last stream and error code.
+	// goAwayLen is the length of the fixed part of a GOAWAY payload: last stream and error code.
 	goAwayLen = 8
 	// goAwayNoError is the error code of a graceful shutdown.
 	goAwayNoError = 0
 )
 
-// frameScanner follows the frames of a byte stream and finds GOAWAY. The HTTP/2 client shows a
-// GOAWAY only to calls that fail by it; an idle connection has to tell of it as well. It is used by
-// the one goroutine that reads.
+// frameScanner follows the frames of a byte stream and detects GOAWAY. The HTTP/2 client reports a
+// GOAWAY only to calls that fail because of it, but it must be detected on an idle connection too.
+// Only the reading goroutine uses it.
 type frameScanner struct {
-	// head is the frame header, and for GOAWAY the fixed part of the payload, as far as read.
+	// head holds the bytes read so far of the frame header and, for GOAWAY, of the fixed part of
+	// the payload; headRead is their number.
 	head     [frameHeaderLen + goAwayLen]byte
 	headRead int
-	// payloadRemaining is how much payload is still to come.
+	// payloadRemaining is how many bytes of the payload are still to come.
 	payloadRemaining int
 }
 
-// scan takes the next bytes and returns the error code of a GOAWAY that ends in them.
+// scan consumes the next bytes and returns the error code of a GOAWAY whose fixed part ends in
+// them.
 func (f *frameScanner) scan(b []byte) (code uint32, found bool) {
 	for len(b) > 0 {
 		if f.payloadRemaining > 0 {
@@ -47,7 +49,7 @@
 	return code, found
 }
 
-// headLen is how many bytes of head have to be read before the frame can be judged.
+// headLen is how many bytes of head are needed before the frame can be classified.
 func (f *frameScanner) headLen() int {
 	if f.headRead >= frameHeaderLen && f.isGoAway() {
 		return frameHeaderLen + goAwayLen
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// headerTimeout tells a leaf, in milliseconds, how long it may work on a call (the header of the
-// Connect protocol).
+// headerTimeout is the Connect protocol's header that gives a leaf, in milliseconds, how long it
+// may work on a call.
 const headerTimeout = "Connect-Timeout-Ms"
 
-// errSealed ends the sending of a request that was given up before its message was read.
+// errSealed ends the sending of a request that was abandoned before its message was read.
 var errSealed = errors.New("request given up before it was sent")
 
-// The states of a gate.
+// The states of a sealableBody.
 const (
 	bodyUnread int32 = iota
 	bodyRead
 	bodySealed
 )
 
-// sealableBody is the body of a request to a leaf. It knows whether the HTTP/2 client has begun to read the
-// message, and can forbid that once and for all: a call whose gate was sealed was surely not seen
-// by the leaf, for a leaf can't start a call without its message.
+// sealableBody is the body of a request to a leaf. It records whether the HTTP/2 client has begun
+// to read the message, and can forbid reading permanently. A leaf cannot start a call without its
+// message, so a call whose body was sealed has not been seen by the leaf.
 type sealableBody struct {
 	io.ReadCloser
 	state atomic.Int32
@@ -40,38 +40,39 @@
 	return 0, errSealed
 }
 
-// seal returns true where the message was not read so far, and never will be.
+// seal forbids reading. It returns true if the message was not read so far, and so never will be.
 func (g *sealableBody) seal() bool {
 	return g.state.CompareAndSwap(bodyUnread, bodySealed) || g.state.Load() == bodySealed
 }
 
-// exchange is one call on one connection, from its start to its end. It belongs to the goroutine
-// that makes the call.
+// exchange is one call on one connection, from start to end. It belongs to the goroutine that makes
+// the call.
 type exchange struct {
 	conn *conn
 	body *sealableBody
-	// order is true for an order, which outlives the silence of its connection.
+	// order is true for an order, which stays in flight when its connection goes silent.
 	order bool
-	// deadline is what the leaf is told where it isn't the context's; zero where it is.
+	// deadline is the one sent to the leaf if it differs from the context's, zero otherwise.
 	deadline time.Time
-	// err is how the HTTP/2 client failed, nil where an answer began.
+	// err is the error of the HTTP/2 client, nil if a response began.
 	err error
 }
 
 type exchangeKey struct{}
 
-// withExchange returns a context whose call goes over the connection.
+// withExchange returns a context whose call uses the connection.
 func withExchange(ctx context.Context, c *conn) (context.Context, *exchange) {
 	x := &exchange{conn: c}
 	return context.WithValue(ctx, exchangeKey{}, x), x
 }
 
-// notSent tells whether the leaf has surely not seen the call. It forbids sending from then on.
+// notSent reports whether it is certain that the leaf has not seen the call. It forbids sending
+// from then on.
 func (x *exchange) notSent() bool { return x.body == nil || x.body.seal() }
 
-// exchangeClient implements connect.HTTPClient over the connection that the context names. There is
-// no layer that could send a request twice: no redirects, no GetBody, and the round trip of a
-// single HTTP/2 connection doesn't retry.
+// exchangeClient implements connect.HTTPClient over the connection in the context. No layer can
+// send a request twice: there are no redirects and no GetBody, and the round trip of a single
+// HTTP/2 connection does not retry.
 type exchangeClient struct{}
 
 // Do implements connect.HTTPClient.
--- a/internal/upstream/gauges.go
+++ b/internal/upstream/gauges.go
@@ -9,10 +9,10 @@
 		"Leaves by state: connected, unconnected, leaving.", []string{"service", "state"}, nil)
 )
 
-// gauges counts connections and leaves of a pool when the metrics are read.
+// gauges counts the connections and leaves of a pool when metrics are collected.
 type gauges struct{ pool *Pool }
 
-// leafKey is a pair of labels.
+// leafKey is the label pair of the leaves gauge.
 type leafKey struct{ service, state string }
 
 // Describe implements prometheus.Collector.
@@ -38,7 +38,7 @@
 	}
 }
 
-// stateName is the state of a leaf as a label.
+// stateName returns the metric label of a leaf's state.
 func stateName(s State) string {
 	switch {
 	case s.Leaving:
--- a/internal/upstream/h2.go
+++ b/internal/upstream/h2.go
@@ -12,12 +12,12 @@
 	"golang.org/x/net/http2"
 )
 
-// maxHeaderBytes bounds the header of a leaf's answer.
+// maxHeaderBytes bounds the headers of a leaf's response.
 const maxHeaderBytes = 64 << 10
 
 // errGoAwayText is the error of a call that the peer's GOAWAY excludes: its stream is above the
-// last one that the peer will process (RFC 9113, section 6.8). x/net doesn't export it. Were the
-// text to change, such calls would count as possibly started, which is the safe side.
+// last one that the peer will process (RFC 9113, section 6.8). x/net does not export it. If the
+// text changes, such calls count as possibly started, which is safe.
 const errGoAwayText = "http2: Transport received Server's graceful shutdown GOAWAY"
 
 // h2Conn is one HTTP/2 connection. Its round trip never sends a request twice.
@@ -43,20 +43,20 @@
 
 func (h h2Transport) open(c net.Conn) (h2Conn, error) { return h.t.NewClientConn(c) }
 
-// cancelWhenSilent ends the request once its connection is found silent, though the connection may stay
-// open for orders. The HTTP/2 client watches the field of old for as long as the stream runs; a
-// context of its own for each search would cost more.
+// cancelWhenSilent cancels the request when its connection is found silent, even if the connection
+// stays open for orders. It uses the deprecated Cancel field, which the HTTP/2 client watches while
+// the stream is open, because a separate context for each search would cost more.
 func cancelWhenSilent(req *http.Request, c *conn) { req.Cancel = c.silent }
 
-// refusedStream tells whether the protocol guarantees that the peer did not process the call: it
-// reset the stream with REFUSED_STREAM (RFC 9113, section 8.7).
+// refusedStream reports whether the protocol guarantees that the peer did not process the call: the
+// peer reset the stream with REFUSED_STREAM (RFC 9113, section 8.7).
 func refusedStream(err error) bool {
 	var se http2.StreamError
 	return errors.As(err, &se) && se.Code == http2.ErrCodeRefusedStream
 }
 
-// excludedByGoAway tells whether the protocol guarantees that the peer did not process the call:
-// it lies above the last stream of its GOAWAY.
+// excludedByGoAway reports whether the protocol guarantees that the peer did not process the call:
+// its stream is above the last one that the peer's GOAWAY names.
 func excludedByGoAway(err error) bool {
 	return err != nil && err.Error() == errGoAwayText
 }
--- a/internal/upstream/leaf.go
+++ b/internal/upstream/leaf.go
@@ -12,7 +12,7 @@
 	"github.com/burdockplank/burdockplank/api/burdock/v1/burdockv1connect"
 )
 
-// Why a call could not be sent.
+// These errors say why a call could not be sent.
 var (
 	errUnknownLeaf  = errors.New("unknown leaf, or one that this VM doesn't serve")
 	errLeaving      = errors.New("leaf is leaving")
@@ -20,10 +20,10 @@
 )
 
 const (
-	// connWaitTimeout is how long a call waits for a connection that is about to become usable.
+	// connWaitTimeout is how long a call waits for a connection that is expected to become usable.
 	connWaitTimeout = 100 * time.Millisecond
-	// reconnectGracePeriod is how long after a silence the leaf counts as connected while it has no usable
-	// connection but one is being opened.
+	// reconnectGracePeriod is how long a leaf without a usable connection still counts as connected
+	// after a connection went silent, if a new one is being opened.
 	reconnectGracePeriod = 300 * time.Millisecond
 )
 
@@ -38,35 +38,38 @@
 	mu sync.Mutex
 	// The rest is guarded by mu.
 
-	// planned is the number of connections by plan, 0 where the leaf is removed.
+	// planned is the number of connections by plan, 0 if the leaf is removed.
 	planned int
 	slots   int
-	// conns are all open connections, out of use or not.
+	// conns are all open connections, including retired ones.
 	conns    []*conn
 	presence presence
-	// snapshots as the leaf said, nil where it has not.
+	// snapshots that the leaf reported, nil if it has not reported any.
 	snapshots []uint64
-	// opening is true while a connection is being opened; retryAt is when the next may be.
+	// opening is true while a connection is being opened; retryAt is the earliest time of the next
+	// attempt.
 	opening bool
 	retryAt time.Time
 	backoff backoff
-	// recoverBy is until when a connection that went silent may take to be replaced.
+	// recoverBy is the time until which a leaf whose connection went silent still counts as
+	// connected while a new one is opened.
 	recoverBy time.Time
-	// brokeAt is when a connection broke or was found silent last, zero where none was.
+	// brokeAt is when a connection last broke or went silent, zero if none did.
 	brokeAt time.Time
-	// polling is true while the status is asked for; pollAt is when it will be next.
+	// polling is true while a status request is in flight; pollAt is when the next one is due.
 	polling bool
 	pollAt  time.Time
 	// changed is closed and replaced when a connection may have become usable.
 	changed chan struct{}
-	// attempted is true once a first connection was opened or could not be.
+	// attempted is true once a first connection was opened or failed to open.
 	attempted bool
-	// openError is how the last try to open a connection failed, nil after a success.
+	// openError is the error of the last attempt to open a connection, nil after a success.
 	openError error
 }
 
-// acquire counts a call on the least loaded connection, among equals the one heard of last. It
-// refuses from the first evidence of departure on.
+// acquire counts a call on the usable connection with the fewest calls in flight. Of equals it
+// takes the one heard from most recently. It returns errLeaving from the first evidence of
+// departure on.
 func (l *leaf) acquire(now time.Time) (*conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +93,8 @@
 	return best, nil
 }
 
-// acquireWait is acquire that waits a little where a connection is about to become usable.
+// acquireWait is like acquire but waits up to connWaitTimeout if a connection is expected to become
+// usable.
 func (l *leaf) acquireWait(ctx context.Context) (*conn, error) {
 	if c, err := l.acquire(time.Now()); err != errNoConnection {
 		return c, err
@@ -113,15 +117,16 @@
 	}
 }
 
-// nextChange returns a channel that closes at the next change, and whether one is due soon.
+// nextChange returns a channel that closes at the next change, and whether a connection is expected
+// to become usable.
 func (l *leaf) nextChange() (changed <-chan struct{}, expected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed, l.connDue()
 }
 
-// connDue tells whether a connection is about to become usable: a first try to open one is under way,
-// or one only has to answer a ping. Requires mu.
+// connDue reports whether a connection is expected to become usable: a first attempt to open
+// one is under way, or an open one only has to answer a ping. Requires mu.
 func (l *leaf) connDue() bool {
 	expected := l.backoff.failures == 0 && l.openConns() < l.targetConns()
 	for _, c := range l.conns {
@@ -136,7 +141,7 @@
 	l.changed = make(chan struct{})
 }
 
-// preferredOver tells whether c should take a call rather than other. Requires leaf.mu.
+// preferredOver reports whether c should take a call rather than other. Requires leaf.mu.
 func (c *conn) preferredOver(other *conn) bool {
 	if c.inFlight != other.inFlight {
 		return c.inFlight < other.inFlight
@@ -155,7 +160,8 @@
 	}
 }
 
-// beginOrder counts an order on a connection that was begun; false where it went out of use.
+// beginOrder counts an order on a connection on which a call was begun. It returns false if the
+// connection is no longer usable.
 func (l *leaf) beginOrder(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,7 +184,8 @@
 	return l.presence.leaving() != pb.DepartureSource_DEPARTURE_SOURCE_UNSPECIFIED
 }
 
-// applyConnEvents takes in what the connections' readers noted. Requires mu.
+// applyConnEvents applies the events that the connections recorded while reading and writing.
+// Requires mu.
 func (l *leaf) applyConnEvents() {
 	for _, c := range l.conns {
 		if c.tcp.goAway.Load() && !c.goAwayRecorded {
@@ -200,7 +207,7 @@
 	}
 }
 
-// retire takes a connection out of use; its calls run on. Requires mu.
+// retire takes a connection out of use. Its calls in flight continue. Requires mu.
 func (l *leaf) retire(c *conn, why retireReason) {
 	if c.retired != retireNone {
 		return
@@ -214,10 +221,11 @@
 	l.pool.metrics.closed.WithLabelValues(l.service, string(why)).Inc()
 }
 
-// markSilent takes a connection out of use that gave no sign of life since it was pinged at the given
-// time, and ends its searches. Orders stay: they can't be sent again, and where the leaf was only
-// paused or cut off their answers still come. What cut the connection may have cut the others as
-// well: those not heard of since are pinged too, and take no call before they are heard of.
+// markSilent takes a connection out of use that gave no sign of life since it was pinged at the
+// given time, and ends its searches. Orders stay in flight: they cannot be resent, and if the leaf
+// was only paused or cut off, their answers still arrive. The cause of the silence may affect the
+// leaf's other connections too: those not heard from since the ping are pinged as well, and take no
+// call until they are heard from.
 func (l *leaf) markSilent(c *conn, pinged time.Time) {
 	l.mu.Lock()
 	if c.foundSilent {
@@ -242,11 +250,11 @@
 	l.pool.wakeLoop()
 }
 
-// recovering tells whether a silent connection is being replaced and a call may wait for the new one.
-// Requires mu.
+// recovering reports whether a silent connection is being replaced and a call may wait for the
+// new one. Requires mu.
 func (l *leaf) recovering(now time.Time) bool { return now.Before(l.recoverBy) && l.connDue() }
 
-// recordDeparture takes in evidence of departure seen by this process and reports it. Requires mu.
+// recordDeparture records and reports evidence of departure seen by this process. Requires mu.
 func (l *leaf) recordDeparture(incarnation uint64, source pb.DepartureSource) {
 	var isNew bool
 	if incarnation == 0 {
@@ -265,9 +273,9 @@
 	})
 }
 
-// targetConns is how many connections the leaf should have now: a leaving leaf keeps one, which shows
-// its next incarnation. One that only refused a connection keeps all, for a new one shows whether
-// that still holds. Requires mu.
+// targetConns is how many connections the leaf should have now. A leaving leaf keeps one, which
+// shows its next incarnation. A leaf that only refused a connection keeps all, because a new
+// connection shows whether the leaf still refuses. Requires mu.
 func (l *leaf) targetConns() int {
 	switch l.presence.leaving() {
 	case pb.DepartureSource_DEPARTURE_SOURCE_UNSPECIFIED, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT:
@@ -276,7 +284,7 @@
 	return min(1, l.planned)
 }
 
-// state returns a copy of what is known.
+// state returns a copy of what is known of the leaf.
 func (l *leaf) state() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -293,7 +301,7 @@
 	return s
 }
 
-// wasAttempted tells whether a connection was opened or could not be, or none is wanted.
+// wasAttempted reports whether a connection was opened or failed to open, or none is planned.
 func (l *leaf) wasAttempted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/upstream/metrics.go
+++ b/internal/upstream/metrics.go
@@ -10,7 +10,7 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// The results of a call as labels of a metric; refusals are labelled by their reason.
+// The results of a call as metric labels. Refusals are labelled by their reason.
 const (
 	resultOK        = "ok"
 	resultNotSent   = "not_sent"
@@ -21,7 +21,7 @@
 	resultError     = "error"
 )
 
-// metrics of the pool, by service. None is labelled by leaf.
+// metrics holds the pool's metrics by service. None is labelled by leaf.
 type metrics struct {
 	calls      *prometheus.CounterVec
 	opened     *prometheus.CounterVec
@@ -90,7 +90,7 @@
 	return resultError
 }
 
-// sourceName is the short lower-case name of a kind of evidence.
+// sourceName returns the short lower-case name of a kind of evidence.
 func sourceName(s pb.DepartureSource) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), "DEPARTURE_SOURCE_"))
 }
--- a/internal/upstream/once_test.go
+++ b/internal/upstream/once_test.go
@@ -21,8 +21,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// rawLeaf speaks bare HTTP/2 frames, so that it can end a call in ways that a library's server
-// doesn't. It answers pings, fails each status, and lets onOrder answer an order's last frame.
+// rawLeaf speaks bare HTTP/2 frames to end calls in ways that a library's server does not. It
+// answers pings, fails every status request, and calls onOrder for the last frame of an order.
 type rawLeaf struct {
 	orders  atomic.Int64
 	onOrder func(*http2.Framer, net.Conn, uint32)
@@ -36,7 +36,7 @@
 	return near, nil
 }
 
-// bufferedPipe takes writes without waiting for the reader, as TCP does.
+// bufferedPipe accepts writes without waiting for the reader, as TCP does.
 type bufferedPipe struct {
 	net.Conn
 	out  chan []byte
@@ -50,13 +50,13 @@
 	}
 }
 
-// Write implements net.Conn. It is called by the one goroutine that also closes.
+// Write implements net.Conn. The goroutine that calls it also closes the pipe.
 func (p *bufferedPipe) Write(b []byte) (int, error) {
 	p.out <- bytes.Clone(b)
 	return len(b), nil
 }
 
-// Close closes the connection after what was written.
+// Close closes the connection after the written bytes were sent.
 func (p *bufferedPipe) Close() error {
 	p.once.Do(func() { close(p.out) })
 	return nil
@@ -99,7 +99,7 @@
 	}
 }
 
-// respond answers a stream with the status and one header, without a body.
+// respond sends a response with the status and one header, without a body.
 func respond(fr *http2.Framer, stream uint32, status, name, value string) {
 	var b bytes.Buffer
 	enc := hpack.NewEncoder(&b)
@@ -163,17 +163,17 @@
 	read := &exchange{body: &sealableBody{ReadCloser: body()}}
 	_, err := read.body.Read(make([]byte, 1))
 	is.NoErr(err)
-	is.True(!read.notSent()) // a byte was taken for sending
+	is.True(!read.notSent()) // a byte was read for sending
 	_, err = read.body.Read(make([]byte, 8))
 	is.NoErr(err)
 
 	unread := &exchange{body: &sealableBody{ReadCloser: body()}}
 	is.True(unread.notSent())
 	_, err = unread.body.Read(make([]byte, 1))
-	is.Equal(err, errSealed) // and never will be
+	is.Equal(err, errSealed) // the body is never read
 	is.True(unread.notSent())
 
-	is.True((&exchange{}).notSent()) // the HTTP/2 client was never asked
+	is.True((&exchange{}).notSent()) // the HTTP/2 client was never called
 }
 
 func TestExchangeAcceptsOneRequest(t *testing.T) {
--- a/internal/upstream/open.go
+++ b/internal/upstream/open.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// openTimeout bounds opening a connection, with its first status.
+	// openTimeout bounds opening a connection, including the first status request.
 	openTimeout = time.Second
-	// pollInterval is the mean time between two questions for a leaf's status.
+	// pollInterval is the mean time between two status requests to a leaf.
 	pollInterval = 2 * time.Second
-	// pollTimeout bounds one question.
+	// pollTimeout bounds one status request.
 	pollTimeout = 500 * time.Millisecond
-	// minBackoff and backoffMost bound the waiting time after a connection could not be opened.
+	// minBackoff and maxBackoff bound the backoff after a connection could not be opened.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// stableAfter is how long a connection must have lasted for its end not to slow the next.
+	// stableAfter is how long a connection must have been open for its end not to delay the next
+	// attempt.
 	stableAfter = time.Second
 )
 
-// backoff doubles the waiting time with each failure.
+// backoff implements exponential backoff: the delay doubles with each failure.
 type backoff struct{ failures int }
 
-// next returns the jittered time until the next try.
+// next returns the jittered delay until the next attempt.
 func (b *backoff) next() time.Duration {
 	d := maxBackoff
 	if b.failures < 6 {
@@ -39,12 +40,13 @@
 	return jitter(d)
 }
 
-// jitter returns d times 0.75 to 1.25, so that processes don't act in step.
+// jitter returns d times a random factor from 0.75 to 1.25, so that processes do not act at the
+// same time.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*rand.Float64()))
 }
 
-// open opens one connection, learns the incarnation on it, and adds it.
+// open opens one connection, learns the leaf's incarnation from it, and adds it to the leaf.
 func (l *leaf) open() {
 	ctx, cancel := context.WithTimeout(l.pool.ctx, openTimeout)
 	defer cancel()
@@ -69,7 +71,7 @@
 	}
 }
 
-// openFailed notes the failure; a refused connection is evidence of departure. Requires mu.
+// openFailed records a failed attempt. A refused connection is evidence of departure. Requires mu.
 func (l *leaf) openFailed(err error) {
 	l.retryAt = time.Now().Add(l.backoff.next())
 	if l.pool.ctx.Err() != nil {
@@ -83,8 +85,8 @@
 	l.recordDeparture(0, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT)
 }
 
-// dial opens a connection and asks for the status on it. A leaf that answers no status is taken
-// all the same as long as it answers a ping: its status may be broken where its searches aren't.
+// dial opens a connection and requests the status on it. A leaf that does not answer the status
+// request is accepted if it answers a ping: its status procedure may fail while its searches work.
 func (l *leaf) dial(ctx context.Context, opened time.Time) (*conn, *pb.LeafStatusResponse, error) {
 	nc, err := l.pool.dial(ctx, l.address)
 	if err != nil {
@@ -112,7 +114,7 @@
 	return c, st, nil
 }
 
-// requestStatus asks for the status over the connection.
+// requestStatus requests the status over the connection.
 func (l *leaf) requestStatus(ctx context.Context, c *conn) (*pb.LeafStatusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -120,7 +122,7 @@
 	return l.client.Status(ctx, &pb.LeafStatusRequest{})
 }
 
-// poll asks for the status over an open connection that was begun.
+// poll requests the status over an open connection on which a call was begun.
 func (l *leaf) poll(c *conn) {
 	st, err := l.requestStatus(l.pool.ctx, c)
 	l.release(c)
@@ -137,9 +139,9 @@
 	}
 }
 
-// applyStatus takes in a status answered on the connection. All of it is a hint, but that a draining
-// leaf drains. A connection belongs to one incarnation: another one on it is not believed.
-// Requires mu.
+// applyStatus applies a status received on the connection. All of it is a hint, except that a leaf
+// that reports draining is draining. A connection belongs to one incarnation: a status of another
+// incarnation on it is ignored. Requires mu.
 func (l *leaf) applyStatus(c *conn, st *pb.LeafStatusResponse) {
 	n := st.GetIncarnation()
 	if n == 0 || (c.incarnation != 0 && c.incarnation != n) {
@@ -163,7 +165,7 @@
 	}
 }
 
-// pollNow makes the next status due now.
+// pollNow makes the next status request due now.
 func (l *leaf) pollNow() {
 	l.mu.Lock()
 	l.pollAt = time.Time{}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	// maintainInterval is how often the pool looks after its connections when nothing wakes it.
+	// maintainInterval is the time between two maintenance passes over the connections when no
+	// event triggers one earlier.
 	maintainInterval = 50 * time.Millisecond
-	// maxResponseBytes bounds a leaf's answer.
+	// maxResponseBytes bounds a leaf's response message.
 	maxResponseBytes = 4 << 20
 )
 
-// Config is what a Pool needs to know of its own VM.
+// Config describes the pool's own VM.
 type Config struct {
 	// VM is the id of the pool's own VM.
 	VM string
-	// Bind is the IP number that connections come from.
+	// Bind is the source IP address of connections.
 	Bind string
 }
 
-// Pool owns the connections of one gather to the leaves of the services it serves. It is safe for
-// concurrent use.
+// Pool owns the connections of one gatherer to the leaves of the services that it serves. It is
+// safe for concurrent use.
 type Pool struct {
 	cfg       Config
 	source    feed.Source
@@ -43,29 +44,30 @@
 	dial      func(ctx context.Context, address string) (net.Conn, error)
 	epoch     time.Time
 
-	// ctx ends when the pool closes; work counts the pool's goroutines.
+	// ctx ends when the pool closes; goroutines counts the pool's goroutines.
 	ctx        context.Context
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
-	// closed forbids new goroutines; guarded by workMu.
+	// closed forbids new goroutines; guarded by spawnMu.
 	closed  bool
 	spawnMu sync.Mutex
 	wake    chan struct{}
-	// initialized is closed by the pool's loop once the leaves of the first bundle were tried.
+	// initialized is closed by the pool's loop after a connection to each leaf of the first bundle
+	// was attempted.
 	initialized chan struct{}
 
 	mu sync.RWMutex
-	// hasBundle is true from the first view with a bundle on; guarded by mu.
+	// hasBundle is true after the first view with a bundle; guarded by mu.
 	hasBundle bool
 	// leaves by id; guarded by mu.
 	leaves map[string]*leaf
-	// removed leaves whose calls still run; guarded by mu.
+	// removed holds leaves that left the plan and still have calls in flight; guarded by mu.
 	removed []*leaf
 }
 
 var _ Caller = (*Pool)(nil)
 
-// NewPool returns a pool without leaves; Run or ApplyView gives it some. reg may be nil.
+// NewPool returns a pool without leaves; Run and ApplyView add them. reg may be nil.
 func NewPool(cfg Config, source feed.Source, reporter feed.Reporter, log *zap.Logger, reg prometheus.Registerer) *Pool {
 	d := rpc.Dialer(cfg.Bind)
 	p := &Pool{
@@ -87,8 +89,8 @@
 	return p
 }
 
-// Run applies the views of the source and looks after the connections until ctx ends. It closes
-// the pool then.
+// Run applies the views of the source and maintains the connections until ctx ends. It then closes
+// the pool.
 func (p *Pool) Run(ctx context.Context) error {
 	defer p.Close()
 	tick := time.NewTicker(maintainInterval)
@@ -111,8 +113,8 @@
 	}
 }
 
-// maintain looks after all leaves and forgets the removed ones that have ended. It is called by the
-// pool's loop alone.
+// maintain maintains the connections of all leaves and drops removed leaves without open
+// connections. Only the pool's loop calls it.
 func (p *Pool) maintain(now time.Time) {
 	ended := make(map[*leaf]bool)
 	for _, l := range p.all() {
@@ -129,11 +131,13 @@
 	p.removed = slices.DeleteFunc(p.removed, func(l *leaf) bool { return ended[l] })
 }
 
-// Initialized returns a channel that is closed once a bundle is there and every leaf that this VM serves
-// has been connected to or could not be. It stays closed when leaves come later.
+// Initialized returns a channel that is closed after a bundle arrived and a connection to every
+// leaf that this VM serves was opened or failed to open. It stays closed when leaves are added
+// later.
 func (p *Pool) Initialized() <-chan struct{} { return p.initialized }
 
-// checkInitialized closes settled when it is time to. It is called by the pool's loop alone.
+// checkInitialized closes the initialized channel once its condition holds. Only the pool's loop
+// calls it.
 func (p *Pool) checkInitialized() {
 	p.mu.RLock()
 	viewed := p.hasBundle
@@ -158,7 +162,7 @@
 	}
 }
 
-// Close ends the pool: connections are closed, calls that still run are cut.
+// Close stops the pool. It closes the connections and interrupts calls in flight.
 func (p *Pool) Close() {
 	p.cancel()
 	p.spawnMu.Lock()
@@ -170,7 +174,7 @@
 	}
 }
 
-// wakeLoop makes the loop tend its connections soon. It doesn't block.
+// wakeLoop triggers a maintenance pass without waiting for the next tick. It does not block.
 func (p *Pool) wakeLoop() {
 	select {
 	case p.wake <- struct{}{}:
@@ -187,7 +191,7 @@
 	}
 }
 
-// all returns every leaf, the removed ones whose calls still run as well.
+// all returns every leaf, including removed leaves with calls in flight.
 func (p *Pool) all() []*leaf {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -198,7 +202,7 @@
 	return all
 }
 
-// leaf returns the leaf, or nil.
+// leaf returns the leaf with the id, or nil.
 func (p *Pool) leaf(id string) *leaf {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -214,8 +218,9 @@
 	return l.state(), true
 }
 
-// newClient returns the client of a leaf; each call goes over the connection its context names.
-// Answers aren't compressed: on a network inside a region the processor time costs more.
+// newClient returns the client of a leaf. Each call uses the connection in its context. Responses
+// are not compressed: on a network within a region, compression costs more processor time than it
+// saves.
 func newClient(address string) burdockv1connect.LeafServiceClient {
 	return burdockv1connect.NewLeafServiceClient(exchangeClient{}, "http://"+address,
 		connect.WithAcceptCompression("gzip", nil, nil),
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,7 +14,7 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// waitForConnections lets the pool open its connections.
+// waitForConnections waits until the pool has opened its connections.
 func waitForConnections() {
 	time.Sleep(100 * time.Millisecond)
 	synctest.Wait()
@@ -38,7 +38,7 @@
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
 		waitForConnections()
-		is.Equal(f.open(), 2) // as many as the plan says, before any call
+		is.Equal(f.open(), 2) // the planned number, before any call
 		s, ok := p.State(testLeaf)
 		is.True(ok)
 		is.Equal(s, State{Leaf: testLeaf, Incarnation: 1, Connected: true, Snapshots: []uint64{7}, Slots: 3})
@@ -48,8 +48,8 @@
 	})
 }
 
-// A pool is settled once each leaf was tried, whether a connection came about or not, and not before
-// there is a bundle.
+// A pool is initialized after it tried to connect to each leaf, whether or not that succeeded, and
+// not before a bundle arrived.
 func TestInitializedAfterEachLeafWasAttempted(t *testing.T) {
 	for name, err := range map[string]error{"connected": nil, "refused": syscall.ECONNREFUSED} {
 		t.Run(name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 		e := asCallError(err)
 		is.True(e.ConnectionSilent)
 		is.True(e.Wrote)
-		is.True(!e.ConnectionLost) // it says nothing about the leaf
+		is.True(!e.ConnectionLost) // silence is no evidence about the leaf
 		is.True(time.Since(start) < time.Second)
 		for time.Since(start) < time.Second { // both old ones are out of use within the second
 			if _, err = search(t.Context(), p); err == nil {
@@ -135,7 +135,7 @@
 		waitForConnections()
 		f.silenceAll()
 		_, err := p.Execute(t.Context(), testLeaf, &pb.LeafExecuteRequest{Ticket: "t1"})
-		if err != nil { // no connection was left: surely not run
+		if err != nil { // no usable connection remained: certainly not run
 			is.True(!asCallError(err).Wrote)
 			is.Equal(f.executions.Load(), int64(0))
 		}
@@ -145,8 +145,8 @@
 	})
 }
 
-// An order can't be sent again: closing its silent connection would make its end unknown for good,
-// though the leaf was only paused.
+// An order cannot be resent: closing its silent connection would leave its outcome unknown for
+// good, even if the leaf was only paused.
 func TestOrderSurvivesPauseOfItsLeaf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -166,11 +166,11 @@
 		resume := f.pauseAll()
 		start := time.Now()
 		_, err := search(t.Context(), p)
-		is.True(asCallError(err).ConnectionSilent) // a search ends, to be sent again elsewhere
+		is.True(asCallError(err).ConnectionSilent) // the search ends, so that it can be resent elsewhere
 		is.True(time.Since(start) < time.Second)
 		time.Sleep(time.Second)
 		f.setAnswer(func(context.Context) error { return nil })
-		_, err = search(t.Context(), p) // over a fresh connection beside the silent ones
+		_, err = search(t.Context(), p) // uses a new connection beside the silent ones
 		is.NoErr(err)
 		resume()
 		for range cap(order) {
@@ -197,7 +197,7 @@
 		})
 		ctx := WithWorkDeadline(t.Context(), time.Now().Add(time.Second))
 		_, err := p.Execute(ctx, testLeaf, &pb.LeafExecuteRequest{Ticket: "t"})
-		is.NoErr(err) // a late answer is taken
+		is.NoErr(err) // a late answer is accepted
 		is.Equal((<-remaining).Round(10*time.Millisecond), time.Second)
 		_, err = p.Execute(ctx, testLeaf, &pb.LeafExecuteRequest{Ticket: "u"})
 		is.True(asCallError(err).NotStarted())
@@ -223,12 +223,12 @@
 		time.Sleep(3 * time.Second)
 		s, _ := p.State(testLeaf)
 		is.Equal(s.Incarnation, uint64(2))
-		is.True(!s.Leaving) // the refused connections were the old incarnation's
+		is.True(!s.Leaving) // the refused connections belonged to the old incarnation
 	})
 }
 
-// A leaf whose connections break while it lives on is known to have survived as soon as one is open
-// again; one that comes back as another incarnation isn't the one that was lost.
+// A leaf whose connections break while it keeps running counts as survived as soon as a connection
+// is open again. A leaf that returns as another incarnation is not the one that was lost.
 func TestSurvivedIsSetAfterBrokenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -237,7 +237,7 @@
 		waitForConnections()
 		s, _ := p.State(testLeaf)
 		is.True(!s.Survived)
-		f.refuse.Store(true) // no connection opens at the very instant of the break
+		f.refuse.Store(true) // prevents a connection from opening at the instant of the break
 		f.breakAll()
 		synctest.Wait()
 		s, _ = p.State(testLeaf)
@@ -286,7 +286,7 @@
 		{"refusal", func(p *Pool, f *fakeLeaf) {
 			f.draining.Store(true)
 			_, _ = search(p.ctx, p)
-			f.draining.Store(false) // a status that says otherwise doesn't count
+			f.draining.Store(false) // a status that contradicts the refusal does not count
 		}, pb.DepartureSource_DEPARTURE_SOURCE_REFUSAL},
 		{"goaway", func(_ *Pool, f *fakeLeaf) {
 			go func() { _ = f.srv.Shutdown(context.Background()) }()
@@ -300,7 +300,7 @@
 		}, pb.DepartureSource_DEPARTURE_SOURCE_STATUS},
 		{"refused connection", func(_ *Pool, f *fakeLeaf) {
 			f.crash()
-			time.Sleep(2*minBackoff + maintainInterval) // the first backoff, its jitter, a tick
+			time.Sleep(2*minBackoff + maintainInterval) // the first backoff with jitter, and one maintenance pass
 		}, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -322,13 +322,13 @@
 				}
 				time.Sleep(10 * time.Second)
 				s, _ := p.State(testLeaf)
-				is.True(s.Leaving) // it stays so, whatever the leaf says later
+				is.True(s.Leaving) // it stays leaving, whatever the leaf reports later
 				_ = f.srv.Close()
 				f.start(t, 2)
 				f.refuse.Store(false)
 				time.Sleep(5 * time.Second)
 				_, err := search(t.Context(), p)
-				is.NoErr(err) // only another incarnation ends it
+				is.NoErr(err) // only another incarnation clears the evidence
 			})
 		})
 	}
@@ -341,12 +341,12 @@
 		p, fd := startPool(t, f.dial)
 		waitForConnections()
 		v := testView()
-		v.Upstreams = []*pb.Upstream{{Id: testLeaf, Leaving: false}} // the list lags
+		v.Upstreams = []*pb.Upstream{{Id: testLeaf, Leaving: false}} // the list is outdated
 		v.Departures = []*pb.Departure{{Leaf: testLeaf, Incarnation: 1, Source: pb.DepartureSource_DEPARTURE_SOURCE_REFUSAL, Vm: "vm-2"}}
 		fd.publish(v)
 		synctest.Wait()
 		is.True(errors.Is(errorOf(search(t.Context(), p)), errLeaving))
-		fd.publish(testView()) // evidence that has aged out of the view still holds
+		fd.publish(testView()) // evidence that is no longer in the view still holds
 		time.Sleep(time.Minute)
 		is.True(errors.Is(errorOf(search(t.Context(), p)), errLeaving))
 		is.Equal(len(fd.reported()), 0)
@@ -366,7 +366,7 @@
 		is.True(errors.Is(errorOf(search(t.Context(), p)), errLeaving))
 		time.Sleep(500 * time.Millisecond)
 		_, err := search(t.Context(), p)
-		is.NoErr(err) // a connection opened since shows that the leaf is there
+		is.NoErr(err) // a connection opened since shows that the leaf accepts calls
 		is.True(f.maxOpen <= 2)
 	})
 }
@@ -385,7 +385,7 @@
 		v.Bundle.Services["teachers"].Leaves = nil
 		fd.publish(v)
 		synctest.Wait()
-		is.Equal(f.open(), 1) // only the one with the call is left
+		is.Equal(f.open(), 1) // only the connection with the call remains
 		is.True(errors.Is(errorOf(search(t.Context(), p)), errUnknownLeaf))
 		is.NoErr(<-done)
 		synctest.Wait()
@@ -400,7 +400,7 @@
 		f := newFakeLeaf(t)
 		p, _ := startPool(t, f.dial)
 		waitForConnections()
-		for range 20 { // one second is the bound for a silent connection to be out of use
+		for range 20 { // a silent connection must be out of use within one second
 			f.silenceAll()
 			ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 			_, _ = search(ctx, p)
@@ -409,6 +409,6 @@
 		}
 		waitForConnections()
 		is.Equal(f.open(), 2)
-		is.True(f.maxOpen <= 2) // the old one is closed before the fresh one is opened
+		is.True(f.maxOpen <= 2) // the old one is closed before the new one is opened
 	})
 }
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/silence_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// silentOpen counts the silent connections that the pool still keeps.
+// silentOpen returns the number of silent connections that the pool still keeps open.
 func (f *fakeLeaf) silentOpen() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -21,8 +21,8 @@
 	return n
 }
 
-// A silent connection is out of use within a second of its silence, whenever the first call after it
-// comes, and where none comes.
+// A silent connection is out of use within a second of the start of its silence, no matter when the
+// first call comes afterwards, and even if no call comes.
 func TestSilentConnectionIsRetiredWithinOneSecond(t *testing.T) {
 	for phase := time.Duration(0); phase <= time.Second; phase += 50 * time.Millisecond {
 		t.Run(phase.String(), func(t *testing.T) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// A leaf whose connections are being replaced after a silence stays one that can be called: a search
-// at that moment waits for the new connection rather than do without the leaf.
+// A leaf counts as connected while its silent connections are being replaced, so that a search
+// waits for the new connection rather than skip the leaf.
 func TestLeafStaysConnectedWhileSilentConnectionsAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/upstream/tend.go
+++ b/internal/upstream/tend.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// maintain looks after the leaf's connections: it closes those out of use, pings the quiet, opens what
-// is missing and asks for the status when it is due. It returns false once a removed leaf has no
-// connection left. It doesn't block.
+// maintain maintains the leaf's connections: it closes idle retired ones, pings silent ones, opens
+// missing ones, and requests the status when it is due. It returns false once a removed leaf has no
+// connection left. It does not block.
 func (l *leaf) maintain(now time.Time) bool {
 	l.mu.Lock()
 	l.applyConnEvents()
@@ -25,8 +25,8 @@
 	return alive
 }
 
-// retireExcess retires connections beyond the target, the oldest first, and those of earlier incarnations.
-// Requires mu.
+// retireExcess retires connections beyond targetConns, the oldest first, and those of earlier
+// incarnations. Requires mu.
 func (l *leaf) retireExcess() {
 	n := 0
 	for _, c := range l.conns {
@@ -50,7 +50,7 @@
 	}
 }
 
-// removeIdle removes and returns the connections out of use whose calls have ended. Requires mu.
+// removeIdle removes and returns the retired connections without calls in flight. Requires mu.
 func (l *leaf) removeIdle() []*conn {
 	var idle, kept []*conn
 	for _, c := range l.conns {
@@ -64,7 +64,7 @@
 	return idle
 }
 
-// pingIfQuiet pings a connection that owes a sign of life. Requires mu.
+// pingIfQuiet starts a ping if the connection needs one. Requires mu.
 func (l *leaf) pingIfQuiet(c *conn, now time.Time) {
 	if c.pinging || c.foundSilent || c.tcp.closing.Load() || c.tcp.lost.Load() {
 		return
@@ -83,9 +83,9 @@
 	})
 }
 
-// openConns is the number of connections that the leaf may still count: all but those that this side has
-// closed or the peer has. A silent one that is kept for its orders makes room for a new one, as if
-// it was closed. Requires mu.
+// openConns is the number of connections that the leaf may still count: all but those that this
+// side or the peer has closed. A silent connection that is kept for its orders does not count, so
+// that a new one may be opened as if it was closed. Requires mu.
 func (l *leaf) openConns() int {
 	n := 0
 	for _, c := range l.conns {
@@ -96,7 +96,7 @@
 	return n
 }
 
-// openIfMissing opens one connection where there are fewer than planned. Requires mu.
+// openIfMissing starts opening one connection if there are fewer than targetConns. Requires mu.
 func (l *leaf) openIfMissing(now time.Time) {
 	if l.opening || l.openConns() >= l.targetConns() || now.Before(l.retryAt) {
 		return
@@ -105,7 +105,7 @@
 	l.pool.spawn(l.open)
 }
 
-// pollIfDue asks for the status over a connection that is open. Requires mu.
+// pollIfDue starts a status request over an open connection if one is due. Requires mu.
 func (l *leaf) pollIfDue(now time.Time) {
 	if l.polling || l.planned == 0 || now.Before(l.pollAt) {
 		return
@@ -120,7 +120,7 @@
 	l.pool.spawn(func() { l.poll(c) })
 }
 
-// lastHeardUsable returns the connection heard of last. Requires mu.
+// lastHeardUsable returns the usable connection heard from most recently, or nil. Requires mu.
 func (l *leaf) lastHeardUsable() *conn {
 	var best *conn
 	for _, c := range l.conns {
--- a/internal/upstream/view.go
+++ b/internal/upstream/view.go
@@ -18,8 +18,8 @@
 	connections int
 }
 
-// ApplyView takes in the leaves and the evidence of a view. Calls that run aren't cut: connections
-// beyond the new plan close when their calls have ended.
+// ApplyView applies the leaves and the departure evidence of a view. Calls in flight are not
+// interrupted: connections beyond the new plan close after their calls have ended.
 func (p *Pool) ApplyView(v *feed.View) {
 	if v == nil || v.Bundle == nil {
 		return
@@ -47,7 +47,7 @@
 	p.wakeLoop()
 }
 
-// plan returns the leaves this VM serves, by id.
+// plan returns the leaves that this VM serves, by id.
 func (p *Pool) plan(v *feed.View) map[string]plannedLeaf {
 	vms := withSelf(v)
 	all := make(map[string]plannedLeaf)
@@ -66,7 +66,7 @@
 	return all
 }
 
-// withSelf returns the VMs of the view with the own one, which a view may not hold at first.
+// withSelf returns the VMs of the view including this VM, which an early view may lack.
 func withSelf(v *feed.View) []*pb.Vm {
 	for _, vm := range v.VMs {
 		if vm.GetId() == v.VM {
@@ -90,7 +90,7 @@
 	l.mu.Unlock()
 }
 
-// applyEvidence takes in the departures that other VMs saw, and the list.
+// applyEvidence applies the departures that other VMs observed, and the upstream list.
 func (p *Pool) applyEvidence(v *feed.View) {
 	listed := make(map[string]time.Time)
 	for _, u := range v.Upstreams {
@@ -127,8 +127,8 @@
 	l.presence.recordDeparture(d.GetIncarnation(), d.GetSource())
 }
 
-// applyRefusedConnection takes in a connection refused to another VM. A connection of the own that is opened
-// from now on shows whether it still holds, so one makes place for it.
+// applyRefusedConnection applies a connection refused to another VM. A connection opened by this VM
+// from now on shows whether the leaf still refuses, so an open one is retired to make room for it.
 func (l *leaf) applyRefusedConnection(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// trackedConn is a TCP connection that notes when it was last heard of, that its peer closed it, and that
-// its peer announced to go away. Its fields are atomic: the HTTP/2 client's goroutines write them,
-// calls and the pool's loop read them.
+// trackedConn is a TCP connection that records when a byte last arrived, that the peer closed the
+// connection, and that the peer sent GOAWAY. Its fields are atomic: the HTTP/2 client's goroutines
+// write them, calls and the pool's loop read them.
 type trackedConn struct {
 	net.Conn
-	// epoch is the pool's start; times are kept as nanoseconds since then.
+	// epoch is the pool's start; times are stored as nanoseconds since then.
 	epoch time.Time
-	// wake makes the pool's loop look at its connections at once.
+	// wake triggers a maintenance pass of the pool's loop.
 	wake func()
 
 	lastRead atomic.Int64
@@ -21,9 +21,9 @@
 	lostAt atomic.Int64
 	// closing is set before this side closes the connection.
 	closing atomic.Bool
-	// lost is set where reading or writing failed though this side did not close.
+	// lost is set if reading or writing failed though this side did not close.
 	lost atomic.Bool
-	// goAway is set by a GOAWAY without error, failed by one with an error.
+	// goAway is set by a GOAWAY without an error, goAwayErr by one with an error.
 	goAway, goAwayErr atomic.Bool
 
 	frames frameScanner
@@ -59,7 +59,7 @@
 	return n, err
 }
 
-// recordLost notes that the connection broke, unless this side has closed it.
+// recordLost records that the connection broke, unless this side has closed it.
 func (w *trackedConn) recordLost() {
 	if w.closing.Load() || w.lost.Load() {
 		return
@@ -69,8 +69,7 @@
 	w.wake()
 }
 
-// Close implements net.Conn. The HTTP/2 client closes a connection for itself after a GOAWAY or a
-// breach of the protocol.
+// Close implements net.Conn. The HTTP/2 client calls it itself after a GOAWAY or a protocol error.
 func (w *trackedConn) Close() error {
 	w.closing.Store(true)
 	w.wake()
@@ -86,7 +85,7 @@
 	w.wake()
 }
 
-// lastHeard returns when a byte last came.
+// lastHeard returns when a byte last arrived.
 func (w *trackedConn) lastHeard() time.Time { return w.epoch.Add(time.Duration(w.lastRead.Load())) }
 
 // brokenAt returns when the connection broke, and whether it did.
@@ -97,10 +96,10 @@
 	return w.epoch.Add(time.Duration(w.lostAt.Load())), true
 }
 
-// crashed tells whether the peer ended the connection without having announced it.
+// crashed reports whether the peer ended the connection without a GOAWAY.
 func (w *trackedConn) crashed() bool { return w.lost.Load() && !w.goAway.Load() && !w.goAwayErr.Load() }
 
-// usable tells whether a new call may be sent.
+// usable reports whether a new call may be sent.
 func (w *trackedConn) usable() bool {
 	return !w.closing.Load() && !w.lost.Load() && !w.goAway.Load() && !w.goAwayErr.Load()
 }
