--- a/internal/gather/balancers.go
+++ b/internal/gather/balancers.go
@@ -12,8 +12,8 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// refreshEvery is how often the leaves' incarnations are told to the balancers.
-const refreshEvery = 100 * time.Millisecond
+// refreshInterval is how often the leaves' incarnations are told to the balancers.
+const refreshInterval = 100 * time.Millisecond
 
 // Balancers keeps one balancer for each service.
 type Balancers struct {
@@ -64,14 +64,14 @@
 
 // Run tells the balancers of slots, sharers and incarnations until ctx ends.
 func (b *Balancers) Run(ctx context.Context, source feed.Source) error {
-	t := time.NewTicker(refreshEvery)
+	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
 	for {
 		changed := source.Changed()
 		v := source.Current()
-		b.capacities(v)
+		b.setCapacities(v)
 		for wait := true; wait; {
-			b.incarnations(v)
+			b.setIncarnations(v)
 			select {
 			case <-ctx.Done():
 				return nil
@@ -83,7 +83,7 @@
 	}
 }
 
-func (b *Balancers) capacities(v *feed.View) {
+func (b *Balancers) setCapacities(v *feed.View) {
 	if v.Bundle == nil {
 		return
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-func (b *Balancers) incarnations(v *feed.View) {
+func (b *Balancers) setIncarnations(v *feed.View) {
 	if v.Bundle == nil {
 		return
 	}
--- a/internal/gather/balancers_test.go
+++ b/internal/gather/balancers_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-func TestBalancersFollowThePolicy(t *testing.T) {
+func TestBalancersUseConfiguredPolicy(t *testing.T) {
 	none := func(string) (upstream.State, bool) { return upstream.State{}, false }
 	for policy, shown := range map[string]int{balance.PolicyAdaptive: 1, balance.PolicyBaseline: 0} {
 		is := is.New(t)
--- a/internal/gather/door.go
+++ b/internal/gather/door.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// drainRetry is told to requests refused while draining: another gather takes them at once.
-	drainRetry = 50 * time.Millisecond
-	// pausedRetry is told to requests refused before fresh news came.
-	pausedRetry = 250 * time.Millisecond
-	// maxRequestID bounds the length of a request id in bytes.
-	maxRequestID = 128
+	// drainRetryAfter is told to requests refused while draining: another gather takes them at once.
+	drainRetryAfter = 50 * time.Millisecond
+	// pausedRetryAfter is told to requests refused before fresh news came.
+	pausedRetryAfter = 250 * time.Millisecond
+	// maxRequestIDBytes bounds the length of a request id in bytes.
+	maxRequestIDBytes = 128
 )
 
 // Admitter decides which requests come in, and counts those that run. It is safe for concurrent use.
@@ -40,61 +40,61 @@
 
 // Admit lets a request for new work in, or says why not; nothing has been sent then. The function
 // returned must be called at the request's end.
-func (d *Admitter) Admit(ctx context.Context, id *pb.Identity, service string) (leave func(), err error) {
-	if !d.begin(false) {
-		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, Step, "the gather is draining").After(drainRetry)
+func (a *Admitter) Admit(ctx context.Context, id *pb.Identity, service string) (leave func(), err error) {
+	if !a.begin(false) {
+		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, Step, "the gather is draining").After(drainRetryAfter)
 	}
-	if err := d.check(ctx, id, service); err != nil {
-		d.end()
+	if err := a.check(ctx, id, service); err != nil {
+		a.end()
 		return nil, err
 	}
-	return sync.OnceFunc(d.end), nil
+	return sync.OnceFunc(a.end), nil
 }
 
 // AdmitOrder counts an order in, while draining too. It may be a resend of one that has run, so
 // only the keeper of tickets, who knows, may say that it was not run.
-func (d *Admitter) AdmitOrder() (leave func()) {
-	d.begin(true)
-	return sync.OnceFunc(d.end)
+func (a *Admitter) AdmitOrder() (leave func()) {
+	a.begin(true)
+	return sync.OnceFunc(a.end)
 }
 
-func (d *Admitter) begin(order bool) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.draining && !order {
+func (a *Admitter) begin(order bool) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.draining && !order {
 		return false
 	}
-	d.running++
+	a.running++
 	return true
 }
 
-func (d *Admitter) end() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.running--
-	d.closeIdle()
+func (a *Admitter) end() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.running--
+	a.closeIdle()
 }
 
-func (d *Admitter) closeIdle() {
-	if !d.draining || d.running > 0 {
+func (a *Admitter) closeIdle() {
+	if !a.draining || a.running > 0 {
 		return
 	}
 	select {
-	case <-d.idle:
+	case <-a.idle:
 	default:
-		close(d.idle)
+		close(a.idle)
 	}
 }
 
 // check identifies the request by the bundle in force.
-func (d *Admitter) check(ctx context.Context, id *pb.Identity, service string) error {
-	if n := len(id.GetRequestId()); n == 0 || n > maxRequestID {
-		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "want a request id of 1 to %d bytes", maxRequestID)
+func (a *Admitter) check(ctx context.Context, id *pb.Identity, service string) error {
+	if n := len(id.GetRequestId()); n == 0 || n > maxRequestIDBytes {
+		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "want a request id of 1 to %d bytes", maxRequestIDBytes)
 	}
-	if !d.source.Fresh() {
-		return outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "no fresh news of the fleet").After(pausedRetry)
+	if !a.source.Fresh() {
+		return outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "no fresh news of the fleet").After(pausedRetryAfter)
 	}
-	b, err := d.bundle(ctx, id.GetBundleVersion())
+	b, err := a.bundle(ctx, id.GetBundleVersion())
 	if err != nil {
 		return err
 	}
@@ -110,19 +110,19 @@
 
 // bundle returns the bundle in force once it is at least as new as the entry's. An entry with an
 // older bundle is served by this gather's newer one.
-func (d *Admitter) bundle(ctx context.Context, version uint64) (*bundle.Bundle, error) {
-	wait := time.NewTimer(d.bundleWait)
+func (a *Admitter) bundle(ctx context.Context, version uint64) (*bundle.Bundle, error) {
+	wait := time.NewTimer(a.bundleWait)
 	defer wait.Stop()
 	for {
-		changed := d.source.Changed()
-		b := d.source.Current().Bundle
+		changed := a.source.Changed()
+		b := a.source.Current().Bundle
 		if b != nil && b.Version >= version {
 			return b, nil
 		}
 		select {
 		case <-changed:
 		case <-wait.C:
-			return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "bundle %d isn't in force here yet", version).After(pausedRetry)
+			return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "bundle %d isn't in force here yet", version).After(pausedRetryAfter)
 		case <-ctx.Done():
 			return nil, outcome.Classify(ctx.Err(), pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, Step)
 		}
@@ -130,19 +130,19 @@
 }
 
 // Close lets no new work in.
-func (d *Admitter) Close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.draining = true
-	d.closeIdle()
+func (a *Admitter) Close() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.draining = true
+	a.closeIdle()
 }
 
 // Idle is closed when the door is closed and no request is inside.
-func (d *Admitter) Idle() <-chan struct{} { return d.idle }
+func (a *Admitter) Idle() <-chan struct{} { return a.idle }
 
 // state returns what the dump shows.
-func (d *Admitter) state() (draining bool, running int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.draining, d.running
+func (a *Admitter) state() (draining bool, running int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.draining, a.running
 }
--- a/internal/gather/gather_test.go
+++ b/internal/gather/gather_test.go
@@ -64,34 +64,34 @@
 func (f *fakeFeed) ReportCrash(*pb.Crash)         {}
 func (f *fakeFeed) SetState(s pb.ProcessState)    { f.states = append(f.states, s) }
 
-// slow answers searches and orders after a time.
-type slow struct {
+// slowBackend answers searches and orders after a time.
+type slowBackend struct {
 	burdockv1connect.UnimplementedTicketPeerServiceHandler
 	time    time.Duration
 	drained bool
 }
 
-func (s *slow) Search(ctx context.Context, _ *pb.Identity, _ *pb.SearchRequest) (*pb.SearchResponse, error) {
+func (s *slowBackend) Search(ctx context.Context, _ *pb.Identity, _ *pb.SearchRequest) (*pb.SearchResponse, error) {
 	time.Sleep(s.time)
 	return &pb.SearchResponse{}, ctx.Err()
 }
 
-func (s *slow) IssueTicket(context.Context, *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
+func (s *slowBackend) IssueTicket(context.Context, *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
 	return &pb.GatherIssueTicketResponse{}, nil
 }
 
-func (s *slow) Order(context.Context, *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
+func (s *slowBackend) Order(context.Context, *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
 	time.Sleep(s.time)
 	return nil, errors.New("something else")
 }
 
-func (s *slow) Drain(context.Context) { s.drained = true }
+func (s *slowBackend) Drain(context.Context) { s.drained = true }
 
 func identity(caller string, version uint64) *pb.Identity {
 	return &pb.Identity{RequestId: "r1", Caller: caller, BundleVersion: version}
 }
 
-func TestDoor(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	tests := map[string]struct {
 		id      *pb.Identity
 		service string
@@ -140,24 +140,24 @@
 	}
 }
 
-// tried is upstreams that have all been tried.
-type tried struct{}
+// leavesAttempted is upstreams that have all been tried.
+type leavesAttempted struct{}
 
-func (tried) Initialized() <-chan struct{} {
+func (leavesAttempted) Initialized() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }
 
-// untried is upstreams that are tried when the channel is closed.
-type untried chan struct{}
+// leavesPending is upstreams that are tried when the channel is closed.
+type leavesPending chan struct{}
 
-func (u untried) Initialized() <-chan struct{} { return u }
+func (u leavesPending) Initialized() <-chan struct{} { return u }
 
-func TestReadyOnlyWhenLeavesWereTried(t *testing.T) {
+func TestReadyOnlyAfterLeavesWereAttempted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, work, leaves := newFakeFeed(3), &slow{}, make(untried)
+		f, work, leaves := newFakeFeed(3), &slowBackend{}, make(leavesPending)
 		m := NewManager(DefaultSettings(), zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, leaves)
 		m.listening.Store(true)
 		done := make(chan struct{})
@@ -178,13 +178,13 @@
 	})
 }
 
-func TestDrainEndsWhatRunsAndRefusesTheRest(t *testing.T) {
+func TestDrainFinishesRunningWorkAndRefusesNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, work := newFakeFeed(3), &slow{time: 5 * time.Second}
+		f, work := newFakeFeed(3), &slowBackend{time: 5 * time.Second}
 		s := DefaultSettings()
-		m := NewManager(s, zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, tried{})
-		service := NewService(m.door, work, work, NewMetrics(prometheus.NewRegistry()))
+		m := NewManager(s, zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, leavesAttempted{})
+		service := NewService(m.admitter, work, work, NewMetrics(prometheus.NewRegistry()))
 		search := &pb.GatherSearchRequest{Identity: identity("desk", 3), Search: &pb.SearchRequest{Service: "teachers"}}
 		ended := make(chan error, 1)
 		go func() {
@@ -220,19 +220,19 @@
 	})
 }
 
-func TestDrainListensForTheNotice(t *testing.T) {
+func TestDrainListensDuringTheNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, work := newFakeFeed(3), &slow{}
+		f, work := newFakeFeed(3), &slowBackend{}
 		s := DefaultSettings()
-		m := NewManager(s, zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, tried{})
+		m := NewManager(s, zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, leavesAttempted{})
 		start := time.Now()
 		m.Drain(context.Background())
 		is.Equal(time.Since(start), s.Drain.Notice.D())
 	})
 }
 
-func TestSettingsAreRefusedWithTheirPlace(t *testing.T) {
+func TestInvalidSettingsAreReportedWithPosition(t *testing.T) {
 	vm := "[vm]\nid = \"vm-1\"\nzone = \"az-1\"\nbind = \"127.0.1.1\"\n"
 	tests := map[string]string{
 		vm:                                      "",
--- a/internal/gather/manager.go
+++ b/internal/gather/manager.go
@@ -45,8 +45,8 @@
 	log      *zap.Logger
 	source   feed.Source
 	reporter feed.Reporter
-	door     *Admitter
-	keeper   OrderManager
+	admitter *Admitter
+	orders   OrderManager
 	leaves   Upstreams
 	server   *http.Server
 	// listening is true once requests are taken; draining from the signal on.
@@ -58,10 +58,10 @@
 // NewManager returns a manager that doesn't listen yet.
 func NewManager(s *Settings, log *zap.Logger, reg prometheus.Registerer, source feed.Source, reporter feed.Reporter, searcher Searcher, keeper OrderManager, peers burdockv1connect.TicketPeerServiceHandler, leaves Upstreams) *Manager {
 	m := &Manager{
-		settings: s, log: log, source: source, reporter: reporter, keeper: keeper, leaves: leaves,
-		door: NewAdmitter(source, s.Gather.BundleWait.D()),
+		settings: s, log: log, source: source, reporter: reporter, orders: keeper, leaves: leaves,
+		admitter: NewAdmitter(source, s.Gather.BundleWait.D()),
 	}
-	m.server = rpc.NewServer(m.handler(NewService(m.door, searcher, keeper, NewMetrics(reg)), peers))
+	m.server = rpc.NewServer(m.handler(NewService(m.admitter, searcher, keeper, NewMetrics(reg)), peers))
 	return m
 }
 
@@ -123,11 +123,11 @@
 	m.draining.Store(true)
 	m.reporter.SetState(pb.ProcessState_PROCESS_STATE_DRAINING)
 	m.stateMu.Unlock()
-	m.door.Close()
+	m.admitter.Close()
 	notice := time.NewTimer(m.settings.Drain.Notice.D())
 	defer notice.Stop()
-	m.keeper.Drain(ctx)
-	if !wait(ctx, m.door.Idle()) {
+	m.orders.Drain(ctx)
+	if !wait(ctx, m.admitter.Idle()) {
 		m.log.Warn("running work did not end within the limit")
 	}
 	select {
@@ -161,13 +161,13 @@
 		return false, "no bundle in force"
 	case !m.source.Fresh():
 		return false, "no fresh news of the fleet"
-	case !m.settled():
+	case !m.leavesInitialized():
 		return false, "leaves not tried yet"
 	}
 	return true, ""
 }
 
-func (m *Manager) settled() bool {
+func (m *Manager) leavesInitialized() bool {
 	select {
 	case <-m.leaves.Initialized():
 		return true
@@ -192,7 +192,7 @@
 	v := m.source.Current()
 	s := state{ViewAge: v.Age(time.Now())}
 	s.Ready, s.Why = m.Ready()
-	s.Draining, s.Running = m.door.state()
+	s.Draining, s.Running = m.admitter.state()
 	if v.Bundle != nil {
 		s.BundleVersion = v.Bundle.Version
 	}
--- a/internal/gather/service.go
+++ b/internal/gather/service.go
@@ -26,30 +26,30 @@
 
 // Service implements GatherService. Each request passes the door first.
 type Service struct {
-	door    *Admitter
-	search  Searcher
-	orders  Orders
-	metrics *Metrics
+	admitter *Admitter
+	search   Searcher
+	orders   Orders
+	metrics  *Metrics
 }
 
 var _ burdockv1connect.GatherServiceHandler = (*Service)(nil)
 
 // NewService returns a service that takes requests as its door allows.
-func NewService(door *Admitter, s Searcher, o Orders, m *Metrics) *Service {
-	return &Service{door: door, search: s, orders: o, metrics: m}
+func NewService(admitter *Admitter, s Searcher, o Orders, m *Metrics) *Service {
+	return &Service{admitter: admitter, search: s, orders: o, metrics: m}
 }
 
 // Search implements GatherService.
 func (s *Service) Search(ctx context.Context, req *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error) {
 	id := req.GetIdentity()
-	leave, err := s.door.Admit(ctx, id, req.GetSearch().GetService())
+	leave, err := s.admitter.Admit(ctx, id, req.GetSearch().GetService())
 	if err != nil {
-		return nil, s.refuse(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
+		return nil, s.connectError(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
 	}
 	defer leave()
 	a, err := s.search.Search(ctx, id, req.GetSearch())
 	if err != nil {
-		return nil, s.refuse(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
+		return nil, s.connectError(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
 	}
 	return &pb.GatherSearchResponse{Identity: id, Search: a}, nil
 }
@@ -57,14 +57,14 @@
 // IssueTicket implements GatherService.
 func (s *Service) IssueTicket(ctx context.Context, req *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
 	id := req.GetIdentity()
-	leave, err := s.door.Admit(ctx, id, req.GetTicket().GetService())
+	leave, err := s.admitter.Admit(ctx, id, req.GetTicket().GetService())
 	if err != nil {
-		return nil, s.refuse(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
+		return nil, s.connectError(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
 	}
 	defer leave()
 	res, err := s.orders.IssueTicket(ctx, req)
 	if err != nil {
-		return nil, s.refuse(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
+		return nil, s.connectError(err, pb.OutcomeKind_OUTCOME_KIND_FAILED, id)
 	}
 	return res, nil
 }
@@ -72,18 +72,18 @@
 // Order implements GatherService. Resends are answered while draining too; whether the order may
 // run, and whether it has, is known to the keeper of its ticket alone.
 func (s *Service) Order(ctx context.Context, req *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
-	leave := s.door.AdmitOrder()
+	leave := s.admitter.AdmitOrder()
 	defer leave()
 	res, err := s.orders.Order(ctx, req)
 	if err != nil {
-		return nil, s.refuse(err, pb.OutcomeKind_OUTCOME_KIND_UNKNOWN, req.GetIdentity())
+		return nil, s.connectError(err, pb.OutcomeKind_OUTCOME_KIND_UNKNOWN, req.GetIdentity())
 	}
 	return res, nil
 }
 
-// refuse makes the connect error of an outcome. An error without one gets the kind, which must
+// connectError makes the connect error of an outcome. An error without one gets the kind, which must
 // claim no more than is known.
-func (s *Service) refuse(err error, kind pb.OutcomeKind, id *pb.Identity) *connect.Error {
+func (s *Service) connectError(err error, kind pb.OutcomeKind, id *pb.Identity) *connect.Error {
 	e := outcome.Classify(err, kind, Step)
 	s.metrics.refused.WithLabelValues(outcome.KindName(e.Kind), outcome.ReasonName(e.Reason)).Inc()
 	return outcome.ToConnect(e, id.GetRequestId())
