--- a/internal/gather/balancers.go
+++ b/internal/gather/balancers.go
@@ -12,10 +12,10 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// refreshInterval is how often the leaves' incarnations are told to the balancers.
+// refreshInterval is how often the balancers are given the leaves' incarnations.
 const refreshInterval = 100 * time.Millisecond
 
-// Balancers keeps one balancer for each service.
+// Balancers holds one balancer for each service. It is safe for concurrent use.
 type Balancers struct {
 	settings balance.Settings
 	clock    balance.Clock
@@ -32,7 +32,7 @@
 	return &Balancers{settings: s, clock: clock, random: random, states: states, byService: make(map[string]balance.Replicas)}
 }
 
-// For returns the balancer of a service, made at the first use.
+// For returns the balancer of a service. It creates the balancer on first use.
 func (b *Balancers) For(service string) balance.Replicas {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,7 +51,8 @@
 	return maps.Clone(b.byService)
 }
 
-// Dump implements operator.Dumper: the balancers by service; the baseline policy has nothing to show.
+// Dump implements operator.Dumper. It returns a snapshot for each service with an adaptive
+// balancer; the baseline policy has no state to show.
 func (b *Balancers) Dump() any {
 	dump := make(map[string]balance.Snapshot)
 	for service, r := range b.All() {
@@ -62,7 +63,8 @@
 	return dump
 }
 
-// Run tells the balancers of slots, sharers and incarnations until ctx ends.
+// Run gives the balancers the leaves' slots, the number of sharers and the incarnations until ctx
+// ends.
 func (b *Balancers) Run(ctx context.Context, source feed.Source) error {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
--- a/internal/gather/door.go
+++ b/internal/gather/door.go
@@ -12,34 +12,38 @@
 )
 
 const (
-	// drainRetryAfter is told to requests refused while draining: another gather takes them at once.
+	// drainRetryAfter is the retry-after time of requests refused while draining: another gatherer
+	// takes them at once.
 	drainRetryAfter = 50 * time.Millisecond
-	// pausedRetryAfter is told to requests refused before fresh news came.
+	// pausedRetryAfter is the retry-after time of requests refused for lack of a fresh view of the
+	// fleet, or of the bundle.
 	pausedRetryAfter = 250 * time.Millisecond
-	// maxRequestIDBytes bounds the length of a request id in bytes.
+	// maxRequestIDBytes bounds the length of a request id.
 	maxRequestIDBytes = 128
 )
 
-// Admitter decides which requests come in, and counts those that run. It is safe for concurrent use.
+// Admitter decides which requests are admitted, and counts those that run. It is safe for
+// concurrent use.
 type Admitter struct {
 	source     feed.Source
 	bundleWait time.Duration
 
 	mu sync.Mutex
-	// draining is true once no new work is taken; running counts the requests inside; idle is
-	// closed when draining finds none running. All are guarded by mu.
+	// draining is true once no new work is admitted. running counts the admitted requests that have
+	// not ended. idle is closed when draining and none is running. All are guarded by mu.
 	draining bool
 	running  int
 	idle     chan struct{}
 }
 
-// NewAdmitter returns an open door.
+// NewAdmitter returns an Admitter that admits requests. A request waits for its entry's bundle up
+// to bundleWait.
 func NewAdmitter(source feed.Source, bundleWait time.Duration) *Admitter {
 	return &Admitter{source: source, bundleWait: bundleWait, idle: make(chan struct{})}
 }
 
-// Admit lets a request for new work in, or says why not; nothing has been sent then. The function
-// returned must be called at the request's end.
+// Admit admits a request for new work, or returns the reason for refusing it; nothing was sent
+// then. The caller must call leave when the request ends.
 func (a *Admitter) Admit(ctx context.Context, id *pb.Identity, service string) (leave func(), err error) {
 	if !a.begin(false) {
 		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, Step, "the gather is draining").After(drainRetryAfter)
@@ -51,8 +55,8 @@
 	return sync.OnceFunc(a.end), nil
 }
 
-// AdmitOrder counts an order in, while draining too. It may be a resend of one that has run, so
-// only the keeper of tickets, who knows, may say that it was not run.
+// AdmitOrder counts an order, and admits it even while draining. The order may be a resend of one
+// that has run, so only the order manager, which knows, may say that it was not run.
 func (a *Admitter) AdmitOrder() (leave func()) {
 	a.begin(true)
 	return sync.OnceFunc(a.end)
@@ -86,7 +90,7 @@
 	}
 }
 
-// check identifies the request by the bundle in force.
+// check validates the request's identity against the bundle in force.
 func (a *Admitter) check(ctx context.Context, id *pb.Identity, service string) error {
 	if n := len(id.GetRequestId()); n == 0 || n > maxRequestIDBytes {
 		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "want a request id of 1 to %d bytes", maxRequestIDBytes)
@@ -109,7 +113,7 @@
 }
 
 // bundle returns the bundle in force once it is at least as new as the entry's. An entry with an
-// older bundle is served by this gather's newer one.
+// older bundle is served by this gatherer's newer one.
 func (a *Admitter) bundle(ctx context.Context, version uint64) (*bundle.Bundle, error) {
 	wait := time.NewTimer(a.bundleWait)
 	defer wait.Stop()
@@ -129,7 +133,7 @@
 	}
 }
 
-// Close lets no new work in.
+// Close stops the admission of new work.
 func (a *Admitter) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -137,10 +141,10 @@
 	a.closeIdle()
 }
 
-// Idle is closed when the door is closed and no request is inside.
+// Idle returns a channel that is closed once the Admitter is closed and no request is running.
 func (a *Admitter) Idle() <-chan struct{} { return a.idle }
 
-// state returns what the dump shows.
+// state returns what the operator dump shows.
 func (a *Admitter) state() (draining bool, running int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gather/gather_test.go
+++ b/internal/gather/gather_test.go
@@ -20,7 +20,8 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// fakeFeed is a source set by hand that notes the states told.
+// fakeFeed is a feed.Source with a settable view, and a feed.Reporter that records the reported
+// states.
 type fakeFeed struct {
 	mu      sync.Mutex
 	view    *feed.View
@@ -64,7 +65,7 @@
 func (f *fakeFeed) ReportCrash(*pb.Crash)         {}
 func (f *fakeFeed) SetState(s pb.ProcessState)    { f.states = append(f.states, s) }
 
-// slowBackend answers searches and orders after a time.
+// slowBackend answers searches and orders after a delay.
 type slowBackend struct {
 	burdockv1connect.UnimplementedTicketPeerServiceHandler
 	time    time.Duration
@@ -107,7 +108,7 @@
 		"service not the caller's":        {id: identity("desk", 3), service: "clips", reason: pb.Reason_REASON_UNKNOWN_SERVICE},
 		"no request id":                   {id: &pb.Identity{Caller: "desk"}, reason: pb.Reason_REASON_INVALID_REQUEST},
 		"no identity":                     {reason: pb.Reason_REASON_INVALID_REQUEST},
-		"no fresh news, as after a pause": {id: identity("desk", 3), before: func(f *fakeFeed, _ *Admitter) { f.stale = true }, reason: pb.Reason_REASON_PAUSED},
+		"no fresh view, as after a pause": {id: identity("desk", 3), before: func(f *fakeFeed, _ *Admitter) { f.stale = true }, reason: pb.Reason_REASON_PAUSED},
 		"draining":                        {id: identity("desk", 3), before: func(_ *fakeFeed, d *Admitter) { d.Close() }, reason: pb.Reason_REASON_DRAINING},
 	}
 	for name, tt := range tests {
@@ -140,7 +141,7 @@
 	}
 }
 
-// leavesAttempted is upstreams that have all been tried.
+// leavesAttempted is an Upstreams whose leaves have all been attempted.
 type leavesAttempted struct{}
 
 func (leavesAttempted) Initialized() <-chan struct{} {
@@ -149,7 +150,7 @@
 	return c
 }
 
-// leavesPending is upstreams that are tried when the channel is closed.
+// leavesPending is an Upstreams whose leaves count as attempted when the channel is closed.
 type leavesPending chan struct{}
 
 func (u leavesPending) Initialized() <-chan struct{} { return u }
@@ -169,7 +170,7 @@
 		ready, why := m.Ready()
 		is.True(!ready)
 		is.Equal(why, "leaves not tried yet")
-		is.Equal(len(f.states), 0) // nothing was told to the other VMs
+		is.Equal(len(f.states), 0) // no state was reported to the other VMs
 		close(leaves)
 		<-done
 		ready, _ = m.Ready()
@@ -201,7 +202,7 @@
 			drained <- time.Since(start)
 		}()
 		synctest.Wait()
-		is.Equal(f.states, []pb.ProcessState{pb.ProcessState_PROCESS_STATE_DRAINING}) // told at once
+		is.Equal(f.states, []pb.ProcessState{pb.ProcessState_PROCESS_STATE_DRAINING}) // reported at once
 		ready, _ := m.Ready()
 		is.True(!ready)
 		_, err := service.Search(context.Background(), search)
@@ -210,9 +211,9 @@
 		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN)
 		is.Equal(e.Reason, pb.Reason_REASON_DRAINING)
 		is.True(e.RetryAfter > 0)
-		_, err = service.Order(context.Background(), &pb.GatherOrderRequest{}) // its keeper decides
+		_, err = service.Order(context.Background(), &pb.GatherOrderRequest{}) // the order manager decides
 		e, _ = outcome.FromConnect(err)
-		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_UNKNOWN) // an order's unclear end is never not_run
+		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_UNKNOWN) // an order with an unknown end is never reported as not run
 		is.NoErr(<-ended)
 		is.Equal(<-drained, work.time) // longer than the notice
 		is.True(work.drained)
--- a/internal/gather/manager.go
+++ b/internal/gather/manager.go
@@ -23,23 +23,27 @@
 	"github.com/burdockplank/burdockplank/internal/version"
 )
 
-// maxMessageBytes bounds one message from another process: a handover of many records is the largest.
+// maxMessageBytes bounds one message from another process. The largest is a handover of many
+// records.
 const maxMessageBytes = 16 << 20
 
-// OrderManager keeps the tickets and runs the orders; *order.Manager does.
+// OrderManager keeps the tickets and runs the orders; *order.Manager implements it.
 type OrderManager interface {
 	Orders
-	// Drain issues no more tickets, ends running orders and hands the records to other gathers.
+	// Drain stops issuing tickets, waits for running orders, and hands the records to other
+	// gatherers.
 	Drain(ctx context.Context)
 }
 
-// Upstreams tells when the leaves were first tried; *upstream.Pool does.
+// Upstreams reports when a connection to each leaf was first attempted; *upstream.Pool implements
+// it.
 type Upstreams interface {
-	// Initialized returns a channel that is closed once each leaf was connected to or could not be.
+	// Initialized returns a channel that is closed once a connection to each leaf was opened or
+	// failed to open.
 	Initialized() <-chan struct{}
 }
 
-// Manager owns the listener for entries and other gathers, and the drain of the process.
+// Manager owns the listener for entries and other gatherers, and the drain of the process.
 type Manager struct {
 	settings *Settings
 	log      *zap.Logger
@@ -49,13 +53,13 @@
 	orders   OrderManager
 	leaves   Upstreams
 	server   *http.Server
-	// listening is true once requests are taken; draining from the signal on.
+	// listening is true once requests are accepted; draining is true from the signal on.
 	listening, draining atomic.Bool
-	// stateMu keeps the states that are told to the other VMs in their order.
+	// stateMu keeps the states reported to the other VMs in order.
 	stateMu sync.Mutex
 }
 
-// NewManager returns a manager that doesn't listen yet.
+// NewManager returns a manager that does not listen yet.
 func NewManager(s *Settings, log *zap.Logger, reg prometheus.Registerer, source feed.Source, reporter feed.Reporter, searcher Searcher, keeper OrderManager, peers burdockv1connect.TicketPeerServiceHandler, leaves Upstreams) *Manager {
 	m := &Manager{
 		settings: s, log: log, source: source, reporter: reporter, orders: keeper, leaves: leaves,
@@ -75,7 +79,7 @@
 	return n
 }
 
-// Run serves entries and other gathers until ctx ends.
+// Run serves entries and other gatherers until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", m.settings.ListenAddress())
@@ -102,8 +106,8 @@
 	return nil
 }
 
-// announce tells the other VMs that the process takes work once it has tried its leaves: a search
-// that came before would find none of them.
+// announce reports to the other VMs that the process accepts work, once it has tried to connect to
+// its leaves: an earlier search would find no leaf connected.
 func (m *Manager) announce(ctx context.Context) {
 	if !wait(ctx, m.leaves.Initialized()) {
 		return
@@ -115,9 +119,10 @@
 	}
 }
 
-// Drain ends the process's work in order. It refuses new work at once, tells the other VMs, ends
-// what runs, hands the tickets' records over, and listens on for a while, so that an entry that
-// hasn't heard yet gets an answer rather than a refused connection.
+// Drain ends the process's work in order. It refuses new work at once, notifies the other VMs,
+// waits for running work, and hands over the tickets' records. It keeps listening for the notice
+// period, so that an entry that has not yet learned of the drain gets an answer rather than a
+// refused connection.
 func (m *Manager) Drain(ctx context.Context) {
 	m.stateMu.Lock()
 	m.draining.Store(true)
@@ -150,7 +155,7 @@
 	}
 }
 
-// Ready tells whether the process takes new work, and why not.
+// Ready reports whether the process accepts new work, and why not.
 func (m *Manager) Ready() (bool, string) {
 	switch {
 	case m.draining.Load():
@@ -176,14 +181,15 @@
 	}
 }
 
-// state is what the dump shows of this duty.
+// state is what the operator dump shows of this duty.
 type state struct {
 	Ready         bool   `json:"ready"`
 	Why           string `json:"why,omitempty"`
 	Draining      bool   `json:"draining"`
 	Running       int    `json:"running"`
 	BundleVersion uint64 `json:"bundle_version"`
-	// ViewAge is the time since the sync was last heard of, "never" before the first time.
+	// ViewAge is the time since the last message from the sync process, "never" before the first
+	// one.
 	ViewAge string `json:"view_age"`
 }
 
@@ -199,7 +205,7 @@
 	return s
 }
 
-// Info fills in what the gather knows of the process.
+// Info adds the gatherer's own fields to the process information.
 func (m *Manager) Info(i process.Info) process.Info {
 	v := m.source.Current()
 	i.VM, i.Zone, i.Role, i.Version = m.settings.VM.ID, m.settings.VM.Zone, "gather", version.Version
--- a/internal/gather/service.go
+++ b/internal/gather/service.go
@@ -13,7 +13,7 @@
 // Step names this duty in outcomes.
 const Step = "gather.service"
 
-// Searcher answers searches; *search.Engine does.
+// Searcher answers searches; *search.Engine implements it.
 type Searcher interface {
 	Search(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*pb.SearchResponse, error)
 }
@@ -24,7 +24,7 @@
 	Order(context.Context, *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error)
 }
 
-// Service implements GatherService. Each request passes the door first.
+// Service implements GatherService. The Admitter must admit each request first.
 type Service struct {
 	admitter *Admitter
 	search   Searcher
@@ -34,7 +34,7 @@
 
 var _ burdockv1connect.GatherServiceHandler = (*Service)(nil)
 
-// NewService returns a service that takes requests as its door allows.
+// NewService returns a service whose requests the Admitter admits.
 func NewService(admitter *Admitter, s Searcher, o Orders, m *Metrics) *Service {
 	return &Service{admitter: admitter, search: s, orders: o, metrics: m}
 }
@@ -69,8 +69,8 @@
 	return res, nil
 }
 
-// Order implements GatherService. Resends are answered while draining too; whether the order may
-// run, and whether it has, is known to the keeper of its ticket alone.
+// Order implements GatherService. Resends are answered even while draining. Only the gatherer that
+// keeps the order's ticket knows whether the order may run and whether it has run.
 func (s *Service) Order(ctx context.Context, req *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
 	leave := s.admitter.AdmitOrder()
 	defer leave()
@@ -81,8 +81,8 @@
 	return res, nil
 }
 
-// connectError makes the connect error of an outcome. An error without one gets the kind, which must
-// claim no more than is known.
+// connectError counts the failed request and returns the connect error of its outcome. An error
+// without an outcome gets the given kind, which must not claim more than is known.
 func (s *Service) connectError(err error, kind pb.OutcomeKind, id *pb.Identity) *connect.Error {
 	e := outcome.Classify(err, kind, Step)
 	s.metrics.refused.WithLabelValues(outcome.KindName(e.Kind), outcome.ReasonName(e.Reason)).Inc()
--- a/internal/gather/settings.go
+++ b/internal/gather/settings.go
@@ -1,5 +1,5 @@
-// Package gather is the duty of burdock-gather towards the entries: it identifies requests, hands
-// searches to the engine and orders to their keeper, and drains in order.
+// Package gather is the part of burdock-gather that serves the entries: it identifies requests,
+// passes searches to the search engine and orders to the order manager, and drains in order.
 package gather
 
 import (
@@ -28,21 +28,22 @@
 type Listen struct {
 	// Port on vm.bind for entries and other gathers.
 	Port int `toml:"port"`
-	// BundleWait is how long a request waits for a bundle that its entry holds and this gather
-	// doesn't yet.
+	// BundleWait is how long a request waits for a bundle that its entry has and this gatherer does
+	// not have yet.
 	BundleWait settings.Duration `toml:"bundle_wait"`
 }
 
 // Sync is the table [sync].
 type Sync struct {
-	// Address of the VM's own sync; vm.bind and the default port where it is empty.
+	// Address of the VM's own sync process; empty means vm.bind and the default port.
 	Address string `toml:"address"`
 }
 
 // Drain is the table [drain].
 type Drain struct {
-	// Notice is how long after the other VMs were told a draining gather still listens for the
-	// requests of entries that haven't heard it yet; it refuses them as not run.
+	// Notice is how long a draining gatherer keeps listening after it notified the other VMs. It
+	// serves the entries that have not yet learned of the drain, and refuses their requests as not
+	// run.
 	Notice settings.Duration `toml:"notice"`
 	// Limit bounds the drain.
 	Limit settings.Duration `toml:"limit"`
@@ -78,7 +79,7 @@
 	s.Quarantine.Check(c)
 }
 
-// SyncAddress returns where the VM's own sync listens.
+// SyncAddress returns the address of the VM's own sync process.
 func (s *Settings) SyncAddress() string {
 	if s.Sync.Address != "" {
 		return s.Sync.Address
@@ -86,7 +87,7 @@
 	return settings.HostPort(s.VM.Bind, settings.DefaultSyncPort)
 }
 
-// ListenAddress returns where entries and other gathers connect.
+// ListenAddress returns the address that entries and other gatherers connect to.
 func (s *Settings) ListenAddress() string {
 	return settings.HostPort(s.VM.Bind, s.Gather.Port)
 }
