--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -47,28 +47,28 @@
 	return r.WithContext(context.WithValue(r.Context(), callKey{}, c))
 }
 
-// end notes how the request ended; the first end counts.
-func (c *call) end(kind pb.OutcomeKind, reason pb.Reason) {
+// recordEnd notes how the request ended; the first end counts.
+func (c *call) recordEnd(kind pb.OutcomeKind, reason pb.Reason) {
 	if c.ended {
 		return
 	}
 	c.outcome, c.reason, c.ended = kind, reason, true
 }
 
-// fail notes the error as the request's end.
-func (c *call) fail(e *outcome.Error) { c.end(e.Kind, e.Reason) }
+// recordError notes the error as the request's end.
+func (c *call) recordError(e *outcome.Error) { c.recordEnd(e.Kind, e.Reason) }
 
 // identity is what the gather is told of the request. The bundle version that it must have at least is
 // this entry's, or the higher one of an answer that a caller already has from here: gathers get a
 // bundle one after another, and a caller must not see it come and go.
-func (c *call) identity(shown uint64) *pb.Identity {
-	return &pb.Identity{RequestId: c.id, Caller: c.caller.Name, BundleVersion: max(c.view.Bundle.Version, shown)}
+func (c *call) identity(answered uint64) *pb.Identity {
+	return &pb.Identity{RequestId: c.id, Caller: c.caller.Name, BundleVersion: max(c.view.Bundle.Version, answered)}
 }
 
-// highest is the highest number that was noted. It is safe for concurrent use.
-type highest struct{ atomic.Uint64 }
+// maxObserved is the highest number that was noted. It is safe for concurrent use.
+type maxObserved struct{ atomic.Uint64 }
 
-func (h *highest) note(n uint64) {
+func (h *maxObserved) observe(n uint64) {
 	for old := h.Load(); n > old && !h.CompareAndSwap(old, n); old = h.Load() {
 	}
 }
--- a/internal/entry/conns.go
+++ b/internal/entry/conns.go
@@ -9,46 +9,46 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// conns counts connections that sent something and ended without a whole request: half a header, or
+// connTracker counts connections that sent something and ended without a whole request: half a header, or
 // bytes that are no HTTP. The HTTP library answers or closes those before any handler runs.
-type conns struct {
-	halves prometheus.Counter
+type connTracker struct {
+	incomplete prometheus.Counter
 
 	mu sync.Mutex
 	// open is guarded by mu.
-	open map[net.Conn]*conn
+	open map[net.Conn]*trackedConn
 }
 
-// conn is one connection of a caller; its fields are guarded by conns.mu.
-type conn struct {
-	// begun counts requests of which a byte came, handled those that reached a handler.
-	begun, handled int
+// trackedConn is one connection of a caller; its fields are guarded by conns.mu.
+type trackedConn struct {
+	// started counts requests of which a byte came, handled those that reached a handler.
+	started, handled int
 }
 
 type connKey struct{}
 
-func newConns(halves prometheus.Counter) *conns {
-	return &conns{halves: halves, open: make(map[net.Conn]*conn)}
+func newConnTracker(incomplete prometheus.Counter) *connTracker {
+	return &connTracker{incomplete: incomplete, open: make(map[net.Conn]*trackedConn)}
 }
 
-// hook makes the server tell of its connections.
-func (c *conns) hook(s *http.Server) {
-	s.ConnState = c.changed
+// attach makes the server tell of its connections.
+func (c *connTracker) attach(s *http.Server) {
+	s.ConnState = c.stateChanged
 	s.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, c.add(nc))
 	}
 }
 
-func (c *conns) add(nc net.Conn) *conn {
+func (c *connTracker) add(nc net.Conn) *trackedConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := &conn{}
+	x := &trackedConn{}
 	c.open[nc] = x
 	return x
 }
 
-// changed implements the hook of http.Server.
-func (c *conns) changed(nc net.Conn, s http.ConnState) {
+// stateChanged implements the hook of http.Server.
+func (c *connTracker) stateChanged(nc net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := c.open[nc]
@@ -57,18 +57,18 @@
 	}
 	switch s {
 	case http.StateActive:
-		x.begun++
+		x.started++
 	case http.StateClosed, http.StateHijacked:
 		delete(c.open, nc)
-		if x.begun > x.handled {
-			c.halves.Inc()
+		if x.started > x.handled {
+			c.incomplete.Inc()
 		}
 	}
 }
 
-// handled notes that a request of the connection reached a handler.
-func (c *conns) handled(ctx context.Context) {
-	x, _ := ctx.Value(connKey{}).(*conn)
+// markHandled notes that a request of the connection reached a handler.
+func (c *connTracker) markHandled(ctx context.Context) {
+	x, _ := ctx.Value(connKey{}).(*trackedConn)
 	if x == nil {
 		return
 	}
--- a/internal/entry/door.go
+++ b/internal/entry/door.go
@@ -16,7 +16,7 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-const doorStep = "entry.door"
+const checkRequestStep = "entry.door"
 
 // HeaderTimeout is how a caller gives its deadline, in milliseconds.
 const HeaderTimeout = "Connect-Timeout-Ms"
@@ -24,15 +24,15 @@
 // maxTimeoutDigits bounds the header, so that no number overflows.
 const maxTimeoutDigits = 10
 
-// count is the outermost middleware: it names the request and counts how it ended.
-func (m *Manager) count(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
+// trackRequest is the outermost middleware: it names the request and counts how it ended.
+func (m *Manager) trackRequest(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
 	c := &call{
 		id: newRequestID(m.settings.VM.ID), start: m.now(), view: m.source.Current(),
 		service: unknownLabel, kind: unknownLabel,
 	}
-	m.conns.handled(r.Context())
+	m.conns.markHandled(r.Context())
 	w.Header().Set(HeaderRequestID, c.id)
-	m.drainer.mark(w)
+	m.drainer.markConnection(w)
 	m.metrics.inFlight.Inc()
 	defer func() {
 		m.metrics.inFlight.Dec()
@@ -41,11 +41,11 @@
 	next(w, withCall(r, c))
 }
 
-// door refuses what can't be a request before the library reads it: a wrong content type, a stranger,
+// filterRequest refuses what can't be a request before the library reads it: a wrong content type, a stranger,
 // an absurd deadline, a body that is too large or ends early.
-func (m *Manager) door(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
+func (m *Manager) filterRequest(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
 	c := callOf(r.Context())
-	if e := m.enter(w, r, c); e != nil {
+	if e := m.checkRequest(w, r, c); e != nil {
 		writeError(w, r, e)
 		discard(w, r)
 		return
@@ -56,9 +56,9 @@
 }
 
 const (
-	// discardBytes and discardTime bound what is read of a refused request's body.
-	discardBytes = 1 << 20
-	discardTime  = time.Second
+	// maxDiscardBytes and discardTime bound what is read of a refused request's body.
+	maxDiscardBytes = 1 << 20
+	maxDiscardTime  = time.Second
 )
 
 // discard sends the refusal and reads on for a while: a connection that is closed with bytes unread is
@@ -69,16 +69,16 @@
 		return
 	}
 	rc := http.NewResponseController(w)
-	if rc.Flush() != nil || rc.SetReadDeadline(time.Now().Add(discardTime)) != nil {
+	if rc.Flush() != nil || rc.SetReadDeadline(time.Now().Add(maxDiscardTime)) != nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, r.Body, discardBytes)
+	_, _ = io.CopyN(io.Discard, r.Body, maxDiscardBytes)
 	_ = rc.SetReadDeadline(time.Time{})
 }
 
-// enter returns why the request is refused, or nil.
-func (m *Manager) enter(w http.ResponseWriter, r *http.Request, c *call) *outcome.Error {
-	if e := m.takesWork(c); e != nil {
+// checkRequest returns why the request is refused, or nil.
+func (m *Manager) checkRequest(w http.ResponseWriter, r *http.Request, c *call) *outcome.Error {
+	if e := m.checkAccepting(c); e != nil {
 		return e
 	}
 	caller, e := auth.Authenticate(c.view.Bundle, r.Header)
@@ -104,11 +104,11 @@
 	if err == nil && (t == "application/json" || t == "application/proto") {
 		return nil
 	}
-	return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, doorStep, "%s", statusMessages[http.StatusUnsupportedMediaType])
+	return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, checkRequestStep, "%s", statusMessages[http.StatusUnsupportedMediaType])
 }
 
 // checkTimeout refuses a deadline that is no number, not above 0, or longer than the bundle allows.
-func checkTimeout(h http.Header, longest time.Duration) *outcome.Error {
+func checkTimeout(h http.Header, maxTimeout time.Duration) *outcome.Error {
 	values := h.Values(HeaderTimeout)
 	if len(values) == 0 {
 		return nil
@@ -120,14 +120,14 @@
 	if ms == 0 {
 		return deadlineInvalid("%s must be above 0", HeaderTimeout)
 	}
-	if d := time.Duration(ms) * time.Millisecond; d > longest {
-		return deadlineInvalid("the deadline %s is longer than the longest allowed, %s", d, longest)
+	if d := time.Duration(ms) * time.Millisecond; d > maxTimeout {
+		return deadlineInvalid("the deadline %s is longer than the longest allowed, %s", d, maxTimeout)
 	}
 	return nil
 }
 
 func deadlineInvalid(format string, args ...any) *outcome.Error {
-	return outcome.NotRun(pb.Reason_REASON_DEADLINE_INVALID, doorStep, format, args...)
+	return outcome.NotRun(pb.Reason_REASON_DEADLINE_INVALID, checkRequestStep, format, args...)
 }
 
 const (
@@ -155,9 +155,9 @@
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, doorStep, "the body did not arrive within %s", m.settings.Entry.BodyTimeout.D())
+		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, checkRequestStep, "the body did not arrive within %s", m.settings.Entry.BodyTimeout.D())
 	case err != nil:
-		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, doorStep, "the body ended early")
+		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, checkRequestStep, "the body ended early")
 	case int64(len(body)) > limit:
 		return tooLarge(limit)
 	}
@@ -167,5 +167,5 @@
 }
 
 func tooLarge(limit int64) *outcome.Error {
-	return outcome.NotRun(pb.Reason_REASON_TOO_LARGE, doorStep, "the body is longer than %d bytes", limit)
+	return outcome.NotRun(pb.Reason_REASON_TOO_LARGE, checkRequestStep, "the body is longer than %d bytes", limit)
 }
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -15,11 +15,11 @@
 	// drainRetryAfter is when a caller may come back after a refusal for shutdown: almost at once, for
 	// the balancer brings it to another VM.
 	drainRetryAfter = 100 * time.Millisecond
-	// refuseAtLeast is how long new work gets an answer, a refusal, before connections are closed, so
+	// minRefuseTime is how long new work gets an answer, a refusal, before connections are closed, so
 	// that a request under way on an idle connection isn't cut off.
-	refuseAtLeast = 250 * time.Millisecond
-	// workTick is how often the end of running work is looked for.
-	workTick = 10 * time.Millisecond
+	minRefuseTime = 250 * time.Millisecond
+	// idlePollInterval is how often the end of running work is looked for.
+	idlePollInterval = 10 * time.Millisecond
 )
 
 // phase is how far a shutdown has come.
@@ -38,39 +38,39 @@
 // drainer holds the phase of the shutdown and counts running work.
 type drainer struct {
 	phase   atomic.Int32
-	working atomic.Int64
+	running atomic.Int64
 }
 
-func (d *drainer) at() phase      { return phase(d.phase.Load()) }
-func (d *drainer) enter(p phase)  { d.phase.Store(int32(p)) }
-func (d *drainer) refuses() bool  { return d.at() == phaseRefusing }
-func (d *drainer) draining() bool { return d.at() != phaseServing }
+func (d *drainer) current() phase   { return phase(d.phase.Load()) }
+func (d *drainer) setPhase(p phase) { d.phase.Store(int32(p)) }
+func (d *drainer) refusing() bool   { return d.current() == phaseRefusing }
+func (d *drainer) draining() bool   { return d.current() != phaseServing }
 
-// mark asks the caller to open its next connection anew, through the balancer. Over HTTP/2 the
+// markConnection asks the caller to open its next connection anew, through the balancer. Over HTTP/2 the
 // header becomes a GOAWAY that lets running streams end.
-func (d *drainer) mark(w http.ResponseWriter) {
+func (d *drainer) markConnection(w http.ResponseWriter) {
 	if d.draining() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// workEnded waits until no work runs or ctx ends.
-func (d *drainer) workEnded(ctx context.Context) {
-	for d.working.Load() > 0 && wait(ctx, workTick) {
+// waitIdle waits until no work runs or ctx ends.
+func (d *drainer) waitIdle(ctx context.Context) {
+	for d.running.Load() > 0 && wait(ctx, idlePollInterval) {
 	}
 }
 
 // Drain ends the callers' listener in order: it serves on for the balancer's lag, then refuses new
 // work, lets running work end, and closes connections. It returns when that is done or ctx ends.
 func (m *Manager) Drain(ctx context.Context) {
-	m.drainer.enter(phaseLeaving)
+	m.drainer.setPhase(phaseLeaving)
 	m.reporter.SetState(pb.ProcessState_PROCESS_STATE_DRAINING)
 	m.log.Info("not ready, serving on for the balancer's lag", zap.Duration("lag", m.settings.Drain.BalancerLag.D()))
 	wait(ctx, m.settings.Drain.BalancerLag.D())
-	m.drainer.enter(phaseRefusing)
-	m.log.Info("refusing new work, ending running work", zap.Int64("running", m.drainer.working.Load()))
-	wait(ctx, refuseAtLeast)
-	m.drainer.workEnded(ctx)
+	m.drainer.setPhase(phaseRefusing)
+	m.log.Info("refusing new work, ending running work", zap.Int64("running", m.drainer.running.Load()))
+	wait(ctx, minRefuseTime)
+	m.drainer.waitIdle(ctx)
 	if err := m.server.Shutdown(ctx); err != nil {
 		m.log.Warn("running work did not end within the limit", zap.Error(err))
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -58,7 +58,7 @@
 
 func TestAnswersOverPlainHTTP(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	for path, body := range map[string]string{
 		searchPath: goodSearch,
 		ticketPath: `{"service":"teachers","kind":"booking"}`,
@@ -75,7 +75,7 @@
 	is.Equal(int(w.gather.calls.Load()), 3)
 }
 
-func TestBadInputIsTypedAndCountedAndGoesNowhere(t *testing.T) {
+func TestInvalidInputIsTypedCountedAndNotForwarded(t *testing.T) {
 	long := strings.Repeat("x", 65)
 	tests := map[string]struct {
 		path, body string
@@ -113,7 +113,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t)
+			w := newTestEntry(t)
 			res := w.post(t, test.path, test.body, test.header)
 			e := readError(t, res)
 			is.Equal(res.StatusCode, test.status)
@@ -127,10 +127,10 @@
 	}
 }
 
-// TestOtherProtocolIsRefusedInItsOwnForm uses gRPC over HTTP/2 without TLS, whose errors go in trailers.
-func TestOtherProtocolIsRefusedInItsOwnForm(t *testing.T) {
+// TestOtherProtocolIsRefusedInThatProtocol uses gRPC over HTTP/2 without TLS, whose errors go in trailers.
+func TestOtherProtocolIsRefusedInThatProtocol(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	client := rpc.NewClient("")
 	t.Cleanup(client.CloseIdleConnections)
 	auth := connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
@@ -151,9 +151,9 @@
 
 // Answers through one entry went back to an older bundle: the gather asked next didn't have the newer
 // one yet, and the entry neither.
-func TestGatherIsAskedForTheBundleOfEarlierAnswers(t *testing.T) {
+func TestGathererIsAskedForBundleOfEarlierAnswers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	var asked, answer uint64
 	w.gather.search = func(_ context.Context, r *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error) {
 		asked = r.GetIdentity().GetBundleVersion()
@@ -171,9 +171,9 @@
 
 // TestLongBodyIsRefusedInWords: a caller that still writes a body which is too long gets the typed
 // refusal, not a broken connection.
-func TestLongBodyIsRefusedInWords(t *testing.T) {
+func TestLongBodyGetsTypedRefusal(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	body := strings.Repeat("x", 250<<10)
 	for range 200 {
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -127,8 +127,8 @@
 	}}, nil
 }
 
-// world is an entry in front of one gather.
-type world struct {
+// testEntry is an entry in front of one gather.
+type testEntry struct {
 	feed    *fakeFeed
 	gather  *fakeGather
 	manager *Manager
@@ -136,9 +136,9 @@
 	reg     *prometheus.Registry
 }
 
-func newWorld(t *testing.T) *world {
+func newTestEntry(t *testing.T) *testEntry {
 	t.Helper()
-	w := &world{feed: &fakeFeed{}, gather: &fakeGather{}, reg: prometheus.NewRegistry()}
+	w := &testEntry{feed: &fakeFeed{}, gather: &fakeGather{}, reg: prometheus.NewRegistry()}
 	mux := http.NewServeMux()
 	mux.Handle(burdockv1connect.NewGatherServiceHandler(w.gather))
 	address := listen(t, rpc.NewServer(mux))
@@ -180,7 +180,7 @@
 }
 
 // post sends one request as curl does.
-func (w *world) post(t *testing.T, path, body string, header map[string]string) *http.Response {
+func (w *testEntry) post(t *testing.T, path, body string, header map[string]string) *http.Response {
 	t.Helper()
 	is := is.New(t)
 	req, err := http.NewRequest(http.MethodPost, w.url+path, newReader(body))
--- a/internal/entry/life_test.go
+++ b/internal/entry/life_test.go
@@ -24,7 +24,7 @@
 }
 
 // raw sends bytes on a connection of its own and returns the connection.
-func (w *world) raw(t *testing.T, text string) *net.TCPConn {
+func (w *testEntry) raw(t *testing.T, text string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
@@ -37,22 +37,22 @@
 	return c.(*net.TCPConn)
 }
 
-const halfBody = "POST " + searchPath + " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n" +
+const incompleteBody = "POST " + searchPath + " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n" +
 	"Authorization: Bearer " + testToken + "\r\nContent-Length: 100\r\n\r\n{\"service\":"
 
-func TestHalfARequest(t *testing.T) {
+func TestIncompleteRequestBody(t *testing.T) {
 	tests := map[string]struct {
 		text    string
 		hangUp  bool
 		message string
 	}{
-		"body ends early":    {halfBody, true, "ended early"},
-		"body never goes on": {halfBody, false, "did not arrive"},
+		"body ends early":    {incompleteBody, true, "ended early"},
+		"body never goes on": {incompleteBody, false, "did not arrive"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t)
+			w := newTestEntry(t)
 			if !test.hangUp {
 				w.manager.settings.Entry.BodyTimeout = settings.Duration(10 * time.Millisecond)
 			}
@@ -72,24 +72,24 @@
 	}
 }
 
-func TestHalfAHeaderIsCounted(t *testing.T) {
+func TestIncompleteRequestHeaderIsCounted(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	c := w.raw(t, "POST "+searchPath+" HTTP/1.1\r\nHost")
 	is.NoErr(c.CloseWrite())
 	_, err := io.ReadAll(c) // the server closes
 	is.NoErr(err)
 	is.Equal(w.post(t, searchPath, goodSearch, nil).StatusCode, http.StatusOK)
 	is.NoErr(w.manager.server.Shutdown(t.Context())) // every connection has ended
-	is.Equal(int(testutil.ToFloat64(w.manager.metrics.halves)), 1)
+	is.Equal(int(testutil.ToFloat64(w.manager.metrics.incompleteRequests)), 1)
 }
 
-func TestCallerThatGoesAwayCancelsTheGather(t *testing.T) {
+func TestDisconnectingCallerCancelsGathererCall(t *testing.T) {
 	for name, client := range map[string]*http.Client{"HTTP/1.1": {Transport: &http.Transport{}}, "HTTP/2": rpc.NewClient("")} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			defer client.CloseIdleConnections()
-			w := newWorld(t)
+			w := newTestEntry(t)
 			began, cancelled := make(chan time.Duration, 1), make(chan struct{})
 			w.gather.search = func(ctx context.Context, _ *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error) {
 				deadline, _ := ctx.Deadline()
@@ -106,9 +106,9 @@
 			req.Header.Set("Authorization", "Bearer "+testToken)
 			req.Header.Set(HeaderTimeout, "9000")
 			go func() {
-				left := <-began
-				is.True(left <= 9*time.Second) // the deadline goes down the path
-				is.True(left > time.Second)    // and it is the caller's, not the kind's
+				remaining := <-began
+				is.True(remaining <= 9*time.Second) // the deadline goes down the path
+				is.True(remaining > time.Second)    // and it is the caller's, not the kind's
 				cancel()
 			}()
 			_, err = client.Do(req)
@@ -118,9 +118,9 @@
 	}
 }
 
-func TestNewWorkIsRefusedWhileNewsIsOld(t *testing.T) {
+func TestNewWorkIsRefusedWhileViewIsStale(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	w.feed.stale.Store(true)
 	res := w.post(t, searchPath, goodSearch, nil)
 	is.Equal(res.StatusCode, http.StatusServiceUnavailable)
@@ -134,26 +134,26 @@
 
 // An entry joins the balancer's rotation once every service has a ready gather, and doesn't leave it
 // again when a gather goes: it answers so.
-func TestReadyOnceEveryServiceWasReached(t *testing.T) {
+func TestReadyAfterEveryServiceHadAGatherer(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	full := w.feed.view.Load()
-	alone := *full
-	alone.VMs = nil
-	w.feed.view.Store(&alone)
+	noVMs := *full
+	noVMs.VMs = nil
+	w.feed.view.Store(&noVMs)
 	ready, _ := w.manager.Ready()
 	is.True(!ready)
 	w.feed.view.Store(full)
 	ready, _ = w.manager.Ready()
 	is.True(ready)
-	w.feed.view.Store(&alone)
+	w.feed.view.Store(&noVMs)
 	ready, _ = w.manager.Ready()
 	is.True(ready)
 }
 
 func TestPanicIsTypedAndCounted(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	router := w.manager.router
 	w.manager.router = nil
 	for _, test := range []struct{ path, body, kind string }{
@@ -169,26 +169,26 @@
 	is.Equal(w.post(t, searchPath, goodSearch, nil).StatusCode, http.StatusOK)
 }
 
-func TestPhasesOfTheShutdown(t *testing.T) {
+func TestShutdownPhases(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	is.Equal(w.post(t, searchPath, goodSearch, nil).Close, false)
-	w.manager.drainer.enter(phaseLeaving)
+	w.manager.drainer.setPhase(phaseLeaving)
 	ready, why := w.manager.Ready()
 	is.True(!ready)
 	is.Equal(why, "draining")
 	res := w.post(t, searchPath, goodSearch, nil)
 	is.Equal(res.StatusCode, http.StatusOK) // still served
 	is.True(res.Close)                      // but the next one has to connect anew
-	w.manager.drainer.enter(phaseRefusing)
+	w.manager.drainer.setPhase(phaseRefusing)
 	res = w.post(t, searchPath, goodSearch, nil)
 	is.True(res.Close)
 	is.Equal(readError(t, res).Details[0].Debug.Reason, "REASON_DRAINING")
 }
 
-func TestDrainLetsRunningWorkEnd(t *testing.T) {
+func TestDrainWaitsForRunningWork(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	began, release := make(chan struct{}), make(chan struct{})
 	w.gather.search = func(_ context.Context, r *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error) {
 		close(began)
@@ -204,7 +204,7 @@
 	<-began
 	drained := make(chan struct{})
 	go func() { defer close(drained); w.manager.Drain(t.Context()) }()
-	for !w.manager.drainer.refuses() {
+	for !w.manager.drainer.refusing() {
 		time.Sleep(time.Millisecond)
 	}
 	select {
--- a/internal/entry/manager.go
+++ b/internal/entry/manager.go
@@ -28,8 +28,8 @@
 // maxHeaderBytes bounds a request's header.
 const maxHeaderBytes = 16 << 10
 
-// compressFrom is the size from which answers are compressed for callers that ask for it.
-const compressFrom = 4 << 10
+// minCompressBytes is the size from which answers are compressed for callers that ask for it.
+const minCompressBytes = 4 << 10
 
 // Manager owns the callers' listener and its goroutines.
 type Manager struct {
@@ -41,13 +41,13 @@
 	router    *route.Router
 	metrics   *metrics
 	drainer   *drainer
-	conns     *conns
+	conns     *connTracker
 	server    *http.Server
 	now       func() time.Time
-	// reached is true once every service had a gather that takes work.
-	reached atomic.Bool
-	// shown is the highest bundle version of the searches answered through this entry.
-	shown highest
+	// allServicesReached is true once every service had a gather that takes work.
+	allServicesReached atomic.Bool
+	// answeredVersion is the highest bundle version of the searches answered through this entry.
+	answeredVersion maxObserved
 }
 
 // NewManager returns a manager that doesn't listen yet.
@@ -57,9 +57,9 @@
 		settings: s, log: log, source: source, reporter: reporter, admission: admission, router: router,
 		metrics: newMetrics(reg), drainer: &drainer{}, now: time.Now,
 	}
-	m.conns = newConns(m.metrics.halves)
+	m.conns = newConnTracker(m.metrics.incompleteRequests)
 	m.server = rpc.NewServer(m.Handler())
-	m.conns.hook(m.server)
+	m.conns.attach(m.server)
 	m.server.IdleTimeout = s.Entry.IdleTimeout.D()
 	m.server.MaxHeaderBytes = maxHeaderBytes
 	return m
@@ -69,8 +69,8 @@
 func (m *Manager) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(burdockv1connect.NewQueryServiceHandler(service{m},
-		connect.WithReadMaxBytes(m.settings.Entry.MaxBodyBytes), connect.WithCompressMinBytes(compressFrom)))
-	n := negroni.New(negroni.HandlerFunc(m.count), m.recovery(), negroni.HandlerFunc(m.door))
+		connect.WithReadMaxBytes(m.settings.Entry.MaxBodyBytes), connect.WithCompressMinBytes(minCompressBytes)))
+	n := negroni.New(negroni.HandlerFunc(m.trackRequest), m.recovery(), negroni.HandlerFunc(m.filterRequest))
 	n.UseHandler(mux)
 	return n
 }
@@ -92,7 +92,7 @@
 
 // FormatPanicError implements negroni.PanicFormatter. An order may have run before the panic.
 func (panicFormatter) FormatPanicError(w http.ResponseWriter, r *http.Request, _ *negroni.PanicInformation) {
-	e := outcome.Failed(pb.Reason_REASON_INTERNAL, doorStep, "the entry failed on this request")
+	e := outcome.Failed(pb.Reason_REASON_INTERNAL, checkRequestStep, "the entry failed on this request")
 	if r.URL.Path == burdockv1connect.QueryServiceOrderProcedure {
 		e.Kind = pb.OutcomeKind_OUTCOME_KIND_UNKNOWN
 	}
@@ -123,22 +123,22 @@
 		return false, "draining"
 	}
 	v := m.source.Current()
-	if e := m.takesWork(&call{view: v, start: m.now()}); e != nil {
+	if e := m.checkAccepting(&call{view: v, start: m.now()}); e != nil {
 		return false, outcome.ReasonName(e.Reason) + ": " + e.Message
 	}
-	if !m.hasReached(v) {
+	if !m.everReachedAllServices(v) {
 		return false, "no ready gather known yet for every service"
 	}
 	return true, ""
 }
 
-// hasReached tells whether every service has had a gather by now. One that is lost later doesn't
+// everReachedAllServices tells whether every service has had a gather by now. One that is lost later doesn't
 // take the entry out of the balancer's rotation: it answers so, and other services go on.
-func (m *Manager) hasReached(v *feed.View) bool {
-	if !m.reached.Load() && route.Reaches(v) {
-		m.reached.Store(true)
+func (m *Manager) everReachedAllServices(v *feed.View) bool {
+	if !m.allServicesReached.Load() && route.Reaches(v) {
+		m.allServicesReached.Store(true)
 	}
-	return m.reached.Load()
+	return m.allServicesReached.Load()
 }
 
 // state is what the dump shows of this duty.
@@ -155,7 +155,7 @@
 // Dump implements operator.Dumper.
 func (m *Manager) Dump() any {
 	v := m.source.Current()
-	s := state{Phase: phaseNames[m.drainer.at()], VMs: len(v.VMs), ViewAge: v.Age(m.now())}
+	s := state{Phase: phaseNames[m.drainer.current()], VMs: len(v.VMs), ViewAge: v.Age(m.now())}
 	s.Ready, s.Why = m.Ready()
 	if v.Bundle != nil {
 		s.BundleVersion = v.Bundle.Version
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -17,11 +17,11 @@
 
 // metrics of the callers' listener.
 type metrics struct {
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	inFlight prometheus.Gauge
-	panics   prometheus.Counter
-	halves   prometheus.Counter
+	requests           *prometheus.CounterVec
+	latency            *prometheus.HistogramVec
+	inFlight           prometheus.Gauge
+	panics             prometheus.Counter
+	incompleteRequests prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -43,21 +43,21 @@
 			Name: "burdock_entry_panics_total",
 			Help: "Requests ended by a panic of a handler.",
 		}),
-		halves: prometheus.NewCounter(prometheus.CounterOpts{
+		incompleteRequests: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "burdock_entry_half_requests_total",
 			Help: "Connections that sent something and ended without a whole request header.",
 		}),
 	}
-	reg.MustRegister(m.requests, m.latency, m.inFlight, m.panics, m.halves)
+	reg.MustRegister(m.requests, m.latency, m.inFlight, m.panics, m.incompleteRequests)
 	return m
 }
 
 // observe counts one request at its end.
-func (m *metrics) observe(c *call, took time.Duration) {
+func (m *metrics) observe(c *call, elapsed time.Duration) {
 	kind, reason := outcome.KindName(c.outcome), noReason
 	if c.reason != pb.Reason_REASON_UNSPECIFIED {
 		reason = outcome.ReasonName(c.reason)
 	}
 	m.requests.WithLabelValues(c.service, c.kind, kind, reason).Inc()
-	m.latency.WithLabelValues(c.service, c.kind, kind).Observe(took.Seconds())
+	m.latency.WithLabelValues(c.service, c.kind, kind).Observe(elapsed.Seconds())
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -12,7 +12,7 @@
 	"github.com/burdockplank/burdockplank/internal/route"
 )
 
-const checkStep = "entry.check"
+const checkFieldsStep = "entry.check"
 
 // service implements burdockv1connect.QueryServiceHandler.
 type service struct{ m *Manager }
@@ -21,12 +21,12 @@
 func (s service) Search(ctx context.Context, req *pb.SearchRequest) (*pb.SearchResponse, error) {
 	c := callOf(ctx)
 	var res *pb.SearchResponse
-	err := s.m.run(ctx, work{
-		service: req.GetService(), kind: req.GetKind(), mode: bundle.ModeSearch, lost: pb.OutcomeKind_OUTCOME_KIND_FAILED,
+	err := s.m.run(ctx, requestWork{
+		service: req.GetService(), kind: req.GetKind(), mode: bundle.ModeSearch, unknownEndKind: pb.OutcomeKind_OUTCOME_KIND_FAILED,
 		check: func(l bundle.Limits) *outcome.Error { return checkSearch(l, req) },
-		do: func(ctx context.Context, q route.Request) (_ any, err error) {
+		forward: func(ctx context.Context, q route.Request) (_ any, err error) {
 			res, err = s.m.router.Search(ctx, q, req)
-			s.m.shown.note(res.GetBundleVersion())
+			s.m.answeredVersion.observe(res.GetBundleVersion())
 			return res, err
 		},
 	})
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	res.RequestId = c.id
-	c.answered(res)
+	c.recordAnswer(res)
 	return res, nil
 }
 
@@ -42,9 +42,9 @@
 func (s service) IssueTicket(ctx context.Context, req *pb.IssueTicketRequest) (*pb.IssueTicketResponse, error) {
 	c := callOf(ctx)
 	var res *pb.IssueTicketResponse
-	err := s.m.run(ctx, work{
-		service: req.GetService(), kind: req.GetKind(), mode: bundle.ModeOrder, lost: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN,
-		do: func(ctx context.Context, q route.Request) (_ any, err error) {
+	err := s.m.run(ctx, requestWork{
+		service: req.GetService(), kind: req.GetKind(), mode: bundle.ModeOrder, unknownEndKind: pb.OutcomeKind_OUTCOME_KIND_NOT_RUN,
+		forward: func(ctx context.Context, q route.Request) (_ any, err error) {
 			res, err = s.m.router.IssueTicket(ctx, q, req)
 			return res, err
 		},
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	res.RequestId = c.id
-	c.end(pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE, pb.Reason_REASON_UNSPECIFIED)
+	c.recordEnd(pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE, pb.Reason_REASON_UNSPECIFIED)
 	return res, nil
 }
 
@@ -61,10 +61,10 @@
 func (s service) Order(ctx context.Context, req *pb.OrderRequest) (*pb.OrderResponse, error) {
 	c := callOf(ctx)
 	var res *pb.OrderResponse
-	err := s.m.run(ctx, work{
-		service: req.GetService(), kind: req.GetKind(), mode: bundle.ModeOrder, lost: pb.OutcomeKind_OUTCOME_KIND_UNKNOWN,
+	err := s.m.run(ctx, requestWork{
+		service: req.GetService(), kind: req.GetKind(), mode: bundle.ModeOrder, unknownEndKind: pb.OutcomeKind_OUTCOME_KIND_UNKNOWN,
 		check: func(l bundle.Limits) *outcome.Error { return checkOrder(l, req) },
-		do: func(ctx context.Context, q route.Request) (_ any, err error) {
+		forward: func(ctx context.Context, q route.Request) (_ any, err error) {
 			res, err = s.m.router.Order(ctx, q, req)
 			return res, err
 		},
@@ -73,46 +73,46 @@
 		return nil, err
 	}
 	res.RequestId = c.id
-	c.answered(res)
+	c.recordAnswer(res)
 	return res, nil
 }
 
-// answered notes the outcome of an answer as the request's end and names the request in it.
-func (c *call) answered(a interface{ GetOutcome() *pb.Outcome }) {
+// recordAnswer notes the outcome of an answer as the request's end and names the request in it.
+func (c *call) recordAnswer(a interface{ GetOutcome() *pb.Outcome }) {
 	o := a.GetOutcome()
 	if o != nil {
 		o.RequestId = c.id
 	}
-	c.end(o.GetKind(), o.GetReason())
+	c.recordEnd(o.GetKind(), o.GetReason())
 }
 
-// work is one request that has been read.
-type work struct {
+// requestWork is one request that has been read.
+type requestWork struct {
 	service, kind string
 	mode          bundle.Mode
-	// lost is the outcome of a request whose end the entry doesn't know.
-	lost pb.OutcomeKind
+	// unknownEndKind is the outcome of a request whose end the entry doesn't know.
+	unknownEndKind pb.OutcomeKind
 	// check refuses values out of the bundle's limits; nil where there is nothing to check.
 	check func(bundle.Limits) *outcome.Error
-	// do brings it to a gather and returns the answer.
-	do func(context.Context, route.Request) (any, error)
+	// forward brings it to a gather and returns the answer.
+	forward func(context.Context, route.Request) (any, error)
 }
 
 // run checks, admits and forwards one request. The error is a connect error with the outcome.
-func (m *Manager) run(ctx context.Context, w work) error {
-	m.drainer.working.Add(1)
-	defer m.drainer.working.Add(-1)
+func (m *Manager) run(ctx context.Context, w requestWork) error {
+	m.drainer.running.Add(1)
+	defer m.drainer.running.Add(-1)
 	c := callOf(ctx)
-	e := m.try(ctx, c, w)
+	e := m.admitAndForward(ctx, c, w)
 	if e == nil {
 		return nil
 	}
-	c.fail(e)
+	c.recordError(e)
 	return outcome.ToConnect(e, c.id)
 }
 
-func (m *Manager) try(ctx context.Context, c *call, w work) *outcome.Error {
-	svc, kind, e := find(c, w)
+func (m *Manager) admitAndForward(ctx context.Context, c *call, w requestWork) *outcome.Error {
+	svc, kind, e := findKind(c, w)
 	if e != nil {
 		return e
 	}
@@ -131,18 +131,18 @@
 	}
 	result := admission.ResultFailed
 	defer func() { slot.Done(result) }()
-	res, err := w.do(ctx, route.Request{Identity: c.identity(m.shown.Load()), Service: svc, View: c.view, AsOf: c.start})
+	res, err := w.forward(ctx, route.Request{Identity: c.identity(m.answeredVersion.Load()), Service: svc, View: c.view, AsOf: c.start})
 	if err != nil {
-		e = outcome.Classify(err, w.lost, route.Step)
-		result = failure(e)
+		e = outcome.Classify(err, w.unknownEndKind, route.Step)
+		result = failureResult(e)
 		return e
 	}
-	result = load(res)
+	result = answerResult(res)
 	return nil
 }
 
-// failure says what the end of a request tells about load.
-func failure(e *outcome.Error) admission.Result {
+// failureResult says what the end of a request tells about load.
+func failureResult(e *outcome.Error) admission.Result {
 	switch e.Reason {
 	case pb.Reason_REASON_OVERLOAD, pb.Reason_REASON_QUEUE_FULL:
 		return admission.ResultOverload
@@ -154,8 +154,8 @@
 	return admission.ResultFailed
 }
 
-// load says whether an answer lacks shards for load.
-func load(res any) admission.Result {
+// answerResult says whether an answer lacks shards for load.
+func answerResult(res any) admission.Result {
 	s, ok := res.(*pb.SearchResponse)
 	if !ok {
 		return admission.ResultOK
@@ -168,16 +168,16 @@
 	return admission.ResultOK
 }
 
-// find returns the service and kind of the request. A service that the caller may not use looks like
+// findKind returns the service and kind of the request. A service that the caller may not use looks like
 // one that doesn't exist.
-func find(c *call, w work) (*bundle.Service, *bundle.Kind, *outcome.Error) {
+func findKind(c *call, w requestWork) (*bundle.Service, *bundle.Kind, *outcome.Error) {
 	svc := c.view.Bundle.Services[w.service]
 	if svc == nil || !c.caller.MayUse(w.service) {
-		return nil, nil, outcome.NotRun(pb.Reason_REASON_UNKNOWN_SERVICE, checkStep, "no such service for this caller")
+		return nil, nil, outcome.NotRun(pb.Reason_REASON_UNKNOWN_SERVICE, checkFieldsStep, "no such service for this caller")
 	}
 	kind := svc.Kinds[w.kind]
 	if kind == nil || kind.Mode != w.mode {
-		return nil, nil, outcome.NotRun(pb.Reason_REASON_UNKNOWN_SERVICE, checkStep, "the service has no such %s kind", w.mode)
+		return nil, nil, outcome.NotRun(pb.Reason_REASON_UNKNOWN_SERVICE, checkFieldsStep, "the service has no such %s kind", w.mode)
 	}
 	return svc, kind, nil
 }
@@ -189,8 +189,8 @@
 		return context.WithCancel(ctx)
 	}
 	timeout := kind.Timeout
-	if longest := c.view.Bundle.Limits.MaxTimeout; longest > 0 {
-		timeout = min(timeout, longest)
+	if maxTimeout := c.view.Bundle.Limits.MaxTimeout; maxTimeout > 0 {
+		timeout = min(timeout, maxTimeout)
 	}
 	return context.WithDeadline(ctx, c.start.Add(timeout))
 }
@@ -198,7 +198,7 @@
 // checkSearch refuses a search out of the limits.
 func checkSearch(l bundle.Limits, req *pb.SearchRequest) *outcome.Error {
 	if req.GetTopK() < 0 || int(req.GetTopK()) > l.MaxTopK {
-		return invalid("top_k must be 0 to %d", l.MaxTopK)
+		return invalidRequest("top_k must be 0 to %d", l.MaxTopK)
 	}
 	return checkText(l, "query", req.GetQuery())
 }
@@ -214,31 +214,31 @@
 // checkText refuses text that is too long or no UTF-8.
 func checkText(l bundle.Limits, field, text string) *outcome.Error {
 	if len(text) > l.MaxQueryBytes {
-		return outcome.NotRun(pb.Reason_REASON_TOO_LARGE, checkStep, "%s is longer than %d bytes", field, l.MaxQueryBytes)
+		return outcome.NotRun(pb.Reason_REASON_TOO_LARGE, checkFieldsStep, "%s is longer than %d bytes", field, l.MaxQueryBytes)
 	}
 	if !utf8.ValidString(text) {
-		return invalid("%s is not UTF-8", field)
+		return invalidRequest("%s is not UTF-8", field)
 	}
 	return nil
 }
 
-func invalid(format string, args ...any) *outcome.Error {
-	return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, checkStep, format, args...)
+func invalidRequest(format string, args ...any) *outcome.Error {
+	return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, checkFieldsStep, format, args...)
 }
 
 // pausedRetryAfter is when a caller may come back to a process that waits for news.
 const pausedRetryAfter = time.Second
 
-// takesWork refuses every request while the process drains, has no bundle, or has not heard from its
+// checkAccepting refuses every request while the process drains, has no bundle, or has not heard from its
 // sync lately or since a pause: what it believes may be old.
-func (m *Manager) takesWork(c *call) *outcome.Error {
+func (m *Manager) checkAccepting(c *call) *outcome.Error {
 	switch {
-	case m.drainer.refuses():
-		return outcome.NotRun(pb.Reason_REASON_DRAINING, doorStep, "this entry is shutting down").After(drainRetryAfter)
+	case m.drainer.refusing():
+		return outcome.NotRun(pb.Reason_REASON_DRAINING, checkRequestStep, "this entry is shutting down").After(drainRetryAfter)
 	case c.view.Bundle == nil:
-		return outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, doorStep, "no bundle has been accepted yet").After(pausedRetryAfter)
+		return outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, checkRequestStep, "no bundle has been accepted yet").After(pausedRetryAfter)
 	case !m.source.Fresh():
-		return outcome.NotRun(pb.Reason_REASON_PAUSED, doorStep, "this entry waits for news of the fleet").After(pausedRetryAfter)
+		return outcome.NotRun(pb.Reason_REASON_PAUSED, checkRequestStep, "this entry waits for news of the fleet").After(pausedRetryAfter)
 	}
 	return nil
 }
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -98,8 +98,8 @@
 }
 
 // checkTime refuses a time out of range.
-func checkTime(c *settings.Checker, key string, d settings.Duration, least time.Duration) {
-	c.Require(d.D() >= least && d.D() <= maxTimeSetting, key, "want %s to %s, got %s", least, maxTimeSetting, d.D())
+func checkTime(c *settings.Checker, key string, d settings.Duration, minimum time.Duration) {
+	c.Require(d.D() >= minimum && d.D() <= maxTimeSetting, key, "want %s to %s, got %s", minimum, maxTimeSetting, d.D())
 }
 
 // Listen returns the IP:PORT that callers connect to.
--- a/internal/entry/settings_test.go
+++ b/internal/entry/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-func TestSettingsAreRefusedWithLineAndKey(t *testing.T) {
+func TestInvalidSettingsAreReportedWithLineAndKey(t *testing.T) {
 	const good = "[vm]\nid = \"vm-1\"\nzone = \"az-1\"\n"
 	for text, want := range map[string]string{
 		good:                                    "",
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -16,13 +16,13 @@
 // writeError answers with the typed outcome and notes it as the request's end.
 func writeError(w http.ResponseWriter, r *http.Request, e *outcome.Error) {
 	c := callOf(r.Context())
-	c.fail(e)
+	c.recordError(e)
 	// An error of writing means that the caller went away: nobody is left to tell.
 	_ = errorWriter.Write(w, r, outcome.ToConnect(e, c.id))
 }
 
-// maxForeignError bounds what is read of an error that this package did not write.
-const maxForeignError = 4 << 10
+// maxUntypedErrorBytes bounds what is read of an error that this package did not write.
+const maxUntypedErrorBytes = 4 << 10
 
 // typedWriter holds back errors that the library writes by itself, such as one for a body that can't
 // be decoded, so that they can be written as typed outcomes. Answers and the handler's own errors
@@ -34,8 +34,8 @@
 	body   []byte
 }
 
-// foreign tells whether the response is an error that no handler has typed.
-func (w *typedWriter) foreign() bool { return w.status >= http.StatusBadRequest && !w.call.ended }
+// untyped tells whether the response is an error that no handler has typed.
+func (w *typedWriter) untyped() bool { return w.status >= http.StatusBadRequest && !w.call.ended }
 
 // WriteHeader implements http.ResponseWriter.
 func (w *typedWriter) WriteHeader(status int) {
@@ -43,7 +43,7 @@
 		return
 	}
 	w.status = status
-	if !w.foreign() {
+	if !w.untyped() {
 		w.ResponseWriter.WriteHeader(status)
 	}
 }
@@ -53,10 +53,10 @@
 	if w.status == 0 {
 		w.WriteHeader(http.StatusOK)
 	}
-	if !w.foreign() {
+	if !w.untyped() {
 		return w.ResponseWriter.Write(b)
 	}
-	if room := maxForeignError - len(w.body); room > 0 {
+	if room := maxUntypedErrorBytes - len(w.body); room > 0 {
 		w.body = append(w.body, b[:min(room, len(b))]...)
 	}
 	return len(b), nil
@@ -67,31 +67,31 @@
 
 // finish writes the typed outcome in place of an error that was held back. The status stays.
 func (w *typedWriter) finish(r *http.Request) {
-	if !w.foreign() {
+	if !w.untyped() {
 		return
 	}
 	w.Header().Del("Content-Length")
 	w.Header().Del("Content-Encoding")
-	writeError(statusWriter{ResponseWriter: w.ResponseWriter, status: w.status}, r, w.foreignOutcome())
+	writeError(statusWriter{ResponseWriter: w.ResponseWriter, status: w.status}, r, w.libraryOutcome())
 }
 
-// foreignOutcome reads what the library said.
-func (w *typedWriter) foreignOutcome() *outcome.Error {
-	var wire struct {
+// libraryOutcome reads what the library said.
+func (w *typedWriter) libraryOutcome() *outcome.Error {
+	var libraryError struct {
 		Code    string `json:"code"`
 		Message string `json:"message"`
 	}
-	_ = json.Unmarshal(w.body, &wire)
+	_ = json.Unmarshal(w.body, &libraryError)
 	reason := pb.Reason_REASON_INVALID_REQUEST
 	switch {
-	case wire.Code == connect.CodeResourceExhausted.String() || w.status == http.StatusRequestEntityTooLarge:
+	case libraryError.Code == connect.CodeResourceExhausted.String() || w.status == http.StatusRequestEntityTooLarge:
 		reason = pb.Reason_REASON_TOO_LARGE
-	case w.status >= http.StatusInternalServerError && wire.Code != connect.CodeUnimplemented.String():
+	case w.status >= http.StatusInternalServerError && libraryError.Code != connect.CodeUnimplemented.String():
 		reason = pb.Reason_REASON_INTERNAL
-	case wire.Message == "":
-		wire.Message = statusMessages[w.status]
+	case libraryError.Message == "":
+		libraryError.Message = statusMessages[w.status]
 	}
-	return outcome.NotRun(reason, doorStep, "%s", wire.Message)
+	return outcome.NotRun(reason, checkRequestStep, "%s", libraryError.Message)
 }
 
 // statusMessages say what is wrong where the library writes a bare status.
