--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -17,19 +17,19 @@
 // HeaderRequestID is the response header that names the request.
 const HeaderRequestID = "Burdock-Request-Id"
 
-// unknownLabel is the metric label of a service or kind that the bundle doesn't declare.
+// unknownLabel is the metric label of a service or kind that the bundle does not declare.
 const unknownLabel = "unknown"
 
-// call is what the entry knows of one request. It belongs to the request's goroutine.
+// call is the entry's record of one request. It belongs to the request's goroutine.
 type call struct {
 	id    string
 	start time.Time
-	// view is the one that was current when the request came; it is used to the end.
+	// view is the one current when the request arrived; it is used until the request ends.
 	view   *feed.View
 	caller *bundle.Caller
 	// service and kind are metric labels: declared names, or unknownLabel.
 	service, kind string
-	// outcome and reason say how the request ended; ended tells whether they are set.
+	// outcome and reason say how the request ended; ended reports whether they are set.
 	outcome pb.OutcomeKind
 	reason  pb.Reason
 	ended   bool
@@ -37,7 +37,7 @@
 
 type callKey struct{}
 
-// callOf returns the record of the request, which the outermost middleware has put into ctx.
+// callOf returns the record of the request, which the outermost middleware stored in ctx.
 func callOf(ctx context.Context) *call {
 	c, _ := ctx.Value(callKey{}).(*call)
 	return c
@@ -47,7 +47,7 @@
 	return r.WithContext(context.WithValue(r.Context(), callKey{}, c))
 }
 
-// recordEnd notes how the request ended; the first end counts.
+// recordEnd records how the request ended. Only the first call has an effect.
 func (c *call) recordEnd(kind pb.OutcomeKind, reason pb.Reason) {
 	if c.ended {
 		return
@@ -55,17 +55,18 @@
 	c.outcome, c.reason, c.ended = kind, reason, true
 }
 
-// recordError notes the error as the request's end.
+// recordError records the error as the end of the request.
 func (c *call) recordError(e *outcome.Error) { c.recordEnd(e.Kind, e.Reason) }
 
-// identity is what the gather is told of the request. The bundle version that it must have at least is
-// this entry's, or the higher one of an answer that a caller already has from here: gathers get a
-// bundle one after another, and a caller must not see it come and go.
+// identity returns the request's identity for the gatherer. Its bundle version is the lowest one
+// that the gatherer must have: this entry's, or a higher one of an earlier answer through this
+// entry, given by answered. Gatherers receive a bundle one after another, and a caller must not see
+// answers return to an older bundle.
 func (c *call) identity(answered uint64) *pb.Identity {
 	return &pb.Identity{RequestId: c.id, Caller: c.caller.Name, BundleVersion: max(c.view.Bundle.Version, answered)}
 }
 
-// maxObserved is the highest number that was noted. It is safe for concurrent use.
+// maxObserved is the highest number observed so far. It is safe for concurrent use.
 type maxObserved struct{ atomic.Uint64 }
 
 func (h *maxObserved) observe(n uint64) {
@@ -73,10 +74,10 @@
 	}
 }
 
-// requestIDBytes is the length of the random part of a request's id.
+// requestIDBytes is the length of the random part of a request id.
 const requestIDBytes = 12
 
-// newRequestID draws the id of a request. A caller can't choose it, so that no two are the same.
+// newRequestID returns a random request id. A caller cannot choose it, so that ids are unique.
 func newRequestID(vm string) string {
 	var b [requestIDBytes]byte
 	_, _ = rand.Read(b[:])
--- a/internal/entry/conns.go
+++ b/internal/entry/conns.go
@@ -9,8 +9,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// connTracker counts connections that sent something and ended without a whole request: half a header, or
-// bytes that are no HTTP. The HTTP library answers or closes those before any handler runs.
+// connTracker counts connections that sent something and ended without a complete request: part of
+// a header, or bytes that are not HTTP. The HTTP library answers or closes those before any handler
+// runs.
 type connTracker struct {
 	incomplete prometheus.Counter
 
@@ -19,9 +20,9 @@
 	open map[net.Conn]*trackedConn
 }
 
-// trackedConn is one connection of a caller; its fields are guarded by conns.mu.
+// trackedConn is one connection of a caller; its fields are guarded by connTracker.mu.
 type trackedConn struct {
-	// started counts requests of which a byte came, handled those that reached a handler.
+	// started counts requests of which a byte arrived, handled those that reached a handler.
 	started, handled int
 }
 
@@ -31,7 +32,7 @@
 	return &connTracker{incomplete: incomplete, open: make(map[net.Conn]*trackedConn)}
 }
 
-// attach makes the server tell of its connections.
+// attach makes the server report its connections to c.
 func (c *connTracker) attach(s *http.Server) {
 	s.ConnState = c.stateChanged
 	s.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
@@ -47,7 +48,7 @@
 	return x
 }
 
-// stateChanged implements the hook of http.Server.
+// stateChanged implements http.Server.ConnState.
 func (c *connTracker) stateChanged(nc net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// markHandled notes that a request of the connection reached a handler.
+// markHandled records that a request of the connection reached a handler.
 func (c *connTracker) markHandled(ctx context.Context) {
 	x, _ := ctx.Value(connKey{}).(*trackedConn)
 	if x == nil {
--- a/internal/entry/door.go
+++ b/internal/entry/door.go
@@ -18,13 +18,14 @@
 
 const checkRequestStep = "entry.door"
 
-// HeaderTimeout is how a caller gives its deadline, in milliseconds.
+// HeaderTimeout is the request header with the caller's timeout in milliseconds.
 const HeaderTimeout = "Connect-Timeout-Ms"
 
-// maxTimeoutDigits bounds the header, so that no number overflows.
+// maxTimeoutDigits bounds the header's length, so that no number overflows.
 const maxTimeoutDigits = 10
 
-// trackRequest is the outermost middleware: it names the request and counts how it ended.
+// trackRequest is the outermost middleware. It assigns the request id and counts how the request
+// ended.
 func (m *Manager) trackRequest(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
 	c := &call{
 		id: newRequestID(m.settings.VM.ID), start: m.now(), view: m.source.Current(),
@@ -41,8 +42,8 @@
 	next(w, withCall(r, c))
 }
 
-// filterRequest refuses what can't be a request before the library reads it: a wrong content type, a stranger,
-// an absurd deadline, a body that is too large or ends early.
+// filterRequest refuses invalid requests before the library reads them: a wrong content type, an
+// unknown caller, an invalid deadline, a body that is too large or ends early.
 func (m *Manager) filterRequest(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
 	c := callOf(r.Context())
 	if e := m.checkRequest(w, r, c); e != nil {
@@ -56,14 +57,14 @@
 }
 
 const (
-	// maxDiscardBytes and discardTime bound what is read of a refused request's body.
+	// maxDiscardBytes and maxDiscardTime bound what is read of a refused request's body.
 	maxDiscardBytes = 1 << 20
 	maxDiscardTime  = time.Second
 )
 
-// discard sends the refusal and reads on for a while: a connection that is closed with bytes unread is
-// reset, and a caller that still writes would see that in place of the refusal. HTTP/2 has its own way
-// to end a stream early.
+// discard sends the refusal and keeps reading for a while. A connection that is closed with unread
+// bytes is reset, and a caller that is still writing would see the reset instead of the refusal.
+// HTTP/2 can end a stream early without this.
 func discard(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoMajor > 1 || r.ContentLength == 0 {
 		return
@@ -76,7 +77,7 @@
 	_ = rc.SetReadDeadline(time.Time{})
 }
 
-// checkRequest returns why the request is refused, or nil.
+// checkRequest returns the reason to refuse the request, or nil.
 func (m *Manager) checkRequest(w http.ResponseWriter, r *http.Request, c *call) *outcome.Error {
 	if e := m.checkAccepting(c); e != nil {
 		return e
@@ -98,7 +99,8 @@
 	return m.readBody(w, r, c.view.Bundle.Limits)
 }
 
-// checkContentType refuses other protocols than connect's unary one, whose errors would not be typed.
+// checkContentType refuses protocols other than Connect's unary one, whose errors would not be
+// typed.
 func checkContentType(h http.Header) *outcome.Error {
 	t, _, err := mime.ParseMediaType(h.Get("Content-Type"))
 	if err == nil && (t == "application/json" || t == "application/proto") {
@@ -107,7 +109,8 @@
 	return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, checkRequestStep, "%s", statusMessages[http.StatusUnsupportedMediaType])
 }
 
-// checkTimeout refuses a deadline that is no number, not above 0, or longer than the bundle allows.
+// checkTimeout refuses a timeout that is not a number, not above 0, or longer than the bundle
+// allows.
 func checkTimeout(h http.Header, maxTimeout time.Duration) *outcome.Error {
 	values := h.Values(HeaderTimeout)
 	if len(values) == 0 {
@@ -131,19 +134,21 @@
 }
 
 const (
-	// jsonExpansion is how many bytes JSON may need for one of a text, as \u escapes do.
+	// jsonExpansion is the maximum number of bytes that JSON needs for one byte of text, as a \u
+	// escape does.
 	jsonExpansion = 6
-	// bodyOverhead is room for the other fields.
+	// bodyOverhead is the room for the other fields in bytes.
 	bodyOverhead = 4 << 10
 )
 
-// bodyLimit returns the longest body that can hold a query within the bundle's limits.
+// bodyLimit returns the length in bytes of the longest body that can hold a query within the
+// bundle's limits.
 func bodyLimit(l bundle.Limits, hardCap int) int64 {
 	return int64(min(hardCap, jsonExpansion*l.MaxQueryBytes+bodyOverhead))
 }
 
-// readBody reads the whole body within limits of size and time, so that half a request holds nothing
-// up and never reaches a handler.
+// readBody reads the whole body within size and time limits, so that an incomplete request neither
+// blocks anything nor reaches a handler.
 func (m *Manager) readBody(w http.ResponseWriter, r *http.Request, l bundle.Limits) *outcome.Error {
 	limit := bodyLimit(l, m.settings.Entry.MaxBodyBytes)
 	if r.ContentLength > limit {
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// drainRetryAfter is when a caller may come back after a refusal for shutdown: almost at once, for
-	// the balancer brings it to another VM.
+	// drainRetryAfter is the retry-after time of a refusal for shutdown. It is short because the
+	// load balancer sends the caller to another VM.
 	drainRetryAfter = 100 * time.Millisecond
-	// minRefuseTime is how long new work gets an answer, a refusal, before connections are closed, so
-	// that a request under way on an idle connection isn't cut off.
+	// minRefuseTime is how long new work is refused with an answer before connections are closed,
+	// so that a request under way on an idle connection is not cut off.
 	minRefuseTime = 250 * time.Millisecond
-	// idlePollInterval is how often the end of running work is looked for.
+	// idlePollInterval is the interval of the check for the end of running work.
 	idlePollInterval = 10 * time.Millisecond
 )
 
-// phase is how far a shutdown has come.
+// phase is the stage of a shutdown.
 type phase int32
 
 const (
 	phaseServing phase = iota
-	// phaseLeaving is after the signal: not ready, but still serving what the balancer sends.
+	// phaseLeaving follows the signal: the process reports not ready, but still serves what the
+	// load balancer sends.
 	phaseLeaving
-	// phaseRefusing is after the balancer's lag: running work ends, new work is refused.
+	// phaseRefusing follows the load balancer's lag: running work finishes, new work is refused.
 	phaseRefusing
 )
 
@@ -46,8 +47,8 @@
 func (d *drainer) refusing() bool   { return d.current() == phaseRefusing }
 func (d *drainer) draining() bool   { return d.current() != phaseServing }
 
-// markConnection asks the caller to open its next connection anew, through the balancer. Over HTTP/2 the
-// header becomes a GOAWAY that lets running streams end.
+// markConnection asks the caller to open its next connection through the load balancer. Over HTTP/2
+// the header becomes a GOAWAY that lets open streams finish.
 func (d *drainer) markConnection(w http.ResponseWriter) {
 	if d.draining() {
 		w.Header().Set("Connection", "close")
@@ -60,15 +61,16 @@
 	}
 }
 
-// Drain ends the callers' listener in order: it serves on for the balancer's lag, then refuses new
-// work, lets running work end, and closes connections. It returns when that is done or ctx ends.
+// Drain shuts down the callers' listener in order: it keeps serving for the load balancer's lag,
+// then refuses new work, waits for running work, and closes connections. It returns when that is
+// done or ctx ends.
 func (m *Manager) Drain(ctx context.Context) {
 	m.drainer.setPhase(phaseLeaving)
 	m.reporter.SetState(pb.ProcessState_PROCESS_STATE_DRAINING)
-	m.log.Info("not ready, serving on for the balancer's lag", zap.Duration("lag", m.settings.Drain.BalancerLag.D()))
+	m.log.Info("reporting not ready while still serving for the load balancer's lag", zap.Duration("lag", m.settings.Drain.BalancerLag.D()))
 	wait(ctx, m.settings.Drain.BalancerLag.D())
 	m.drainer.setPhase(phaseRefusing)
-	m.log.Info("refusing new work, ending running work", zap.Int64("running", m.drainer.running.Load()))
+	m.log.Info("refusing new work and waiting for running work", zap.Int64("running", m.drainer.running.Load()))
 	wait(ctx, minRefuseTime)
 	m.drainer.waitIdle(ctx)
 	if err := m.server.Shutdown(ctx); err != nil {
@@ -77,7 +79,7 @@
 	m.reporter.SetState(pb.ProcessState_PROCESS_STATE_GONE)
 }
 
-// wait waits for d and tells whether ctx still runs.
+// wait waits for d and reports whether ctx is still active.
 func wait(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -27,7 +27,7 @@
 
 func newReader(s string) io.Reader { return strings.NewReader(s) }
 
-// wireError is an error as a plain HTTP caller sees it.
+// wireError is an error as a plain HTTP caller receives it.
 type wireError struct {
 	Code    string `json:"code"`
 	Details []struct {
@@ -42,7 +42,7 @@
 	} `json:"details"`
 }
 
-// readError returns the typed outcome of a response, which must hold one.
+// readError returns the typed outcome of a response, which must have one.
 func readError(t *testing.T, res *http.Response) wireError {
 	t.Helper()
 	body, err := io.ReadAll(res.Body)
@@ -121,13 +121,14 @@
 			is.Equal(e.Details[0].Debug.Reason, "REASON_"+test.reason)
 			is.Equal(e.Details[0].Debug.RequestID, res.Header.Get(HeaderRequestID))
 			is.Equal(testutil.CollectAndCount(w.manager.metrics.requests), 1) // one label set
-			is.Equal(int(w.gather.calls.Load()), 0)                           // nothing was sent on
-			is.Equal(w.post(t, searchPath, goodSearch, nil).StatusCode, 200)  // the process goes on
+			is.Equal(int(w.gather.calls.Load()), 0)                           // nothing was forwarded
+			is.Equal(w.post(t, searchPath, goodSearch, nil).StatusCode, 200)  // the process keeps serving
 		})
 	}
 }
 
-// TestOtherProtocolIsRefusedInThatProtocol uses gRPC over HTTP/2 without TLS, whose errors go in trailers.
+// TestOtherProtocolIsRefusedInThatProtocol uses gRPC over HTTP/2 without TLS, whose errors are sent
+// in trailers.
 func TestOtherProtocolIsRefusedInThatProtocol(t *testing.T) {
 	is := is.New(t)
 	w := newTestEntry(t)
@@ -149,8 +150,8 @@
 	is.NoErr(err) // connect over HTTP/2 without TLS
 }
 
-// Answers through one entry went back to an older bundle: the gather asked next didn't have the newer
-// one yet, and the entry neither.
+// Guards against answers through one entry that return to an older bundle. It happened when the
+// next gatherer and the entry itself did not have the newer bundle yet.
 func TestGathererIsAskedForBundleOfEarlierAnswers(t *testing.T) {
 	is := is.New(t)
 	w := newTestEntry(t)
@@ -169,8 +170,8 @@
 	}
 }
 
-// TestLongBodyIsRefusedInWords: a caller that still writes a body which is too long gets the typed
-// refusal, not a broken connection.
+// TestLongBodyGetsTypedRefusal: a caller that is still writing a body that is too long receives the
+// typed refusal, not a broken connection.
 func TestLongBodyGetsTypedRefusal(t *testing.T) {
 	is := is.New(t)
 	w := newTestEntry(t)
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -77,10 +77,10 @@
 type fakeFeed struct {
 	view  atomic.Pointer[feed.View]
 	stale atomic.Bool
-	// paused is when the process was paused last, in Unix nanoseconds.
+	// paused is when the process was last paused, in Unix nanoseconds.
 	paused atomic.Int64
 	mu     sync.Mutex
-	// states reported, guarded by mu.
+	// states reported; guarded by mu.
 	states []pb.ProcessState
 }
 
@@ -98,7 +98,7 @@
 	f.states = append(f.states, s)
 }
 
-// fakeGather answers what the test says, and counts.
+// fakeGather answers as the test specifies, and counts calls.
 type fakeGather struct {
 	calls  atomic.Int32
 	search func(context.Context, *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error)
@@ -127,7 +127,7 @@
 	}}, nil
 }
 
-// testEntry is an entry in front of one gather.
+// testEntry is an entry in front of one gatherer.
 type testEntry struct {
 	feed    *fakeFeed
 	gather  *fakeGather
@@ -166,7 +166,7 @@
 	return w
 }
 
-// listen serves on a free port of loopback until the test ends.
+// listen serves on a free loopback port until the test ends.
 func listen(t *testing.T, s *http.Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/entry/life_test.go
+++ b/internal/entry/life_test.go
@@ -23,7 +23,7 @@
 	goleak.VerifyTestMain(m, goleak.Cleanup(func(int) { http.DefaultClient.CloseIdleConnections() }))
 }
 
-// raw sends bytes on a connection of its own and returns the connection.
+// raw sends bytes on a new connection and returns the connection.
 func (w *testEntry) raw(t *testing.T, text string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
@@ -107,8 +107,8 @@
 			req.Header.Set(HeaderTimeout, "9000")
 			go func() {
 				remaining := <-began
-				is.True(remaining <= 9*time.Second) // the deadline goes down the path
-				is.True(remaining > time.Second)    // and it is the caller's, not the kind's
+				is.True(remaining <= 9*time.Second) // the deadline is passed to the gatherer
+				is.True(remaining > time.Second)    // it is the caller's, not the kind's
 				cancel()
 			}()
 			_, err = client.Do(req)
@@ -132,8 +132,8 @@
 	is.Equal(w.post(t, searchPath, goodSearch, nil).StatusCode, http.StatusOK)
 }
 
-// An entry joins the balancer's rotation once every service has a ready gather, and doesn't leave it
-// again when a gather goes: it answers so.
+// An entry joins the load balancer's rotation once every service has a ready gatherer. It stays in
+// rotation when a gatherer is lost later, and answers with the outcome.
 func TestReadyAfterEveryServiceHadAGatherer(t *testing.T) {
 	is := is.New(t)
 	w := newTestEntry(t)
@@ -179,7 +179,7 @@
 	is.Equal(why, "draining")
 	res := w.post(t, searchPath, goodSearch, nil)
 	is.Equal(res.StatusCode, http.StatusOK) // still served
-	is.True(res.Close)                      // but the next one has to connect anew
+	is.True(res.Close)                      // but the next request needs a new connection
 	w.manager.drainer.setPhase(phaseRefusing)
 	res = w.post(t, searchPath, goodSearch, nil)
 	is.True(res.Close)
@@ -217,5 +217,5 @@
 	<-drained
 	is.Equal(w.feed.states, []pb.ProcessState{pb.ProcessState_PROCESS_STATE_DRAINING, pb.ProcessState_PROCESS_STATE_GONE})
 	_, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
-	is.True(err != nil) // nobody listens any more
+	is.True(err != nil) // the listener is closed
 }
--- a/internal/entry/manager.go
+++ b/internal/entry/manager.go
@@ -28,7 +28,8 @@
 // maxHeaderBytes bounds a request's header.
 const maxHeaderBytes = 16 << 10
 
-// minCompressBytes is the size from which answers are compressed for callers that ask for it.
+// minCompressBytes is the size from which answers are compressed for callers that accept
+// compression.
 const minCompressBytes = 4 << 10
 
 // Manager owns the callers' listener and its goroutines.
@@ -44,13 +45,13 @@
 	conns     *connTracker
 	server    *http.Server
 	now       func() time.Time
-	// allServicesReached is true once every service had a gather that takes work.
+	// allServicesReached is true once every service had a gatherer that accepts work.
 	allServicesReached atomic.Bool
 	// answeredVersion is the highest bundle version of the searches answered through this entry.
 	answeredVersion maxObserved
 }
 
-// NewManager returns a manager that doesn't listen yet.
+// NewManager returns a manager that does not listen yet.
 func NewManager(s *Settings, log *zap.Logger, reg prometheus.Registerer, source feed.Source, reporter feed.Reporter,
 	admission *admission.Controller, router *route.Router) *Manager {
 	m := &Manager{
@@ -65,7 +66,7 @@
 	return m
 }
 
-// Handler returns what serves callers.
+// Handler returns the handler that serves callers.
 func (m *Manager) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(burdockv1connect.NewQueryServiceHandler(service{m},
@@ -82,7 +83,7 @@
 	r.Formatter = panicFormatter{}
 	r.PanicHandlerFunc = func(p *negroni.PanicInformation) {
 		m.metrics.panics.Inc()
-		m.log.Error("a handler panicked", zap.Any("panic", p.RecoveredPanic), zap.ByteString("stack", p.Stack))
+		m.log.Error("request handler panicked", zap.Any("panic", p.RecoveredPanic), zap.ByteString("stack", p.Stack))
 	}
 	return r
 }
@@ -99,7 +100,7 @@
 	writeError(w, r, e)
 }
 
-// Run serves callers until ctx ends. After Drain there is nothing left to end.
+// Run serves callers until ctx ends. After Drain the server is already closed.
 func (m *Manager) Run(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", m.settings.Listen())
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// Ready tells whether the process takes new work, and why not.
+// Ready reports whether the process accepts new work, and why not.
 func (m *Manager) Ready() (bool, string) {
 	if m.drainer.draining() {
 		return false, "draining"
@@ -132,8 +133,9 @@
 	return true, ""
 }
 
-// everReachedAllServices tells whether every service has had a gather by now. One that is lost later doesn't
-// take the entry out of the balancer's rotation: it answers so, and other services go on.
+// everReachedAllServices reports whether every service has had a gatherer at some time. A gatherer
+// that is lost later does not take the entry out of the load balancer's rotation: the entry answers
+// with the outcome, and other services continue.
 func (m *Manager) everReachedAllServices(v *feed.View) bool {
 	if !m.allServicesReached.Load() && route.Reaches(v) {
 		m.allServicesReached.Store(true)
@@ -141,14 +143,15 @@
 	return m.allServicesReached.Load()
 }
 
-// state is what the dump shows of this duty.
+// state is what the operator dump shows of this duty.
 type state struct {
 	Phase         string `json:"phase"`
 	Ready         bool   `json:"ready"`
 	Why           string `json:"why,omitempty"`
 	BundleVersion uint64 `json:"bundle_version"`
 	VMs           int    `json:"vms"`
-	// ViewAge is the time since the sync was last heard of, "never" before the first time.
+	// ViewAge is the time since the last message from the sync process, "never" before the first
+	// one.
 	ViewAge string `json:"view_age"`
 }
 
@@ -163,7 +166,7 @@
 	return s
 }
 
-// Info fills in what the entry knows of the process.
+// Info adds the entry's own fields to the process information.
 func (m *Manager) Info(i process.Info) process.Info {
 	v := m.source.Current()
 	i.VM, i.Zone, i.Role, i.Version = m.settings.VM.ID, m.settings.VM.Zone, "entry", version.Version
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,10 +9,10 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// latencyBuckets span a refusal at the door to the longest deadline, in seconds.
+// latencyBuckets range from a refusal by the filter to the longest deadline, in seconds.
 var latencyBuckets = []float64{.0005, .001, .002, .005, .01, .02, .035, .05, .075, .1, .15, .25, .5, 1, 2.5, 5, 10}
 
-// noReason is the label of a request that ended as it should.
+// noReason is the reason label of a request without an outcome reason.
 const noReason = "none"
 
 // metrics of the callers' listener.
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -77,7 +77,8 @@
 	return res, nil
 }
 
-// recordAnswer notes the outcome of an answer as the request's end and names the request in it.
+// recordAnswer records the outcome of an answer as the end of the request and sets the request id
+// in it.
 func (c *call) recordAnswer(a interface{ GetOutcome() *pb.Outcome }) {
 	o := a.GetOutcome()
 	if o != nil {
@@ -86,15 +87,15 @@
 	c.recordEnd(o.GetKind(), o.GetReason())
 }
 
-// requestWork is one request that has been read.
+// requestWork is one decoded request.
 type requestWork struct {
 	service, kind string
 	mode          bundle.Mode
-	// unknownEndKind is the outcome of a request whose end the entry doesn't know.
+	// unknownEndKind is the outcome of a request whose end the entry does not know.
 	unknownEndKind pb.OutcomeKind
-	// check refuses values out of the bundle's limits; nil where there is nothing to check.
+	// check refuses values outside the bundle's limits; nil if there is nothing to check.
 	check func(bundle.Limits) *outcome.Error
-	// forward brings it to a gather and returns the answer.
+	// forward sends the request to a gatherer and returns the answer.
 	forward func(context.Context, route.Request) (any, error)
 }
 
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// failureResult says what the end of a request tells about load.
+// failureResult returns what the end of a failed request shows about load.
 func failureResult(e *outcome.Error) admission.Result {
 	switch e.Reason {
 	case pb.Reason_REASON_OVERLOAD, pb.Reason_REASON_QUEUE_FULL:
@@ -154,7 +155,7 @@
 	return admission.ResultFailed
 }
 
-// answerResult says whether an answer lacks shards for load.
+// answerResult reports whether an answer lacks shards because of overload.
 func answerResult(res any) admission.Result {
 	s, ok := res.(*pb.SearchResponse)
 	if !ok {
@@ -168,8 +169,8 @@
 	return admission.ResultOK
 }
 
-// findKind returns the service and kind of the request. A service that the caller may not use looks like
-// one that doesn't exist.
+// findKind returns the service and kind of the request. A service that the caller may not use looks
+// like one that does not exist.
 func findKind(c *call, w requestWork) (*bundle.Service, *bundle.Kind, *outcome.Error) {
 	svc := c.view.Bundle.Services[w.service]
 	if svc == nil || !c.caller.MayUse(w.service) {
@@ -182,8 +183,8 @@
 	return svc, kind, nil
 }
 
-// withDeadline gives the request its kind's timeout where the caller gave none, counted from its
-// arrival.
+// withDeadline applies the kind's timeout, counted from the request's arrival, if the caller gave
+// none.
 func withDeadline(ctx context.Context, c *call, kind *bundle.Kind) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
@@ -195,7 +196,7 @@
 	return context.WithDeadline(ctx, c.start.Add(timeout))
 }
 
-// checkSearch refuses a search out of the limits.
+// checkSearch refuses a search outside the limits.
 func checkSearch(l bundle.Limits, req *pb.SearchRequest) *outcome.Error {
 	if req.GetTopK() < 0 || int(req.GetTopK()) > l.MaxTopK {
 		return invalidRequest("top_k must be 0 to %d", l.MaxTopK)
@@ -203,7 +204,7 @@
 	return checkText(l, "query", req.GetQuery())
 }
 
-// checkOrder refuses an order out of the limits.
+// checkOrder refuses an order outside the limits.
 func checkOrder(l bundle.Limits, req *pb.OrderRequest) *outcome.Error {
 	if e := checkText(l, "key", req.GetKey()); e != nil {
 		return e
@@ -211,7 +212,7 @@
 	return checkText(l, "payload", req.GetPayload())
 }
 
-// checkText refuses text that is too long or no UTF-8.
+// checkText refuses text that is too long or not UTF-8.
 func checkText(l bundle.Limits, field, text string) *outcome.Error {
 	if len(text) > l.MaxQueryBytes {
 		return outcome.NotRun(pb.Reason_REASON_TOO_LARGE, checkFieldsStep, "%s is longer than %d bytes", field, l.MaxQueryBytes)
@@ -226,11 +227,12 @@
 	return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, checkFieldsStep, format, args...)
 }
 
-// pausedRetryAfter is when a caller may come back to a process that waits for news.
+// pausedRetryAfter is the retry-after time of a process that waits for a bundle or for a fresh
+// view.
 const pausedRetryAfter = time.Second
 
-// checkAccepting refuses every request while the process drains, has no bundle, or has not heard from its
-// sync lately or since a pause: what it believes may be old.
+// checkAccepting refuses every request while the process drains, has no bundle, or has not heard
+// from its sync process recently or since a pause: its view may be outdated.
 func (m *Manager) checkAccepting(c *call) *outcome.Error {
 	switch {
 	case m.drainer.refusing():
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -1,5 +1,5 @@
-// Package entry is what callers speak to: it authenticates a caller, checks the request and its
-// deadline, admits it, brings it to a gather, and answers every request with a typed outcome.
+// Package entry serves the callers. It authenticates a caller, checks the request and its deadline,
+// admits it, forwards it to a gatherer, and answers every request with a typed outcome.
 package entry
 
 import (
@@ -17,38 +17,39 @@
 	Entry    ListenSettings    `toml:"entry"`
 	Sync     SyncSettings      `toml:"sync"`
 	Drain    DrainSettings     `toml:"drain"`
-	// Admission holds for each service.
+	// Admission applies to each service separately.
 	Admission admission.Settings `toml:"admission"`
 }
 
-// ListenSettings are those of the callers' listener.
+// ListenSettings are the settings of the callers' listener.
 type ListenSettings struct {
 	Port int `toml:"port"`
 	// MaxBodyBytes is the hard cap of a request's body, whatever the bundle's limits say.
 	MaxBodyBytes int `toml:"max_body_bytes"`
 	// BodyTimeout is how long a caller may take to send the body.
 	BodyTimeout settings.Duration `toml:"body_timeout"`
-	// IdleTimeout is how long a connection may stay without a request.
+	// IdleTimeout is how long a connection may stay open without a request.
 	IdleTimeout settings.Duration `toml:"idle_timeout"`
-	// ReplyMargin is kept back from the deadline given to a gather.
+	// ReplyMargin is subtracted from the caller's deadline to give the gatherer's deadline.
 	ReplyMargin settings.Duration `toml:"reply_margin"`
 }
 
-// SyncSettings say where the VM's burdock-sync is.
+// SyncSettings are the settings of the VM's burdock-sync.
 type SyncSettings struct {
-	// Address is IP:PORT; the VM's own address and the default port where it is empty.
+	// Address is IP:PORT; empty means the VM's own address and the default port.
 	Address string `toml:"address"`
 }
 
-// DrainSettings are those of the graceful shutdown.
+// DrainSettings are the settings of the graceful shutdown.
 type DrainSettings struct {
-	// BalancerLag is how long the platform's balancer may go on sending callers after /ready says no.
+	// BalancerLag is how long the platform's load balancer may keep sending callers after /ready
+	// reports not ready.
 	BalancerLag settings.Duration `toml:"balancer_lag"`
 	// Limit bounds the whole drain.
 	Limit settings.Duration `toml:"limit"`
 }
 
-// DefaultSettings returns the defaults of everything that has one.
+// DefaultSettings returns the defaults of all settings that have one.
 func DefaultSettings() *Settings {
 	return &Settings{
 		VM:       settings.VM{Bind: "127.0.0.1"},
@@ -69,7 +70,7 @@
 	}
 }
 
-// The bounds of what may be set.
+// The bounds of the settings.
 const (
 	minBodyBytes   = 1 << 10
 	maxBodyBytes   = 16 << 20
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -13,19 +13,19 @@
 // errorWriter writes connect errors as JSON.
 var errorWriter = connect.NewErrorWriter()
 
-// writeError answers with the typed outcome and notes it as the request's end.
+// writeError answers with the typed outcome and records it as the end of the request.
 func writeError(w http.ResponseWriter, r *http.Request, e *outcome.Error) {
 	c := callOf(r.Context())
 	c.recordError(e)
-	// An error of writing means that the caller went away: nobody is left to tell.
+	// A write error means that the caller disconnected, so that there is nobody to report it to.
 	_ = errorWriter.Write(w, r, outcome.ToConnect(e, c.id))
 }
 
 // maxUntypedErrorBytes bounds what is read of an error that this package did not write.
 const maxUntypedErrorBytes = 4 << 10
 
-// typedWriter holds back errors that the library writes by itself, such as one for a body that can't
-// be decoded, so that they can be written as typed outcomes. Answers and the handler's own errors
+// typedWriter holds back errors that the library writes itself, such as one for a body that cannot
+// be decoded, so that they can be written as typed outcomes. Answers and the handlers' own errors
 // pass through.
 type typedWriter struct {
 	http.ResponseWriter
@@ -34,7 +34,7 @@
 	body   []byte
 }
 
-// untyped tells whether the response is an error that no handler has typed.
+// untyped reports whether the response is an error without a typed outcome from a handler.
 func (w *typedWriter) untyped() bool { return w.status >= http.StatusBadRequest && !w.call.ended }
 
 // WriteHeader implements http.ResponseWriter.
@@ -75,7 +75,7 @@
 	writeError(statusWriter{ResponseWriter: w.ResponseWriter, status: w.status}, r, w.libraryOutcome())
 }
 
-// libraryOutcome reads what the library said.
+// libraryOutcome converts the library's error into a typed outcome.
 func (w *typedWriter) libraryOutcome() *outcome.Error {
 	var libraryError struct {
 		Code    string `json:"code"`
@@ -94,14 +94,14 @@
 	return outcome.NotRun(reason, checkRequestStep, "%s", libraryError.Message)
 }
 
-// statusMessages say what is wrong where the library writes a bare status.
+// statusMessages are the messages for a bare status written by the library.
 var statusMessages = map[int]string{
 	http.StatusNotFound:             "no such procedure",
 	http.StatusMethodNotAllowed:     "a procedure is called with POST",
 	http.StatusUnsupportedMediaType: "the content type must be application/json or application/proto",
 }
 
-// statusWriter answers with its own status in place of the one that follows from the code.
+// statusWriter answers with its own status instead of the one that follows from the code.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
