--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package rpc builds the HTTP clients and servers of the traffic between the system's own
-// processes: HTTP/2 without TLS, bound to the process's own address, with pings that find
-// connections gone silent.
+// Package rpc builds the HTTP clients and servers for the traffic between the system's own
+// processes. They use HTTP/2 without TLS, bind to the process's own address, and detect silent
+// connections with pings.
 package rpc
 
 import (
@@ -13,16 +13,16 @@
 const (
 	// pingAfter is how long a connection may be silent before it is pinged.
 	pingAfter = 300 * time.Millisecond
-	// pingTimeout is how long a ping may stay without an answer.
+	// pingTimeout is how long a ping may stay unanswered.
 	pingTimeout = 500 * time.Millisecond
 	// dialTimeout bounds opening a connection.
 	dialTimeout = time.Second
-	// readHeaderTimeout bounds half a request.
+	// readHeaderTimeout bounds reading a request's header.
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Dialer returns a dialer that binds outgoing connections to the given IP number, or leaves the
-// choice to the system where it is empty.
+// Dialer returns a dialer that binds outgoing connections to the given IP address. If it is empty
+// or not an IP address, the operating system chooses the address.
 func Dialer(bind string) *net.Dialer {
 	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	if ip := net.ParseIP(bind); ip != nil {
@@ -45,8 +45,8 @@
 	}}
 }
 
-// NewServer returns a server that takes HTTP/1.1 and HTTP/2 without TLS. The caller sets limits of
-// the handler; half a request ends after a few seconds.
+// NewServer returns a server that accepts HTTP/1.1 and HTTP/2 without TLS. The caller sets the
+// handler's limits; a request whose header is incomplete is ended after readHeaderTimeout.
 func NewServer(h http.Handler) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
--- a/internal/rpc/silent.go
+++ b/internal/rpc/silent.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TCPUserTimeout returns a net.Dialer's Control that ends a connection whose sent bytes stay unacknowledged for
-// the given time: an open connection can go silent without a reset.
+// TCPUserTimeout returns a net.Dialer's Control that sets the TCP user timeout. The kernel then
+// ends a connection whose sent bytes stay unacknowledged for the given time, because an open
+// connection can go silent without a reset.
 func TCPUserTimeout(after time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var failed error
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a goroutine until a time has passed or its work is over.
+// Package wait pauses a goroutine until a time has passed or its context ends.
 package wait
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d and tells whether ctx still runs.
+// For waits for d or until ctx ends. It reports whether ctx is still active. A d of 0 or less does
+// not wait.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
