--- a/cmd/burdock-entry/daemon.go
+++ b/cmd/burdock-entry/daemon.go
@@ -26,8 +26,8 @@
 const (
 	program = "burdock-entry"
 	// pauseTick and pauseBound say how late a tick may come before the process counts as paused.
-	pauseTick  = 50 * time.Millisecond
-	pauseBound = 500 * time.Millisecond
+	pauseTick      = 50 * time.Millisecond
+	pauseThreshold = 500 * time.Millisecond
 )
 
 // incarnation names this start of the process.
@@ -37,7 +37,7 @@
 
 func newLog(s *entry.Settings) (*zap.Logger, error) { return logging.New(program, s.VM.ID, s.Log) }
 
-func newPause() *process.PauseDetector { return process.NewPauseDetector(pauseTick, pauseBound) }
+func newPause() *process.PauseDetector { return process.NewPauseDetector(pauseTick, pauseThreshold) }
 
 func newClient(s *entry.Settings) *http.Client { return rpc.NewClient(s.VM.Bind) }
 
@@ -62,15 +62,15 @@
 
 // daemon is the process with all its duties.
 type daemon struct {
-	settings *entry.Settings
-	log      *zap.Logger
-	registry *prometheus.Registry
-	inc      incarnation
-	pause    *process.PauseDetector
-	bundles  *bundle.Store
-	feed     *feed.Manager
-	admit    *admission.Controller
-	entry    *entry.Manager
+	settings    *entry.Settings
+	log         *zap.Logger
+	registry    *prometheus.Registry
+	incarnation incarnation
+	pause       *process.PauseDetector
+	bundles     *bundle.Store
+	feed        *feed.Manager
+	admission   *admission.Controller
+	entry       *entry.Manager
 }
 
 // Run runs the duties until a signal comes.
@@ -98,12 +98,12 @@
 	dumps := operator.NewDumps()
 	dumps.Add(process.InfoDuty, operator.DumpFunc(func() any { return d.info() }))
 	dumps.Add("bundle", d.bundles)
-	dumps.Add("admission", d.admit)
+	dumps.Add("admission", d.admission)
 	dumps.Add("entry", d.entry)
 	return dumps
 }
 
 // info is what the process says of itself.
 func (d *daemon) info() process.Info {
-	return d.entry.Info(process.Info{Program: program, Incarnation: uint64(d.inc)})
+	return d.entry.Info(process.Info{Program: program, Incarnation: uint64(d.incarnation)})
 }
--- a/cmd/burdock-entry/wire_gen.go
+++ b/cmd/burdock-entry/wire_gen.go
@@ -30,15 +30,15 @@
 	router := newRouter(s, client, manager, registry)
 	entryManager := entry.NewManager(s, logger, registry, manager, manager, controller, router)
 	mainDaemon := &daemon{
-		settings: s,
-		log:      logger,
-		registry: registry,
-		inc:      mainIncarnation,
-		pause:    pauseDetector,
-		bundles:  store,
-		feed:     manager,
-		admit:    controller,
-		entry:    entryManager,
+		settings:    s,
+		log:         logger,
+		registry:    registry,
+		incarnation: mainIncarnation,
+		pause:       pauseDetector,
+		bundles:     store,
+		feed:        manager,
+		admission:   controller,
+		entry:       entryManager,
 	}
 	return mainDaemon, nil
 }
--- a/cmd/burdock-gather/daemon.go
+++ b/cmd/burdock-gather/daemon.go
@@ -28,8 +28,8 @@
 const (
 	program = "burdock-gather"
 	// pauseTick and pauseBound say how late a tick may come before the process counts as paused.
-	pauseTick  = 50 * time.Millisecond
-	pauseBound = 500 * time.Millisecond
+	pauseTick      = 50 * time.Millisecond
+	pauseThreshold = 500 * time.Millisecond
 )
 
 // incarnation names this start of the process.
@@ -39,7 +39,7 @@
 
 func newLog(s *gather.Settings) (*zap.Logger, error) { return logging.New(program, s.VM.ID, s.Log) }
 
-func newPause() *process.PauseDetector { return process.NewPauseDetector(pauseTick, pauseBound) }
+func newPause() *process.PauseDetector { return process.NewPauseDetector(pauseTick, pauseThreshold) }
 
 func newClient(s *gather.Settings) *http.Client { return rpc.NewClient(s.VM.Bind) }
 
@@ -60,7 +60,7 @@
 	return b
 }
 
-func newGuard(s *gather.Settings, reporter feed.Reporter, pool *upstream.Pool, reg prometheus.Registerer) *quarantine.Registry {
+func newQuarantine(s *gather.Settings, reporter feed.Reporter, pool *upstream.Pool, reg prometheus.Registerer) *quarantine.Registry {
 	return quarantine.New(s.Quarantine, reporter, pool.State, time.Now, quarantine.NewMetrics(reg))
 }
 
@@ -68,7 +68,7 @@
 	return search.New(s.Search, source, pool, b, guard, search.NewMetrics(reg))
 }
 
-func newKeeper(s *gather.Settings, inc incarnation, source feed.Source, pool *upstream.Pool, guard *quarantine.Registry, b *gather.Balancers, c *http.Client, p *process.PauseDetector, log *zap.Logger, reg prometheus.Registerer) *order.Manager {
+func newOrderManager(s *gather.Settings, inc incarnation, source feed.Source, pool *upstream.Pool, guard *quarantine.Registry, b *gather.Balancers, c *http.Client, p *process.PauseDetector, log *zap.Logger, reg prometheus.Registerer) *order.Manager {
 	return order.New(order.Options{
 		Config: order.DefaultConfig(), VM: s.VM.ID, Incarnation: uint64(inc), Source: source,
 		Replicas: b.For, Leaves: quarantine.NewOrderCaller(pool, guard), Peers: order.NewHTTPPeers(c), Pauses: p,
@@ -80,18 +80,18 @@
 
 // daemon is the process with all its duties.
 type daemon struct {
-	settings  *gather.Settings
-	log       *zap.Logger
-	registry  *prometheus.Registry
-	inc       incarnation
-	pause     *process.PauseDetector
-	bundles   *bundle.Store
-	feed      *feed.Manager
-	pool      *upstream.Pool
-	balancers *gather.Balancers
-	guard     *quarantine.Registry
-	keeper    *order.Manager
-	gather    *gather.Manager
+	settings    *gather.Settings
+	log         *zap.Logger
+	registry    *prometheus.Registry
+	incarnation incarnation
+	pause       *process.PauseDetector
+	bundles     *bundle.Store
+	feed        *feed.Manager
+	pool        *upstream.Pool
+	balancers   *gather.Balancers
+	quarantine  *quarantine.Registry
+	orders      *order.Manager
+	gather      *gather.Manager
 }
 
 // Run runs the duties until a signal comes. They end in reverse order, so that the connections to
@@ -106,8 +106,8 @@
 			{Name: "feed", Run: d.feed.Run},
 			{Name: "upstream", Run: d.pool.Run},
 			{Name: "balancers", Run: func(ctx context.Context) error { return d.balancers.Run(ctx, d.feed) }},
-			{Name: "quarantine", Run: func(ctx context.Context) error { return d.guard.Run(ctx, d.feed) }},
-			{Name: "order", Run: d.keeper.Run},
+			{Name: "quarantine", Run: func(ctx context.Context) error { return d.quarantine.Run(ctx, d.feed) }},
+			{Name: "order", Run: d.orders.Run},
 			{Name: "gather", Run: d.gather.Run},
 		},
 	}
@@ -127,12 +127,12 @@
 	dumps.Add("gather", d.gather)
 	dumps.Add("upstream", d.pool)
 	dumps.Add("balance", d.balancers)
-	dumps.Add("quarantine", d.guard)
-	dumps.Add("order", d.keeper)
+	dumps.Add("quarantine", d.quarantine)
+	dumps.Add("order", d.orders)
 	return dumps
 }
 
 // info is what the process says of itself.
 func (d *daemon) info() process.Info {
-	return d.gather.Info(process.Info{Program: program, Incarnation: uint64(d.inc)})
+	return d.gather.Info(process.Info{Program: program, Incarnation: uint64(d.incarnation)})
 }
--- a/cmd/burdock-gather/wire.go
+++ b/cmd/burdock-gather/wire.go
@@ -18,7 +18,7 @@
 // initialize builds the process from its settings; nothing runs yet.
 func initialize(s *gather.Settings) (*daemon, error) {
 	wire.Build(
-		newLog, newPause, newClient, newIncarnation, newFeed, newPool, newBalancers, newGuard, newEngine, newKeeper, newPeerHandler,
+		newLog, newPause, newClient, newIncarnation, newFeed, newPool, newBalancers, newQuarantine, newEngine, newOrderManager, newPeerHandler,
 		operator.NewRegistry, bundle.NewFollowerStore, gather.NewManager,
 		wire.Bind(new(prometheus.Registerer), new(*prometheus.Registry)),
 		wire.Bind(new(feed.Source), new(*feed.Manager)),
--- a/cmd/burdock-gather/wire_gen.go
+++ b/cmd/burdock-gather/wire_gen.go
@@ -28,24 +28,24 @@
 	manager := newFeed(s, mainIncarnation, client, pauseDetector, store, logger, registry)
 	pool := newPool(s, manager, manager, logger, registry)
 	balancers := newBalancers(s, pool, registry)
-	quarantineRegistry := newGuard(s, manager, pool, registry)
-	orderManager := newKeeper(s, mainIncarnation, manager, pool, quarantineRegistry, balancers, client, pauseDetector, logger, registry)
+	quarantineRegistry := newQuarantine(s, manager, pool, registry)
+	orderManager := newOrderManager(s, mainIncarnation, manager, pool, quarantineRegistry, balancers, client, pauseDetector, logger, registry)
 	engine := newEngine(s, manager, pool, balancers, quarantineRegistry, registry)
 	ticketPeerServiceHandler := newPeerHandler(orderManager)
 	gatherManager := gather.NewManager(s, logger, registry, manager, manager, engine, orderManager, ticketPeerServiceHandler, pool)
 	mainDaemon := &daemon{
-		settings:  s,
-		log:       logger,
-		registry:  registry,
-		inc:       mainIncarnation,
-		pause:     pauseDetector,
-		bundles:   store,
-		feed:      manager,
-		pool:      pool,
-		balancers: balancers,
-		guard:     quarantineRegistry,
-		keeper:    orderManager,
-		gather:    gatherManager,
+		settings:    s,
+		log:         logger,
+		registry:    registry,
+		incarnation: mainIncarnation,
+		pause:       pauseDetector,
+		bundles:     store,
+		feed:        manager,
+		pool:        pool,
+		balancers:   balancers,
+		quarantine:  quarantineRegistry,
+		orders:      orderManager,
+		gather:      gatherManager,
 	}
 	return mainDaemon, nil
 }
