--- a/cmd/burdock-entry/daemon.go
+++ b/cmd/burdock-entry/daemon.go
@@ -25,12 +25,13 @@
 
 const (
 	program = "burdock-entry"
-	// pauseTick and pauseBound say how late a tick may come before the process counts as paused.
+	// The process counts as paused if a tick arrives later than expected by more than
+	// pauseThreshold.
 	pauseTick      = 50 * time.Millisecond
 	pauseThreshold = 500 * time.Millisecond
 )
 
-// incarnation names this start of the process.
+// incarnation identifies this start of the process.
 type incarnation uint64
 
 func newIncarnation() incarnation { return incarnation(process.NewIncarnation()) }
@@ -73,7 +74,7 @@
 	entry       *entry.Manager
 }
 
-// Run runs the duties until a signal comes.
+// Run runs the duties until a signal arrives.
 func (d *daemon) Run(ctx context.Context) error {
 	defer func() { _ = d.log.Sync() }()
 	r := process.Runner{
@@ -88,12 +89,12 @@
 	return r.Run(ctx)
 }
 
-// serveOperators serves probes, metrics and dump until ctx ends.
+// serveOperators serves probes, metrics and the operator dump until ctx ends.
 func (d *daemon) serveOperators(ctx context.Context) error {
 	return operator.Serve(ctx, d.settings.Operator.Listen, operator.Handler(d.registry, d.dumps(), d.entry.Ready))
 }
 
-// dumps collects the state of all duties.
+// dumps returns the dumps of all duties.
 func (d *daemon) dumps() *operator.Dumps {
 	dumps := operator.NewDumps()
 	dumps.Add(process.InfoDuty, operator.DumpFunc(func() any { return d.info() }))
@@ -103,7 +104,7 @@
 	return dumps
 }
 
-// info is what the process says of itself.
+// info returns the process information.
 func (d *daemon) info() process.Info {
 	return d.entry.Info(process.Info{Program: program, Incarnation: uint64(d.incarnation)})
 }
--- a/cmd/burdock-gather/daemon.go
+++ b/cmd/burdock-gather/daemon.go
@@ -27,12 +27,13 @@
 
 const (
 	program = "burdock-gather"
-	// pauseTick and pauseBound say how late a tick may come before the process counts as paused.
+	// The process counts as paused if a tick arrives later than expected by more than
+	// pauseThreshold.
 	pauseTick      = 50 * time.Millisecond
 	pauseThreshold = 500 * time.Millisecond
 )
 
-// incarnation names this start of the process.
+// incarnation identifies this start of the process.
 type incarnation uint64
 
 func newIncarnation() incarnation { return incarnation(process.NewIncarnation()) }
@@ -94,8 +95,8 @@
 	gather      *gather.Manager
 }
 
-// Run runs the duties until a signal comes. They end in reverse order, so that the connections to
-// the leaves are closed after the last request has ended.
+// Run runs the duties until a signal arrives. They end in reverse order, so that the connections to
+// the leaves close after the last request has ended.
 func (d *daemon) Run(ctx context.Context) error {
 	defer func() { _ = d.log.Sync() }()
 	r := process.Runner{
@@ -114,12 +115,12 @@
 	return r.Run(ctx)
 }
 
-// serveOperators serves probes, metrics and dump until ctx ends.
+// serveOperators serves probes, metrics and the operator dump until ctx ends.
 func (d *daemon) serveOperators(ctx context.Context) error {
 	return operator.Serve(ctx, d.settings.Operator.Listen, operator.Handler(d.registry, d.dumps(), d.gather.Ready))
 }
 
-// dumps collects the state of all duties.
+// dumps returns the dumps of all duties.
 func (d *daemon) dumps() *operator.Dumps {
 	dumps := operator.NewDumps()
 	dumps.Add(process.InfoDuty, operator.DumpFunc(func() any { return d.info() }))
@@ -132,7 +133,7 @@
 	return dumps
 }
 
-// info is what the process says of itself.
+// info returns the process information.
 func (d *daemon) info() process.Info {
 	return d.gather.Info(process.Info{Program: program, Incarnation: uint64(d.incarnation)})
 }
--- a/cmd/burdock-gather/main.go
+++ b/cmd/burdock-gather/main.go
@@ -1,6 +1,7 @@
-// Command burdock-gather asks the upstreams and keeps the tickets of orders.
-// Exit codes: 0 the process ended in order or the settings are good, 1 it failed while running, 2
-// settings or command line are refused.
+// Command burdock-gather calls the leaves and keeps the tickets of orders.
+//
+// Exit codes: 0 if the process ended in order or the settings are valid, 1 if it failed while
+// running, 2 if the settings or the command line are invalid.
 package main
 
 import (
