--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -14,7 +14,7 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// HeaderRequestID is the response header that names the request.
+// HeaderRequestID is the response header with the request id.
 const HeaderRequestID = "Burdock-Request-Id"
 
 // unknownLabel is the metric label of a service or kind that the bundle does not declare.
--- a/internal/entry/door.go
+++ b/internal/entry/door.go
@@ -155,7 +155,7 @@
 		return tooLarge(limit)
 	}
 	rc := http.NewResponseController(w)
-	// A connection that takes no deadline is bounded by the caller's own.
+	// On a connection without support for read deadlines, the caller's own deadline bounds the read.
 	_ = rc.SetReadDeadline(time.Now().Add(m.settings.Entry.BodyTimeout.D()))
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	switch {
--- a/internal/gather/settings.go
+++ b/internal/gather/settings.go
@@ -26,7 +26,7 @@
 
 // Listen is the table [gather].
 type Listen struct {
-	// Port on vm.bind for entries and other gathers.
+	// Port on vm.bind for entries and other gatherers.
 	Port int `toml:"port"`
 	// BundleWait is how long a request waits for a bundle that its entry has and this gatherer does
 	// not have yet.
--- a/internal/upstream/once_test.go
+++ b/internal/upstream/once_test.go
@@ -113,7 +113,7 @@
 	for _, tt := range []struct {
 		name    string
 		onOrder func(fr *http2.Framer, c net.Conn, stream uint32)
-		// refusal is set where the protocol guarantees that the order was not processed.
+		// refusal is set if the protocol guarantees that the order was not processed.
 		refusal pb.LeafRefusalReason
 		lost    bool
 	}{
--- a/internal/upstream/view.go
+++ b/internal/upstream/view.go
@@ -11,7 +11,7 @@
 	"github.com/burdockplank/burdockplank/internal/subset"
 )
 
-// plannedLeaf is one leaf that this VM should be connected to.
+// plannedLeaf is one leaf that this VM must be connected to.
 type plannedLeaf struct {
 	service     string
 	leaf        *bundle.Leaf
