--- a/cmd/burdock-entry/daemon.go
+++ b/cmd/burdock-entry/daemon.go
@@ -25,19 +25,20 @@
 
 const (
 	program = "burdock-entry"
-	// pauseTick and pauseBound say how late a tick may come before the process counts as paused.
-	pauseTick  = 50 * time.Millisecond
-	pauseBound = 500 * time.Millisecond
+	// The process counts as paused if a tick arrives later than expected by more than
+	// pauseThreshold.
+	pauseTick      = 50 * time.Millisecond
+	pauseThreshold = 500 * time.Millisecond
 )
 
-// incarnation names this start of the process.
+// incarnation identifies this start of the process.
 type incarnation uint64
 
 func newIncarnation() incarnation { return incarnation(process.NewIncarnation()) }
 
 func newLog(s *entry.Settings) (*zap.Logger, error) { return logging.New(program, s.VM.ID, s.Log) }
 
-func newPause() *process.PauseDetector { return process.NewPauseDetector(pauseTick, pauseBound) }
+func newPause() *process.PauseDetector { return process.NewPauseDetector(pauseTick, pauseThreshold) }
 
 func newClient(s *entry.Settings) *http.Client { return rpc.NewClient(s.VM.Bind) }
 
@@ -62,18 +63,18 @@
 
 // daemon is the process with all its duties.
 type daemon struct {
-	settings *entry.Settings
-	log      *zap.Logger
-	registry *prometheus.Registry
-	inc      incarnation
-	pause    *process.PauseDetector
-	bundles  *bundle.Store
-	feed     *feed.Manager
-	admit    *admission.Controller
-	entry    *entry.Manager
+	settings    *entry.Settings
+	log         *zap.Logger
+	registry    *prometheus.Registry
+	incarnation incarnation
+	pause       *process.PauseDetector
+	bundles     *bundle.Store
+	feed        *feed.Manager
+	admission   *admission.Controller
+	entry       *entry.Manager
 }
 
-// Run runs the duties until a signal comes.
+// Run runs the duties until a signal arrives.
 func (d *daemon) Run(ctx context.Context) error {
 	defer func() { _ = d.log.Sync() }()
 	r := process.Runner{
@@ -88,22 +89,22 @@
 	return r.Run(ctx)
 }
 
-// serveOperators serves probes, metrics and dump until ctx ends.
+// serveOperators serves probes, metrics and the operator dump until ctx ends.
 func (d *daemon) serveOperators(ctx context.Context) error {
 	return operator.Serve(ctx, d.settings.Operator.Listen, operator.Handler(d.registry, d.dumps(), d.entry.Ready))
 }
 
-// dumps collects the state of all duties.
+// dumps returns the dumps of all duties.
 func (d *daemon) dumps() *operator.Dumps {
 	dumps := operator.NewDumps()
 	dumps.Add(process.InfoDuty, operator.DumpFunc(func() any { return d.info() }))
 	dumps.Add("bundle", d.bundles)
-	dumps.Add("admission", d.admit)
+	dumps.Add("admission", d.admission)
 	dumps.Add("entry", d.entry)
 	return dumps
 }
 
-// info is what the process says of itself.
+// info returns the process information.
 func (d *daemon) info() process.Info {
-	return d.entry.Info(process.Info{Program: program, Incarnation: uint64(d.inc)})
+	return d.entry.Info(process.Info{Program: program, Incarnation: uint64(d.incarnation)})
 }
--- a/cmd/burdock-gather/wire.go
+++ b/cmd/burdock-gather/wire.go
@@ -18,13 +18,13 @@
 // initialize builds the process from its settings; nothing runs yet.
 func initialize(s *gather.Settings) (*daemon, error) {
 	wire.Build(
-		newLog, newPause, newClient, newIncarnation, newFeed, newPool, newBalancers, newGuard, newEngine, newKeeper, newPeerHandler,
+		newLog, newPause, newClient, newIncarnation, newFeed, newPool, newBalancers, newQuarantine, newEngine, newOrderManager, newPeerHandler,
 		operator.NewRegistry, bundle.NewFollowerStore, gather.NewManager,
 		wire.Bind(new(prometheus.Registerer), new(*prometheus.Registry)),
 		wire.Bind(new(feed.Source), new(*feed.Manager)),
 		wire.Bind(new(feed.Reporter), new(*feed.Manager)),
 		wire.Bind(new(gather.Searcher), new(*search.Engine)),
-		wire.Bind(new(gather.Keeper), new(*order.Manager)),
+		wire.Bind(new(gather.OrderManager), new(*order.Manager)),
 		wire.Bind(new(gather.Upstreams), new(*upstream.Pool)),
 		wire.Struct(new(daemon), "*"),
 	)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -27,7 +27,7 @@
 
 func newReader(s string) io.Reader { return strings.NewReader(s) }
 
-// wireError is an error as a plain HTTP caller sees it.
+// wireError is an error as a plain HTTP caller receives it.
 type wireError struct {
 	Code    string `json:"code"`
 	Details []struct {
@@ -42,7 +42,7 @@
 	} `json:"details"`
 }
 
-// readError returns the typed outcome of a response, which must hold one.
+// readError returns the typed outcome of a response, which must have one.
 func readError(t *testing.T, res *http.Response) wireError {
 	t.Helper()
 	body, err := io.ReadAll(res.Body)
@@ -58,7 +58,7 @@
 
 func TestAnswersOverPlainHTTP(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	for path, body := range map[string]string{
 		searchPath: goodSearch,
 		ticketPath: `{"service":"teachers","kind":"booking"}`,
@@ -75,7 +75,7 @@
 	is.Equal(int(w.gather.calls.Load()), 3)
 }
 
-func TestBadInputIsTypedAndCountedAndGoesNowhere(t *testing.T) {
+func TestInvalidInputIsTypedCountedAndNotForwarded(t *testing.T) {
 	long := strings.Repeat("x", 65)
 	tests := map[string]struct {
 		path, body string
@@ -113,7 +113,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t)
+			w := newTestEntry(t)
 			res := w.post(t, test.path, test.body, test.header)
 			e := readError(t, res)
 			is.Equal(res.StatusCode, test.status)
@@ -121,16 +121,17 @@
 			is.Equal(e.Details[0].Debug.Reason, "REASON_"+test.reason)
 			is.Equal(e.Details[0].Debug.RequestID, res.Header.Get(HeaderRequestID))
 			is.Equal(testutil.CollectAndCount(w.manager.metrics.requests), 1) // one label set
-			is.Equal(int(w.gather.calls.Load()), 0)                           // nothing was sent on
-			is.Equal(w.post(t, searchPath, goodSearch, nil).StatusCode, 200)  // the process goes on
+			is.Equal(int(w.gather.calls.Load()), 0)                           // nothing was forwarded
+			is.Equal(w.post(t, searchPath, goodSearch, nil).StatusCode, 200)  // the process keeps serving
 		})
 	}
 }
 
-// TestOtherProtocolIsRefusedInItsOwnForm uses gRPC over HTTP/2 without TLS, whose errors go in trailers.
-func TestOtherProtocolIsRefusedInItsOwnForm(t *testing.T) {
+// TestOtherProtocolIsRefusedInThatProtocol uses gRPC over HTTP/2 without TLS, whose errors are sent
+// in trailers.
+func TestOtherProtocolIsRefusedInThatProtocol(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	client := rpc.NewClient("")
 	t.Cleanup(client.CloseIdleConnections)
 	auth := connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
@@ -149,11 +150,11 @@
 	is.NoErr(err) // connect over HTTP/2 without TLS
 }
 
-// Answers through one entry went back to an older bundle: the gather asked next didn't have the newer
-// one yet, and the entry neither.
-func TestGatherIsAskedForTheBundleOfEarlierAnswers(t *testing.T) {
+// Guards against answers through one entry that return to an older bundle. It happened when the
+// next gatherer and the entry itself did not have the newer bundle yet.
+func TestGathererIsAskedForBundleOfEarlierAnswers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	var asked, answer uint64
 	w.gather.search = func(_ context.Context, r *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error) {
 		asked = r.GetIdentity().GetBundleVersion()
@@ -169,11 +170,11 @@
 	}
 }
 
-// TestLongBodyIsRefusedInWords: a caller that still writes a body which is too long gets the typed
-// refusal, not a broken connection.
-func TestLongBodyIsRefusedInWords(t *testing.T) {
+// TestLongBodyGetsTypedRefusal: a caller that is still writing a body that is too long receives the
+// typed refusal, not a broken connection.
+func TestLongBodyGetsTypedRefusal(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestEntry(t)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	body := strings.Repeat("x", 250<<10)
 	for range 200 {
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -77,10 +77,10 @@
 type fakeFeed struct {
 	view  atomic.Pointer[feed.View]
 	stale atomic.Bool
-	// paused is when the process was paused last, in Unix nanoseconds.
+	// paused is when the process was last paused, in Unix nanoseconds.
 	paused atomic.Int64
 	mu     sync.Mutex
-	// states reported, guarded by mu.
+	// states reported; guarded by mu.
 	states []pb.ProcessState
 }
 
@@ -98,7 +98,7 @@
 	f.states = append(f.states, s)
 }
 
-// fakeGather answers what the test says, and counts.
+// fakeGather answers as the test specifies, and counts calls.
 type fakeGather struct {
 	calls  atomic.Int32
 	search func(context.Context, *pb.GatherSearchRequest) (*pb.GatherSearchResponse, error)
@@ -127,8 +127,8 @@
 	}}, nil
 }
 
-// world is an entry in front of one gather.
-type world struct {
+// testEntry is an entry in front of one gatherer.
+type testEntry struct {
 	feed    *fakeFeed
 	gather  *fakeGather
 	manager *Manager
@@ -136,9 +136,9 @@
 	reg     *prometheus.Registry
 }
 
-func newWorld(t *testing.T) *world {
+func newTestEntry(t *testing.T) *testEntry {
 	t.Helper()
-	w := &world{feed: &fakeFeed{}, gather: &fakeGather{}, reg: prometheus.NewRegistry()}
+	w := &testEntry{feed: &fakeFeed{}, gather: &fakeGather{}, reg: prometheus.NewRegistry()}
 	mux := http.NewServeMux()
 	mux.Handle(burdockv1connect.NewGatherServiceHandler(w.gather))
 	address := listen(t, rpc.NewServer(mux))
@@ -166,7 +166,7 @@
 	return w
 }
 
-// listen serves on a free port of loopback until the test ends.
+// listen serves on a free loopback port until the test ends.
 func listen(t *testing.T, s *http.Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -180,7 +180,7 @@
 }
 
 // post sends one request as curl does.
-func (w *world) post(t *testing.T, path, body string, header map[string]string) *http.Response {
+func (w *testEntry) post(t *testing.T, path, body string, header map[string]string) *http.Response {
 	t.Helper()
 	is := is.New(t)
 	req, err := http.NewRequest(http.MethodPost, w.url+path, newReader(body))
--- a/internal/entry/manager.go
+++ b/internal/entry/manager.go
@@ -28,8 +28,9 @@
 // maxHeaderBytes bounds a request's header.
 const maxHeaderBytes = 16 << 10
 
-// compressFrom is the size from which answers are compressed for callers that ask for it.
-const compressFrom = 4 << 10
+// minCompressBytes is the size from which answers are compressed for callers that accept
+// compression.
+const minCompressBytes = 4 << 10
 
 // Manager owns the callers' listener and its goroutines.
 type Manager struct {
@@ -41,36 +42,36 @@
 	router    *route.Router
 	metrics   *metrics
 	drainer   *drainer
-	conns     *conns
+	conns     *connTracker
 	server    *http.Server
 	now       func() time.Time
-	// reached is true once every service had a gather that takes work.
-	reached atomic.Bool
-	// shown is the highest bundle version of the searches answered through this entry.
-	shown highest
+	// allServicesReached is true once every service had a gatherer that accepts work.
+	allServicesReached atomic.Bool
+	// answeredVersion is the highest bundle version of the searches answered through this entry.
+	answeredVersion maxObserved
 }
 
-// NewManager returns a manager that doesn't listen yet.
+// NewManager returns a manager that does not listen yet.
 func NewManager(s *Settings, log *zap.Logger, reg prometheus.Registerer, source feed.Source, reporter feed.Reporter,
 	admission *admission.Controller, router *route.Router) *Manager {
 	m := &Manager{
 		settings: s, log: log, source: source, reporter: reporter, admission: admission, router: router,
 		metrics: newMetrics(reg), drainer: &drainer{}, now: time.Now,
 	}
-	m.conns = newConns(m.metrics.halves)
+	m.conns = newConnTracker(m.metrics.incompleteRequests)
 	m.server = rpc.NewServer(m.Handler())
-	m.conns.hook(m.server)
+	m.conns.attach(m.server)
 	m.server.IdleTimeout = s.Entry.IdleTimeout.D()
 	m.server.MaxHeaderBytes = maxHeaderBytes
 	return m
 }
 
-// Handler returns what serves callers.
+// Handler returns the handler that serves callers.
 func (m *Manager) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(burdockv1connect.NewQueryServiceHandler(service{m},
-		connect.WithReadMaxBytes(m.settings.Entry.MaxBodyBytes), connect.WithCompressMinBytes(compressFrom)))
-	n := negroni.New(negroni.HandlerFunc(m.count), m.recovery(), negroni.HandlerFunc(m.door))
+		connect.WithReadMaxBytes(m.settings.Entry.MaxBodyBytes), connect.WithCompressMinBytes(minCompressBytes)))
+	n := negroni.New(negroni.HandlerFunc(m.trackRequest), m.recovery(), negroni.HandlerFunc(m.filterRequest))
 	n.UseHandler(mux)
 	return n
 }
@@ -82,7 +83,7 @@
 	r.Formatter = panicFormatter{}
 	r.PanicHandlerFunc = func(p *negroni.PanicInformation) {
 		m.metrics.panics.Inc()
-		m.log.Error("a handler panicked", zap.Any("panic", p.RecoveredPanic), zap.ByteString("stack", p.Stack))
+		m.log.Error("request handler panicked", zap.Any("panic", p.RecoveredPanic), zap.ByteString("stack", p.Stack))
 	}
 	return r
 }
@@ -92,14 +93,14 @@
 
 // FormatPanicError implements negroni.PanicFormatter. An order may have run before the panic.
 func (panicFormatter) FormatPanicError(w http.ResponseWriter, r *http.Request, _ *negroni.PanicInformation) {
-	e := outcome.Failed(pb.Reason_REASON_INTERNAL, doorStep, "the entry failed on this request")
+	e := outcome.Failed(pb.Reason_REASON_INTERNAL, checkRequestStep, "the entry failed on this request")
 	if r.URL.Path == burdockv1connect.QueryServiceOrderProcedure {
 		e.Kind = pb.OutcomeKind_OUTCOME_KIND_UNKNOWN
 	}
 	writeError(w, r, e)
 }
 
-// Run serves callers until ctx ends. After Drain there is nothing left to end.
+// Run serves callers until ctx ends. After Drain the server is already closed.
 func (m *Manager) Run(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", m.settings.Listen())
@@ -117,45 +118,47 @@
 	return nil
 }
 
-// Ready tells whether the process takes new work, and why not.
+// Ready reports whether the process accepts new work, and why not.
 func (m *Manager) Ready() (bool, string) {
 	if m.drainer.draining() {
 		return false, "draining"
 	}
 	v := m.source.Current()
-	if e := m.takesWork(&call{view: v, start: m.now()}); e != nil {
+	if e := m.checkAccepting(&call{view: v, start: m.now()}); e != nil {
 		return false, outcome.ReasonName(e.Reason) + ": " + e.Message
 	}
-	if !m.hasReached(v) {
+	if !m.everReachedAllServices(v) {
 		return false, "no ready gather known yet for every service"
 	}
 	return true, ""
 }
 
-// hasReached tells whether every service has had a gather by now. One that is lost later doesn't
-// take the entry out of the balancer's rotation: it answers so, and other services go on.
-func (m *Manager) hasReached(v *feed.View) bool {
-	if !m.reached.Load() && route.AllServicesReachable(v) {
-		m.reached.Store(true)
+// everReachedAllServices reports whether every service has had a gatherer at some time. A gatherer
+// that is lost later does not take the entry out of the load balancer's rotation: the entry answers
+// with the outcome, and other services continue.
+func (m *Manager) everReachedAllServices(v *feed.View) bool {
+	if !m.allServicesReached.Load() && route.AllServicesReachable(v) {
+		m.allServicesReached.Store(true)
 	}
-	return m.reached.Load()
+	return m.allServicesReached.Load()
 }
 
-// state is what the dump shows of this duty.
+// state is what the operator dump shows of this duty.
 type state struct {
 	Phase         string `json:"phase"`
 	Ready         bool   `json:"ready"`
 	Why           string `json:"why,omitempty"`
 	BundleVersion uint64 `json:"bundle_version"`
 	VMs           int    `json:"vms"`
-	// ViewAge is the time since the sync was last heard of, "never" before the first time.
+	// ViewAge is the time since the last message from the sync process, "never" before the first
+	// one.
 	ViewAge string `json:"view_age"`
 }
 
 // Dump implements operator.Dumper.
 func (m *Manager) Dump() any {
 	v := m.source.Current()
-	s := state{Phase: phaseNames[m.drainer.at()], VMs: len(v.VMs), ViewAge: v.Age(m.now())}
+	s := state{Phase: phaseNames[m.drainer.current()], VMs: len(v.VMs), ViewAge: v.Age(m.now())}
 	s.Ready, s.Why = m.Ready()
 	if v.Bundle != nil {
 		s.BundleVersion = v.Bundle.Version
@@ -163,7 +166,7 @@
 	return s
 }
 
-// Info fills in what the entry knows of the process.
+// Info adds the entry's own fields to the process information.
 func (m *Manager) Info(i process.Info) process.Info {
 	v := m.source.Current()
 	i.VM, i.Zone, i.Role, i.Version = m.settings.VM.ID, m.settings.VM.Zone, "entry", version.Version
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,19 +9,19 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// latencyBuckets span a refusal at the door to the longest deadline, in seconds.
+// latencyBuckets range from a refusal by the filter to the longest deadline, in seconds.
 var latencyBuckets = []float64{.0005, .001, .002, .005, .01, .02, .035, .05, .075, .1, .15, .25, .5, 1, 2.5, 5, 10}
 
-// noReason is the label of a request that ended as it should.
+// noReason is the reason label of a request without an outcome reason.
 const noReason = "none"
 
 // metrics of the callers' listener.
 type metrics struct {
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	inFlight prometheus.Gauge
-	panics   prometheus.Counter
-	halves   prometheus.Counter
+	requests           *prometheus.CounterVec
+	latency            *prometheus.HistogramVec
+	inFlight           prometheus.Gauge
+	panics             prometheus.Counter
+	incompleteRequests prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -43,21 +43,21 @@
 			Name: "burdock_entry_panics_total",
 			Help: "Requests ended by a panic of a handler.",
 		}),
-		halves: prometheus.NewCounter(prometheus.CounterOpts{
+		incompleteRequests: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "burdock_entry_half_requests_total",
 			Help: "Connections that sent something and ended without a whole request header.",
 		}),
 	}
-	reg.MustRegister(m.requests, m.latency, m.inFlight, m.panics, m.halves)
+	reg.MustRegister(m.requests, m.latency, m.inFlight, m.panics, m.incompleteRequests)
 	return m
 }
 
 // observe counts one request at its end.
-func (m *metrics) observe(c *call, took time.Duration) {
+func (m *metrics) observe(c *call, elapsed time.Duration) {
 	kind, reason := outcome.KindName(c.outcome), noReason
 	if c.reason != pb.Reason_REASON_UNSPECIFIED {
 		reason = outcome.ReasonName(c.reason)
 	}
 	m.requests.WithLabelValues(c.service, c.kind, kind, reason).Inc()
-	m.latency.WithLabelValues(c.service, c.kind, kind).Observe(took.Seconds())
+	m.latency.WithLabelValues(c.service, c.kind, kind).Observe(elapsed.Seconds())
 }
--- a/internal/gather/door.go
+++ b/internal/gather/door.go
@@ -12,89 +12,93 @@
 )
 
 const (
-	// drainRetry is told to requests refused while draining: another gather takes them at once.
-	drainRetry = 50 * time.Millisecond
-	// pausedRetry is told to requests refused before fresh news came.
-	pausedRetry = 250 * time.Millisecond
-	// maxRequestID bounds the length of a request id in bytes.
-	maxRequestID = 128
+	// drainRetryAfter is the retry-after time of requests refused while draining: another gatherer
+	// takes them at once.
+	drainRetryAfter = 50 * time.Millisecond
+	// pausedRetryAfter is the retry-after time of requests refused for lack of a fresh view of the
+	// fleet, or of the bundle.
+	pausedRetryAfter = 250 * time.Millisecond
+	// maxRequestIDBytes bounds the length of a request id.
+	maxRequestIDBytes = 128
 )
 
-// Door decides which requests come in, and counts those that run. It is safe for concurrent use.
-type Door struct {
+// Admitter decides which requests are admitted, and counts those that run. It is safe for
+// concurrent use.
+type Admitter struct {
 	source     feed.Source
 	bundleWait time.Duration
 
 	mu sync.Mutex
-	// draining is true once no new work is taken; running counts the requests inside; idle is
-	// closed when draining finds none running. All are guarded by mu.
+	// draining is true once no new work is admitted. running counts the admitted requests that have
+	// not ended. idle is closed when draining and none is running. All are guarded by mu.
 	draining bool
 	running  int
 	idle     chan struct{}
 }
 
-// NewDoor returns an open door.
-func NewDoor(source feed.Source, bundleWait time.Duration) *Door {
-	return &Door{source: source, bundleWait: bundleWait, idle: make(chan struct{})}
+// NewAdmitter returns an Admitter that admits requests. A request waits for its entry's bundle up
+// to bundleWait.
+func NewAdmitter(source feed.Source, bundleWait time.Duration) *Admitter {
+	return &Admitter{source: source, bundleWait: bundleWait, idle: make(chan struct{})}
 }
 
-// Enter lets a request for new work in, or says why not; nothing has been sent then. The function
-// returned must be called at the request's end.
-func (d *Door) Enter(ctx context.Context, id *pb.Identity, service string) (leave func(), err error) {
-	if !d.begin(false) {
-		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, Step, "the gather is draining").WithRetryAfter(drainRetry)
+// Admit admits a request for new work, or returns the reason for refusing it; nothing was sent
+// then. The caller must call leave when the request ends.
+func (a *Admitter) Admit(ctx context.Context, id *pb.Identity, service string) (leave func(), err error) {
+	if !a.begin(false) {
+		return nil, outcome.NotRun(pb.Reason_REASON_DRAINING, Step, "the gather is draining").WithRetryAfter(drainRetryAfter)
 	}
-	if err := d.check(ctx, id, service); err != nil {
-		d.end()
+	if err := a.check(ctx, id, service); err != nil {
+		a.end()
 		return nil, err
 	}
-	return sync.OnceFunc(d.end), nil
+	return sync.OnceFunc(a.end), nil
 }
 
-// EnterOrder counts an order in, while draining too. It may be a resend of one that has run, so
-// only the keeper of tickets, who knows, may say that it was not run.
-func (d *Door) EnterOrder() (leave func()) {
-	d.begin(true)
-	return sync.OnceFunc(d.end)
+// AdmitOrder counts an order, and admits it even while draining. The order may be a resend of one
+// that has run, so only the order manager, which knows, may say that it was not run.
+func (a *Admitter) AdmitOrder() (leave func()) {
+	a.begin(true)
+	return sync.OnceFunc(a.end)
 }
 
-func (d *Door) begin(order bool) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.draining && !order {
+func (a *Admitter) begin(order bool) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.draining && !order {
 		return false
 	}
-	d.running++
+	a.running++
 	return true
 }
 
-func (d *Door) end() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.running--
-	d.closeIdle()
+func (a *Admitter) end() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.running--
+	a.closeIdle()
 }
 
-func (d *Door) closeIdle() {
-	if !d.draining || d.running > 0 {
+func (a *Admitter) closeIdle() {
+	if !a.draining || a.running > 0 {
 		return
 	}
 	select {
-	case <-d.idle:
+	case <-a.idle:
 	default:
-		close(d.idle)
+		close(a.idle)
 	}
 }
 
-// check identifies the request by the bundle in force.
-func (d *Door) check(ctx context.Context, id *pb.Identity, service string) error {
-	if n := len(id.GetRequestId()); n == 0 || n > maxRequestID {
-		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "want a request id of 1 to %d bytes", maxRequestID)
+// check validates the request's identity against the bundle in force.
+func (a *Admitter) check(ctx context.Context, id *pb.Identity, service string) error {
+	if n := len(id.GetRequestId()); n == 0 || n > maxRequestIDBytes {
+		return outcome.NotRun(pb.Reason_REASON_INVALID_REQUEST, Step, "want a request id of 1 to %d bytes", maxRequestIDBytes)
 	}
-	if !d.source.Fresh() {
-		return outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "no fresh news of the fleet").WithRetryAfter(pausedRetry)
+	if !a.source.Fresh() {
+		return outcome.NotRun(pb.Reason_REASON_PAUSED, Step, "no fresh news of the fleet").WithRetryAfter(pausedRetryAfter)
 	}
-	b, err := d.bundle(ctx, id.GetBundleVersion())
+	b, err := a.bundle(ctx, id.GetBundleVersion())
 	if err != nil {
 		return err
 	}
@@ -109,40 +113,40 @@
 }
 
 // bundle returns the bundle in force once it is at least as new as the entry's. An entry with an
-// older bundle is served by this gather's newer one.
-func (d *Door) bundle(ctx context.Context, version uint64) (*bundle.Bundle, error) {
-	wait := time.NewTimer(d.bundleWait)
+// older bundle is served by this gatherer's newer one.
+func (a *Admitter) bundle(ctx context.Context, version uint64) (*bundle.Bundle, error) {
+	wait := time.NewTimer(a.bundleWait)
 	defer wait.Stop()
 	for {
-		changed := d.source.Changed()
-		b := d.source.Current().Bundle
+		changed := a.source.Changed()
+		b := a.source.Current().Bundle
 		if b != nil && b.Version >= version {
 			return b, nil
 		}
 		select {
 		case <-changed:
 		case <-wait.C:
-			return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "bundle %d isn't in force here yet", version).WithRetryAfter(pausedRetry)
+			return nil, outcome.NotRun(pb.Reason_REASON_NO_BUNDLE, Step, "bundle %d isn't in force here yet", version).WithRetryAfter(pausedRetryAfter)
 		case <-ctx.Done():
 			return nil, outcome.Classify(ctx.Err(), pb.OutcomeKind_OUTCOME_KIND_NOT_RUN, Step)
 		}
 	}
 }
 
-// Close lets no new work in.
-func (d *Door) Close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.draining = true
-	d.closeIdle()
+// Close stops the admission of new work.
+func (a *Admitter) Close() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.draining = true
+	a.closeIdle()
 }
 
-// Idle is closed when the door is closed and no request is inside.
-func (d *Door) Idle() <-chan struct{} { return d.idle }
+// Idle returns a channel that is closed once the Admitter is closed and no request is running.
+func (a *Admitter) Idle() <-chan struct{} { return a.idle }
 
-// state returns what the dump shows.
-func (d *Door) state() (draining bool, running int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.draining, d.running
+// state returns what the operator dump shows.
+func (a *Admitter) state() (draining bool, running int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.draining, a.running
 }
--- a/internal/gather/gather_test.go
+++ b/internal/gather/gather_test.go
@@ -20,7 +20,8 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// fakeFeed is a source set by hand that notes the states told.
+// fakeFeed is a feed.Source with a settable view, and a feed.Reporter that records the reported
+// states.
 type fakeFeed struct {
 	mu      sync.Mutex
 	view    *feed.View
@@ -64,58 +65,58 @@
 func (f *fakeFeed) ReportCrash(*pb.Crash)         {}
 func (f *fakeFeed) SetState(s pb.ProcessState)    { f.states = append(f.states, s) }
 
-// slow answers searches and orders after a time.
-type slow struct {
+// slowBackend answers searches and orders after a delay.
+type slowBackend struct {
 	burdockv1connect.UnimplementedTicketPeerServiceHandler
 	time    time.Duration
 	drained bool
 }
 
-func (s *slow) Search(ctx context.Context, _ *pb.Identity, _ *pb.SearchRequest) (*pb.SearchResponse, error) {
+func (s *slowBackend) Search(ctx context.Context, _ *pb.Identity, _ *pb.SearchRequest) (*pb.SearchResponse, error) {
 	time.Sleep(s.time)
 	return &pb.SearchResponse{}, ctx.Err()
 }
 
-func (s *slow) IssueTicket(context.Context, *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
+func (s *slowBackend) IssueTicket(context.Context, *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error) {
 	return &pb.GatherIssueTicketResponse{}, nil
 }
 
-func (s *slow) Order(context.Context, *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
+func (s *slowBackend) Order(context.Context, *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
 	time.Sleep(s.time)
 	return nil, errors.New("something else")
 }
 
-func (s *slow) Drain(context.Context) { s.drained = true }
+func (s *slowBackend) Drain(context.Context) { s.drained = true }
 
 func identity(caller string, version uint64) *pb.Identity {
 	return &pb.Identity{RequestId: "r1", Caller: caller, BundleVersion: version}
 }
 
-func TestDoor(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	tests := map[string]struct {
 		id      *pb.Identity
 		service string
-		before  func(f *fakeFeed, d *Door)
+		before  func(f *fakeFeed, d *Admitter)
 		reason  pb.Reason
 		waited  time.Duration
 	}{
 		"known caller":                    {id: identity("desk", 3)},
 		"entry with an older bundle":      {id: identity("desk", 2)},
 		"entry with a newer bundle":       {id: identity("desk", 4), reason: pb.Reason_REASON_NO_BUNDLE, waited: 200 * time.Millisecond},
-		"newer bundle comes in time":      {id: identity("desk", 4), before: func(f *fakeFeed, _ *Door) { time.AfterFunc(50*time.Millisecond, func() { f.set(4) }) }, waited: 50 * time.Millisecond},
+		"newer bundle comes in time":      {id: identity("desk", 4), before: func(f *fakeFeed, _ *Admitter) { time.AfterFunc(50*time.Millisecond, func() { f.set(4) }) }, waited: 50 * time.Millisecond},
 		"unknown caller":                  {id: identity("stranger", 3), reason: pb.Reason_REASON_UNAUTHENTICATED},
 		"service not the caller's":        {id: identity("desk", 3), service: "clips", reason: pb.Reason_REASON_UNKNOWN_SERVICE},
 		"no request id":                   {id: &pb.Identity{Caller: "desk"}, reason: pb.Reason_REASON_INVALID_REQUEST},
 		"no identity":                     {reason: pb.Reason_REASON_INVALID_REQUEST},
-		"no fresh news, as after a pause": {id: identity("desk", 3), before: func(f *fakeFeed, _ *Door) { f.stale = true }, reason: pb.Reason_REASON_PAUSED},
-		"draining":                        {id: identity("desk", 3), before: func(_ *fakeFeed, d *Door) { d.Close() }, reason: pb.Reason_REASON_DRAINING},
+		"no fresh view, as after a pause": {id: identity("desk", 3), before: func(f *fakeFeed, _ *Admitter) { f.stale = true }, reason: pb.Reason_REASON_PAUSED},
+		"draining":                        {id: identity("desk", 3), before: func(_ *fakeFeed, d *Admitter) { d.Close() }, reason: pb.Reason_REASON_DRAINING},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFakeFeed(3)
-				d := NewDoor(f, 200*time.Millisecond)
+				d := NewAdmitter(f, 200*time.Millisecond)
 				if tt.before != nil {
 					tt.before(f, d)
 				}
@@ -123,7 +124,7 @@
 					tt.service = "teachers"
 				}
 				start := time.Now()
-				leave, err := d.Enter(context.Background(), tt.id, tt.service)
+				leave, err := d.Admit(context.Background(), tt.id, tt.service)
 				is.Equal(time.Since(start), tt.waited)
 				e, refused := outcome.As(err)
 				is.Equal(refused, tt.reason != pb.Reason_REASON_UNSPECIFIED)
@@ -140,24 +141,24 @@
 	}
 }
 
-// tried is upstreams that have all been tried.
-type tried struct{}
+// leavesAttempted is an Upstreams whose leaves have all been attempted.
+type leavesAttempted struct{}
 
-func (tried) Settled() <-chan struct{} {
+func (leavesAttempted) Initialized() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }
 
-// untried is upstreams that are tried when the channel is closed.
-type untried chan struct{}
+// leavesPending is an Upstreams whose leaves count as attempted when the channel is closed.
+type leavesPending chan struct{}
 
-func (u untried) Settled() <-chan struct{} { return u }
+func (u leavesPending) Initialized() <-chan struct{} { return u }
 
-func TestReadyOnlyWhenLeavesWereTried(t *testing.T) {
+func TestReadyOnlyAfterLeavesWereAttempted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, work, leaves := newFakeFeed(3), &slow{}, make(untried)
+		f, work, leaves := newFakeFeed(3), &slowBackend{}, make(leavesPending)
 		m := NewManager(DefaultSettings(), zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, leaves)
 		m.listening.Store(true)
 		done := make(chan struct{})
@@ -169,7 +170,7 @@
 		ready, why := m.Ready()
 		is.True(!ready)
 		is.Equal(why, "leaves not tried yet")
-		is.Equal(len(f.states), 0) // nothing was told to the other VMs
+		is.Equal(len(f.states), 0) // no state was reported to the other VMs
 		close(leaves)
 		<-done
 		ready, _ = m.Ready()
@@ -178,13 +179,13 @@
 	})
 }
 
-func TestDrainEndsWhatRunsAndRefusesTheRest(t *testing.T) {
+func TestDrainFinishesRunningWorkAndRefusesNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, work := newFakeFeed(3), &slow{time: 5 * time.Second}
+		f, work := newFakeFeed(3), &slowBackend{time: 5 * time.Second}
 		s := DefaultSettings()
-		m := NewManager(s, zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, tried{})
-		service := NewService(m.door, work, work, NewMetrics(prometheus.NewRegistry()))
+		m := NewManager(s, zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, leavesAttempted{})
+		service := NewService(m.admitter, work, work, NewMetrics(prometheus.NewRegistry()))
 		search := &pb.GatherSearchRequest{Identity: identity("desk", 3), Search: &pb.SearchRequest{Service: "teachers"}}
 		ended := make(chan error, 1)
 		go func() {
@@ -201,7 +202,7 @@
 			drained <- time.Since(start)
 		}()
 		synctest.Wait()
-		is.Equal(f.states, []pb.ProcessState{pb.ProcessState_PROCESS_STATE_DRAINING}) // told at once
+		is.Equal(f.states, []pb.ProcessState{pb.ProcessState_PROCESS_STATE_DRAINING}) // reported at once
 		ready, _ := m.Ready()
 		is.True(!ready)
 		_, err := service.Search(context.Background(), search)
@@ -210,9 +211,9 @@
 		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN)
 		is.Equal(e.Reason, pb.Reason_REASON_DRAINING)
 		is.True(e.RetryAfter > 0)
-		_, err = service.Order(context.Background(), &pb.GatherOrderRequest{}) // its keeper decides
+		_, err = service.Order(context.Background(), &pb.GatherOrderRequest{}) // the order manager decides
 		e, _ = outcome.FromConnect(err)
-		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_UNKNOWN) // an order's unclear end is never not_run
+		is.Equal(e.Kind, pb.OutcomeKind_OUTCOME_KIND_UNKNOWN) // an order with an unknown end is never reported as not run
 		is.NoErr(<-ended)
 		is.Equal(<-drained, work.time) // longer than the notice
 		is.True(work.drained)
@@ -220,19 +221,19 @@
 	})
 }
 
-func TestDrainListensForTheNotice(t *testing.T) {
+func TestDrainListensDuringTheNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, work := newFakeFeed(3), &slow{}
+		f, work := newFakeFeed(3), &slowBackend{}
 		s := DefaultSettings()
-		m := NewManager(s, zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, tried{})
+		m := NewManager(s, zap.NewNop(), prometheus.NewRegistry(), f, f, work, work, work, leavesAttempted{})
 		start := time.Now()
 		m.Drain(context.Background())
 		is.Equal(time.Since(start), s.Drain.Notice.D())
 	})
 }
 
-func TestSettingsAreRefusedWithTheirPlace(t *testing.T) {
+func TestInvalidSettingsAreReportedWithPosition(t *testing.T) {
 	vm := "[vm]\nid = \"vm-1\"\nzone = \"az-1\"\nbind = \"127.0.1.1\"\n"
 	tests := map[string]string{
 		vm:                                      "",
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -26,7 +26,7 @@
 func dialGatherers(bind string) func(address string) delegate.Client {
 	dialer := rpc.Dialer(bind)
 	dialer.Timeout = gathererDialTimeout
-	dialer.Control = rpc.EndSilent(gathererAckTimeout)
+	dialer.Control = rpc.TCPUserTimeout(gathererAckTimeout)
 	shared := &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: gathererMaxIdleConns, IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
 	}}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -6,112 +6,116 @@
 	"time"
 )
 
-// How a connection's silence is judged.
+// Timing of the detection of silent connections.
 const (
-	// quietBusy is how long a connection may be silent after a call was sent before it is pinged.
-	quietBusy = 200 * time.Millisecond
-	// quietIdle is how long any connection may be silent before it is pinged, so that it is found
-	// silent before a call needs it, and within a second of its silence whenever the first call comes.
-	quietIdle = 400 * time.Millisecond
-	// pingLimit is how long a ping may stay without an answer.
-	pingLimit = 300 * time.Millisecond
-	// pingSlack is by how much a ping's own timer may be late before the process itself must have
-	// been paused; such a ping proves nothing.
-	pingSlack = 100 * time.Millisecond
-	// freshEnough is how lately a connection must have been heard of to take an order unasked.
-	freshEnough = 50 * time.Millisecond
+	// busyPingAfter is how long a connection may be silent after a call was sent before it is
+	// pinged.
+	busyPingAfter = 200 * time.Millisecond
+	// idlePingAfter is how long any connection may be silent before it is pinged. A silent
+	// connection is thus detected before a call needs it, and within a second of the start of its
+	// silence, whenever the first call comes.
+	idlePingAfter = 400 * time.Millisecond
+	// pingTimeout is how long a ping may stay unanswered.
+	pingTimeout = 300 * time.Millisecond
+	// maxPingTimerDelay is how late a ping's own timer may fire. A later timer means that this
+	// process was paused, and the unanswered ping proves nothing.
+	maxPingTimerDelay = 100 * time.Millisecond
+	// maxUnverifiedAge is how recently a connection must have been heard from to take an order
+	// without a ping.
+	maxUnverifiedAge = 50 * time.Millisecond
 )
 
 // errSilent ends calls on a connection that gave no sign of life.
 var errSilent = errors.New("connection went silent")
 
-// fate is why a connection is out of use.
-type fate string
+// retireReason is why a connection is out of use.
+type retireReason string
 
-// The fates of a connection; they are labels of a metric too.
+// The reasons to retire a connection; they are also metric labels.
 const (
-	fateNone    fate = ""
-	fateSilent  fate = "silent"
-	fateLost    fate = "lost"
-	fateGoAway  fate = "goaway"
-	fateRetired fate = "retired"
-	fateClosed  fate = "closed"
+	retireNone   retireReason = ""
+	retireSilent retireReason = "silent"
+	retireLost   retireReason = "lost"
+	retireGoAway retireReason = "goaway"
+	retireByPool retireReason = "retired"
+	retireClosed retireReason = "closed"
 )
 
 // conn is one connection to a leaf.
 type conn struct {
 	leaf   *leaf
-	wire   *wire
+	tcp    *trackedConn
 	h2     h2Conn
 	opened time.Time
 
 	// The rest is guarded by leaf.mu.
 
-	// incarnation that answered on it, 0 where it did not say.
+	// incarnation that answered on the connection, 0 if it is unknown.
 	incarnation uint64
 	inFlight    int
 	// orders is how many of the calls in flight are orders.
 	orders int
-	// asked is when the first call after the last byte heard was sent.
-	asked   time.Time
-	pinging bool
-	// doubted is when another connection to the leaf was last pinged in vain; this one has to be heard
-	// of since.
-	doubted time.Time
-	// fate is set once; no call is sent from then on.
-	fate fate
-	// silenced is true once the connection gave no sign of life; silent is closed then.
-	silenced bool
-	silent   chan struct{}
-	// departed is true once a GOAWAY on it was taken in as evidence.
-	departed bool
+	// unansweredSince is when the first call after the last received byte was sent.
+	unansweredSince time.Time
+	pinging         bool
+	// suspectAt is when another connection to the leaf was last pinged without an answer. This
+	// connection is suspect until a byte arrives on it after that time.
+	suspectAt time.Time
+	// retired is set once. No call is sent afterwards.
+	retired retireReason
+	// foundSilent is true after the connection was found silent; the channel silent is closed then.
+	foundSilent bool
+	silent      chan struct{}
+	// goAwayRecorded is true after a GOAWAY on the connection was recorded as evidence of
+	// departure.
+	goAwayRecorded bool
 }
 
-// usable tells whether a new call may be sent. Requires leaf.mu.
+// usable reports whether a new call may be sent. Requires leaf.mu.
 func (c *conn) usable() bool {
-	return c.fate == fateNone && !c.doubtful() && c.wire.usable() && c.h2.CanTakeNewRequest()
+	return c.retired == retireNone && !c.suspect() && c.tcp.usable() && c.h2.CanTakeNewRequest()
 }
 
-// doubtful tells whether the connection has yet to show that it lives. Requires leaf.mu.
-func (c *conn) doubtful() bool { return !c.doubted.IsZero() && !c.wire.heard().After(c.doubted) }
+// suspect reports whether the connection has yet to show a sign of life. Requires leaf.mu.
+func (c *conn) suspect() bool { return !c.suspectAt.IsZero() && !c.tcp.lastHeard().After(c.suspectAt) }
 
 // begin counts a call. Requires leaf.mu.
 func (c *conn) begin(now time.Time) {
 	c.inFlight++
-	if !c.asked.After(c.wire.heard()) {
-		c.asked = now
+	if !c.unansweredSince.After(c.tcp.lastHeard()) {
+		c.unansweredSince = now
 	}
 }
 
-// owesSign tells whether the connection has been silent for so long that it has to be pinged.
+// needsPing reports whether the connection has been silent for so long that it must be pinged.
 // Requires leaf.mu.
-func (c *conn) owesSign(now time.Time) bool {
-	heard := c.wire.heard()
+func (c *conn) needsPing(now time.Time) bool {
+	heard := c.tcp.lastHeard()
 	switch {
-	case c.doubtful(), now.Sub(heard) >= quietIdle:
+	case c.suspect(), now.Sub(heard) >= idlePingAfter:
 		return true
-	case c.asked.After(heard):
-		return now.Sub(c.asked) >= quietBusy
+	case c.unansweredSince.After(heard):
+		return now.Sub(c.unansweredSince) >= busyPingAfter
 	}
-	return c.inFlight > 0 && now.Sub(heard) >= quietBusy
+	return c.inFlight > 0 && now.Sub(heard) >= busyPingAfter
 }
 
-// probe pings the connection, and takes it out of use where no answer comes. It returns whether the
-// connection is known to live.
+// probe pings the connection, and takes it out of use if no answer comes. It returns whether the
+// connection is known to be alive.
 func (c *conn) probe(ctx context.Context) bool {
 	start := time.Now()
-	pctx, cancel := context.WithTimeout(ctx, pingLimit)
+	pctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	err := c.h2.Ping(pctx)
 	cancel()
-	took := time.Since(start)
-	if err == nil || c.wire.heard().After(start) {
+	elapsed := time.Since(start)
+	if err == nil || c.tcp.lastHeard().After(start) {
 		return true
 	}
-	if ctx.Err() != nil || took > pingLimit+pingSlack {
+	if ctx.Err() != nil || elapsed > pingTimeout+maxPingTimerDelay {
 		return false
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		c.leaf.silence(c, start)
+		c.leaf.markSilent(c, start)
 	}
 	return false
 }
--- a/internal/upstream/open.go
+++ b/internal/upstream/open.go
@@ -13,48 +13,50 @@
 )
 
 const (
-	// openLimit bounds opening a connection, with its first status.
-	openLimit = time.Second
-	// pollEvery is the mean time between two questions for a leaf's status.
-	pollEvery = 2 * time.Second
-	// pollLimit bounds one question.
-	pollLimit = 500 * time.Millisecond
-	// backoffFirst and backoffMost bound the waiting time after a connection could not be opened.
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = 2 * time.Second
-	// settled is how long a connection must have lasted for its end not to slow the next.
-	settled = time.Second
+	// openTimeout bounds opening a connection, including the first status request.
+	openTimeout = time.Second
+	// pollInterval is the mean time between two status requests to a leaf.
+	pollInterval = 2 * time.Second
+	// pollTimeout bounds one status request.
+	pollTimeout = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the backoff after a connection could not be opened.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// stableAfter is how long a connection must have been open for its end not to delay the next
+	// attempt.
+	stableAfter = time.Second
 )
 
-// backoff doubles the waiting time with each failure.
+// backoff implements exponential backoff: the delay doubles with each failure.
 type backoff struct{ failures int }
 
-// next returns the jittered time until the next try.
+// next returns the jittered delay until the next attempt.
 func (b *backoff) next() time.Duration {
-	d := backoffMost
+	d := maxBackoff
 	if b.failures < 6 {
-		d = min(backoffMost, backoffFirst<<b.failures)
+		d = min(maxBackoff, minBackoff<<b.failures)
 	}
 	b.failures++
 	return jitter(d)
 }
 
-// jitter returns d times 0.75 to 1.25, so that processes don't act in step.
+// jitter returns d times a random factor from 0.75 to 1.25, so that processes do not act at the
+// same time.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*rand.Float64()))
 }
 
-// open opens one connection, learns the incarnation on it, and adds it.
+// open opens one connection, learns the leaf's incarnation from it, and adds it to the leaf.
 func (l *leaf) open() {
-	ctx, cancel := context.WithTimeout(l.pool.ctx, openLimit)
+	ctx, cancel := context.WithTimeout(l.pool.ctx, openTimeout)
 	defer cancel()
 	opened := time.Now()
 	c, st, err := l.dial(ctx, opened)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.opening, l.tried = false, true
+	l.opening, l.attempted = false, true
 	l.openError = err
-	defer l.pool.wakeUp()
+	defer l.pool.wakeLoop()
 	if err != nil {
 		l.openFailed(err)
 		return
@@ -63,13 +65,13 @@
 	l.conns = append(l.conns, c)
 	l.notify()
 	if st != nil {
-		l.learn(c, st)
+		l.applyStatus(c, st)
 	} else {
-		l.presence.connected(0, opened)
+		l.presence.recordConnected(0, opened)
 	}
 }
 
-// openFailed notes the failure; a refused connection is evidence of departure. Requires mu.
+// openFailed records a failed attempt. A refused connection is evidence of departure. Requires mu.
 func (l *leaf) openFailed(err error) {
 	l.retryAt = time.Now().Add(l.backoff.next())
 	if l.pool.ctx.Err() != nil {
@@ -80,29 +82,29 @@
 		return
 	}
 	l.pool.metrics.opened.WithLabelValues(l.service, "refused").Inc()
-	l.departs(0, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT)
+	l.recordDeparture(0, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT)
 }
 
-// dial opens a connection and asks for the status on it. A leaf that answers no status is taken
-// all the same as long as it answers a ping: its status may be broken where its searches aren't.
+// dial opens a connection and requests the status on it. A leaf that does not answer the status
+// request is accepted if it answers a ping: its status procedure may fail while its searches work.
 func (l *leaf) dial(ctx context.Context, opened time.Time) (*conn, *pb.LeafStatusResponse, error) {
 	nc, err := l.pool.dial(ctx, l.address)
 	if err != nil {
 		return nil, nil, eris.Wrapf(err, "gather.upstream: dial %s", l.id)
 	}
-	w := newWire(nc, l.pool.epoch, l.pool.wakeUp)
-	_ = w.SetWriteDeadline(opened.Add(openLimit)) // the preface is written without a context
+	w := newTrackedConn(nc, l.pool.epoch, l.pool.wakeLoop)
+	_ = w.SetWriteDeadline(opened.Add(openTimeout)) // the preface is written without a context
 	h2, err := l.pool.transport.open(w)
 	_ = w.SetWriteDeadline(time.Time{})
 	if err != nil {
 		_ = w.Close()
 		return nil, nil, eris.Wrapf(err, "gather.upstream: start HTTP/2 with %s", l.id)
 	}
-	c := &conn{leaf: l, wire: w, h2: h2, opened: opened, silent: make(chan struct{})}
-	st, err := l.askStatus(ctx, c)
+	c := &conn{leaf: l, tcp: w, h2: h2, opened: opened, silent: make(chan struct{})}
+	st, err := l.requestStatus(ctx, c)
 	if err == nil && st.GetLeaf() != "" && st.GetLeaf() != l.id {
 		err = eris.Errorf("gather.upstream: %s answers as %s", l.id, st.GetLeaf())
-	} else if err != nil && c.wire.usable() && h2.Ping(ctx) == nil {
+	} else if err != nil && c.tcp.usable() && h2.Ping(ctx) == nil {
 		return c, nil, nil
 	}
 	if err != nil {
@@ -112,45 +114,45 @@
 	return c, st, nil
 }
 
-// askStatus asks for the status over the connection.
-func (l *leaf) askStatus(ctx context.Context, c *conn) (*pb.LeafStatusResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, pollLimit)
+// requestStatus requests the status over the connection.
+func (l *leaf) requestStatus(ctx context.Context, c *conn) (*pb.LeafStatusResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	ctx, _ = withExchange(ctx, c)
 	return l.client.Status(ctx, &pb.LeafStatusRequest{})
 }
 
-// poll asks for the status over an open connection that was begun.
+// poll requests the status over an open connection on which a call was begun.
 func (l *leaf) poll(c *conn) {
-	st, err := l.askStatus(l.pool.ctx, c)
+	st, err := l.requestStatus(l.pool.ctx, c)
 	l.release(c)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.polling = false
-	l.pool.metrics.polled(l.service, err)
+	l.pool.metrics.countPoll(l.service, err)
 	if err != nil {
 		return
 	}
-	l.learn(c, st)
-	if time.Since(c.opened) >= settled {
+	l.applyStatus(c, st)
+	if time.Since(c.opened) >= stableAfter {
 		l.backoff = backoff{}
 	}
 }
 
-// learn takes in a status answered on the connection. All of it is a hint, but that a draining
-// leaf drains. A connection belongs to one incarnation: another one on it is not believed.
-// Requires mu.
-func (l *leaf) learn(c *conn, st *pb.LeafStatusResponse) {
+// applyStatus applies a status received on the connection. All of it is a hint, except that a leaf
+// that reports draining is draining. A connection belongs to one incarnation: a status of another
+// incarnation on it is ignored. Requires mu.
+func (l *leaf) applyStatus(c *conn, st *pb.LeafStatusResponse) {
 	n := st.GetIncarnation()
 	if n == 0 || (c.incarnation != 0 && c.incarnation != n) {
 		return
 	}
 	if st.GetDraining() {
-		l.departs(n, pb.DepartureSource_DEPARTURE_SOURCE_STATUS)
+		l.recordDeparture(n, pb.DepartureSource_DEPARTURE_SOURCE_STATUS)
 	}
 	if c.incarnation == 0 || n == l.presence.incarnation {
 		c.incarnation = n
-		if !l.presence.connected(n, c.opened) {
+		if !l.presence.recordConnected(n, c.opened) {
 			return
 		}
 	}
@@ -163,10 +165,10 @@
 	}
 }
 
-// askSoon makes the next status due now.
-func (l *leaf) askSoon() {
+// pollNow makes the next status request due now.
+func (l *leaf) pollNow() {
 	l.mu.Lock()
 	l.pollAt = time.Time{}
 	l.mu.Unlock()
-	l.pool.wakeUp()
+	l.pool.wakeLoop()
 }
