--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -30,7 +30,7 @@
 		}
 		lines = append(lines, log.Lines...)
 	}
-	return app.print(newLossesReport(losses.New(lines, c.From, c.To)))
+	return app.print(newLossesReport(losses.Summarize(lines, c.From, c.To)))
 }
 
 // lossesReport is the ledger as it is printed.
@@ -46,8 +46,8 @@
 	IDs      []string `json:"first_ids"`
 }
 
-func newLossesReport(l *losses.Ledger) lossesReport {
-	r := lossesReport{LeftOut: l.LeftOut}
+func newLossesReport(l *losses.Summary) lossesReport {
+	r := lossesReport{LeftOut: l.DroppedLines}
 	for _, c := range l.Causes {
 		r.Causes = append(r.Causes, lossesCause{c.Name, c.Requests, c.Late, c.IDs})
 	}
--- a/internal/ctl/story.go
+++ b/internal/ctl/story.go
@@ -36,7 +36,7 @@
 		lines = append(lines, log.Lines...)
 		skipped += log.Skipped
 	}
-	told, err := story.Tell(lines, c.ID, c.Around)
+	told, err := story.Collect(lines, c.ID, c.Around)
 	var unknown *story.UnknownError
 	if errors.As(err, &unknown) {
 		return usage("%v (%d lines read, %d passed over)", err, len(lines), skipped)
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -27,12 +27,12 @@
 	IDs []string
 }
 
-// Ledger is what was lost.
-type Ledger struct {
+// Summary is what was lost.
+type Summary struct {
 	// Causes, the most frequent first.
 	Causes []Cause
-	// LeftOut counts lines that the volume limit left out: requests are at least as many as said.
-	LeftOut int64
+	// DroppedLines counts lines that the volume limit left out: requests are at least as many as said.
+	DroppedLines int64
 }
 
 // request is what a line says of a request.
@@ -42,9 +42,9 @@
 	bad                           []string
 }
 
-// New returns the ledger of the lines between two times; a zero time is no bound.
-func New(lines []story.Line, from, to time.Time) *Ledger {
-	l := new(Ledger)
+// Summarize returns the ledger of the lines between two times; a zero time is no bound.
+func Summarize(lines []story.Line, from, to time.Time) *Summary {
+	l := new(Summary)
 	causes := make(map[string]*Cause)
 	for i := range lines {
 		line := &lines[i]
@@ -53,7 +53,7 @@
 		}
 		switch line.Msg {
 		case decision.MsgLeftOut:
-			l.LeftOut += int64(number(line.Fields[decision.FieldLines]))
+			l.DroppedLines += int64(number(line.Fields[decision.FieldLines]))
 		case decision.MsgRequest:
 			note(causes, read(line))
 		}
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -92,11 +92,11 @@
 	return fmt.Sprintf("story: no line names the request %q; plain successes have none, and lines beyond the log's limits were left out", e.ID)
 }
 
-// Tell returns the lines that belong to the request's story, in the order of their times: those that name
+// Collect returns the lines that belong to the request's story, in the order of their times: those that name
 // it, and those between the given time before the first and the same time after the last in which a VM
 // that served it tells of itself, or any VM of a leaf or service that the request's lines name. Each VM
 // writes times by its own clock. It returns an *UnknownError where no line names the request.
-func Tell(lines []Line, id string, around time.Duration) ([]Line, error) {
+func Collect(lines []Line, id string, around time.Duration) ([]Line, error) {
 	c := newChapter(lines, id)
 	if c == nil {
 		return nil, &UnknownError{ID: id}
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -42,7 +42,7 @@
 
 func told(t *testing.T, id string, around time.Duration) string {
 	t.Helper()
-	story, err := Tell(lines(t), id, around)
+	story, err := Collect(lines(t), id, around)
 	is.New(t).NoErr(err)
 	var out []string
 	for _, l := range story {
@@ -68,7 +68,7 @@
 
 func TestUnknownRequest(t *testing.T) {
 	is := is.New(t)
-	_, err := Tell(lines(t), "r-3", time.Second)
+	_, err := Collect(lines(t), "r-3", time.Second)
 	var unknown *UnknownError
 	is.True(errors.As(err, &unknown))
 	is.Equal(unknown.ID, "r-3")
@@ -90,7 +90,7 @@
 		}
 		for _, l := range log.Lines {
 			if id := l.text("id"); id != "" {
-				if _, err := Tell(log.Lines, id, time.Second); err != nil {
+				if _, err := Collect(log.Lines, id, time.Second); err != nil {
 					t.Fatal(err)
 				}
 			}
