--- a/internal/ctl/bundlefiles.go
+++ b/internal/ctl/bundlefiles.go
@@ -57,7 +57,7 @@
 	}
 	signed := new(pb.SignedManifest)
 	if err := proto.Unmarshal(data, signed); err != nil {
-		return nil, usage("%s: not a signed manifest: %v", filepath.Join(dir, manifestFile), err)
+		return nil, usageErrorf("%s: not a signed manifest: %v", filepath.Join(dir, manifestFile), err)
 	}
 	return signed, nil
 }
@@ -70,7 +70,7 @@
 	}
 	m := new(pb.Manifest)
 	if err := proto.Unmarshal(signed.GetManifest(), m); err != nil {
-		return nil, usage("%s: can't decode the manifest: %v", dir, err)
+		return nil, usageErrorf("%s: can't decode the manifest: %v", dir, err)
 	}
 	var sections [][]byte
 	for _, raw := range m.GetSections() {
@@ -82,14 +82,14 @@
 	}
 	text, err := bundle.Assemble(m, sections)
 	if err != nil {
-		return nil, usage("%s: %v", dir, err)
+		return nil, usageErrorf("%s: %v", dir, err)
 	}
 	return &signedBundle{signed, text}, nil
 }
 
 func readSection(dir string, digest []byte) ([]byte, error) {
 	if len(digest) != len(bundle.Digest{}) {
-		return nil, usage("%s: the manifest names a section by %d bytes", dir, len(digest))
+		return nil, usageErrorf("%s: the manifest names a section by %d bytes", dir, len(digest))
 	}
 	s, err := os.ReadFile(filepath.Join(dir, sectionsDir, bundle.Digest(digest).String()))
 	return s, eris.Wrap(err, "ctl.bundle: read section")
@@ -111,7 +111,7 @@
 	}
 	b, err := bundle.Open(sb.signed, sb.text)
 	if err != nil {
-		return nil, usage("%s: %v", path, err)
+		return nil, usageErrorf("%s: %v", path, err)
 	}
 	return b, nil
 }
@@ -123,7 +123,7 @@
 	}
 	b, err := bundle.Parse(text)
 	if err != nil {
-		return nil, refusedText(file, err)
+		return nil, bundleTextError(file, err)
 	}
 	return b, nil
 }
--- a/internal/ctl/bundlesign.go
+++ b/internal/ctl/bundlesign.go
@@ -45,14 +45,14 @@
 	}
 	signed, err := bundle.Sign(text, parent)
 	if err != nil {
-		return refusedText(c.Text, err)
+		return bundleTextError(c.Text, err)
 	}
-	if signed, err = c.withEarlier(signed); err != nil {
+	if signed, err = c.withExistingSignatures(signed); err != nil {
 		return err
 	}
 	for _, k := range keys {
 		if err := bundle.AddSignature(signed, k); err != nil {
-			return refused(err)
+			return usageError(err)
 		}
 	}
 	if err := writeBundle(c.Out, signed, text); err != nil {
@@ -67,7 +67,7 @@
 	}
 	d, err := bundle.ParseDigest(c.Parent)
 	if err != nil {
-		return d, usage("--parent: %v, or none", err)
+		return d, usageErrorf("--parent: %v, or none", err)
 	}
 	return d, nil
 }
@@ -84,23 +84,23 @@
 	return keys, nil
 }
 
-// withEarlier returns the manifest with the signatures that the directory holds for it.
-func (c *BundleSignCmd) withEarlier(signed *pb.SignedManifest) (*pb.SignedManifest, error) {
-	earlier, err := readManifest(c.Out)
+// withExistingSignatures returns the manifest with the signatures that the directory holds for it.
+func (c *BundleSignCmd) withExistingSignatures(signed *pb.SignedManifest) (*pb.SignedManifest, error) {
+	existing, err := readManifest(c.Out)
 	if errors.Is(err, fs.ErrNotExist) || c.Force && err != nil {
 		return signed, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	if bytes.Equal(earlier.GetManifest(), signed.GetManifest()) {
-		return earlier, nil
+	if bytes.Equal(existing.GetManifest(), signed.GetManifest()) {
+		return existing, nil
 	}
 	if c.Force {
 		return signed, nil
 	}
-	return nil, usage("%s holds another bundle, %s; choose another directory, or --force to replace it",
-		c.Out, bundle.ManifestDigest(earlier.GetManifest()))
+	return nil, usageErrorf("%s holds another bundle, %s; choose another directory, or --force to replace it",
+		c.Out, bundle.ManifestDigest(existing.GetManifest()))
 }
 
 // signReport is what was signed.
--- a/internal/ctl/bundleverify.go
+++ b/internal/ctl/bundleverify.go
@@ -32,11 +32,11 @@
 		return err
 	}
 	if _, _, err := bundle.Verify(sb.signed, trust); err != nil {
-		return usage("%s: %v", c.Dir, err)
+		return usageErrorf("%s: %v", c.Dir, err)
 	}
 	b, err := bundle.Open(sb.signed, sb.text)
 	if err != nil {
-		return usage("%s: %v", c.Dir, err)
+		return usageErrorf("%s: %v", c.Dir, err)
 	}
 	r := verifyReport{
 		Version: b.Version, Digest: b.Digest.String(),
@@ -49,7 +49,7 @@
 	t, file := bundle.TrustSettings{}, "--reviewer"
 	if c.Trust != "" {
 		if c.Threshold != 0 {
-			return bundle.Trust{}, usage("--threshold goes with --reviewer; with --trust it comes from the file")
+			return bundle.Trust{}, usageErrorf("--threshold goes with --reviewer; with --trust it comes from the file")
 		}
 		var err error
 		if t, err = readTrust(c.Trust); err != nil {
@@ -60,7 +60,7 @@
 		t = c.reviewers()
 	}
 	if err := settings.CheckValues(file, t); err != nil {
-		return bundle.Trust{}, refused(err)
+		return bundle.Trust{}, usageError(err)
 	}
 	return t.Trust(), nil
 }
@@ -88,7 +88,7 @@
 		return v.Trust, eris.Wrap(err, "ctl.verify")
 	}
 	if err := toml.Unmarshal(data, &v); err != nil {
-		return v.Trust, usage("%s: %v", file, err)
+		return v.Trust, usageErrorf("%s: %v", file, err)
 	}
 	return v.Trust, nil
 }
--- a/internal/ctl/caller.go
+++ b/internal/ctl/caller.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// callBound is the longest wait for an answer where no timeout is given.
-	callBound = time.Minute
-	// callGrace is how much longer than the deadline to wait, so that the entry's own outcome for
+	// defaultCallTimeout is the longest wait for an answer where no timeout is given.
+	defaultCallTimeout = time.Minute
+	// callGracePeriod is how much longer than the deadline to wait, so that the entry's own outcome for
 	// a deadline passed still arrives.
-	callGrace = 2 * time.Second
+	callGracePeriod = 2 * time.Second
 	// timeoutHeader carries the deadline as the entry reads it.
 	timeoutHeader = "Connect-Timeout-Ms"
 )
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	if f.Timeout < 0 || f.Timeout > 0 && f.Timeout < time.Millisecond {
-		return nil, usage("--timeout: want 1ms or more, got %v", f.Timeout)
+		return nil, usageErrorf("--timeout: want 1ms or more, got %v", f.Timeout)
 	}
 	data, err := os.ReadFile(f.TokenFile)
 	if err != nil {
@@ -61,15 +61,15 @@
 	}
 	token := strings.TrimSpace(string(data))
 	if token == "" || strings.ContainsAny(token, " \t\r\n") {
-		return nil, usage("%s: want one token on one line", f.TokenFile)
+		return nil, usageErrorf("%s: want one token on one line", f.TokenFile)
 	}
-	bounded := *app.callers.Client
-	bounded.Timeout = callBound
+	httpClient := *app.callers.Client
+	httpClient.Timeout = defaultCallTimeout
 	if f.Timeout > 0 {
-		bounded.Timeout = f.Timeout + callGrace
+		httpClient.Timeout = f.Timeout + callGracePeriod
 	}
 	return burdockv1connect.NewQueryServiceClient(
-		callerHTTP{&bounded, token, f.Timeout}, "http://"+f.Entry, connect.WithReadMaxBytes(maxAnswerBytes)), nil
+		callerHTTP{&httpClient, token, f.Timeout}, "http://"+f.Entry, connect.WithReadMaxBytes(maxAnswerBytes)), nil
 }
 
 // maxAnswerBytes bounds the answer that is read.
--- a/internal/ctl/cli.go
+++ b/internal/ctl/cli.go
@@ -55,8 +55,8 @@
 2 usage, settings, bundle or signature refused; 3 not run; 4 the search failed;
 5 the order's outcome is unknown.`
 
-// exited carries kong's wish to exit, after --help or --version, up to Main.
-type exited int
+// kongExit carries kong's wish to exit, after --help or --version, up to Main.
+type kongExit int
 
 // Main runs one command line and returns the exit code.
 func Main(ctx context.Context, app *App, args []string) (code int) {
@@ -66,7 +66,7 @@
 		kong.Description(description),
 		kong.Vars{"version": version.Version},
 		kong.Writers(app.Out, app.Err),
-		kong.Exit(func(code int) { panic(exited(code)) }),
+		kong.Exit(func(code int) { panic(kongExit(code)) }),
 		kong.BindTo(ctx, (*context.Context)(nil)),
 		kong.Bind(app),
 	)
@@ -75,7 +75,7 @@
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			e, ok := r.(exited)
+			e, ok := r.(kongExit)
 			if !ok {
 				panic(r)
 			}
@@ -84,7 +84,7 @@
 	}()
 	k, err := parser.Parse(args)
 	if err != nil {
-		return app.fail(usage("%v; see burdockctl --help", err))
+		return app.fail(usageErrorf("%v; see burdockctl --help", err))
 	}
 	app.asJSON = cli.JSON
 	return app.fail(k.Run())
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -60,7 +60,7 @@
 	return s.Listener.Addr().String()
 }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -73,7 +73,7 @@
 	tests := []struct {
 		name, text, program string
 		code                int
-		says                string
+		wantOutput          string
 	}{
 		{"good", `level = "warn"`, "sync", ExitOK, "ok\n"},
 		{"refused", "\nlevel = \"loud\"", "sync", ExitUsage, ":2: level: too loud\n"},
@@ -83,9 +83,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			r := burdockctl(t, "settings", "check", write(t, "s.toml", tt.text), "--program", tt.program)
+			r := burdockctl(t, "settings", "check", writeFile(t, "s.toml", tt.text), "--program", tt.program)
 			is.Equal(r.code, tt.code)
-			is.True(strings.Contains(r.out+r.errout, tt.says))
+			is.True(strings.Contains(r.out+r.errout, tt.wantOutput))
 		})
 	}
 }
--- a/internal/ctl/dump.go
+++ b/internal/ctl/dump.go
@@ -30,7 +30,7 @@
 	if c.Duty != "" {
 		duty, ok := duties[c.Duty]
 		if !ok {
-			return usage("no duty %q; there are: %s", c.Duty, strings.Join(slices.Sorted(maps.Keys(duties)), " "))
+			return usageErrorf("no duty %q; there are: %s", c.Duty, strings.Join(slices.Sorted(maps.Keys(duties)), " "))
 		}
 		state = duty
 	}
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -42,26 +42,26 @@
 // Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.err }
 
-// usage refuses what the user gave.
-func usage(format string, args ...any) error {
+// usageErrorf refuses what the user gave.
+func usageErrorf(format string, args ...any) error {
 	return &exitError{ExitUsage, fmt.Errorf(format, args...)}
 }
 
-// refused turns the refusal of a file's content into exit code 2.
-func refused(err error) error {
+// usageError turns the refusal of a file's content into exit code 2.
+func usageError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return &exitError{ExitUsage, err}
 }
 
-// refusedText names the file in the refusal of a bundle's text, as settings are refused.
-func refusedText(file string, err error) error {
+// bundleTextError names the file in the refusal of a bundle's text, as settings are refused.
+func bundleTextError(file string, err error) error {
 	var pe *bundle.ParseError
 	if !errors.As(err, &pe) {
-		return usage("%s: %v", file, err)
+		return usageErrorf("%s: %v", file, err)
 	}
-	return refused(&settings.Error{File: file, Line: pe.Line, Key: pe.Key, Reason: pe.Reason})
+	return usageError(&settings.Error{File: file, Line: pe.Line, Key: pe.Key, Reason: pe.Reason})
 }
 
 // outcomeExit returns the silent exit for an outcome, or nil for an answered one.
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	r := newFleetReport(app.askAll(ctx, c.Timeout, addrs))
+	r := newFleetReport(app.queryAll(ctx, c.Timeout, addrs))
 	if err := app.print(r); err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 		}
 	}
 	if len(addrs) == 0 {
-		return nil, usage("no process to ask: give --operator IP:PORT or --list FILE")
+		return nil, usageErrorf("no process to ask: give --operator IP:PORT or --list FILE")
 	}
 	return addrs, nil
 }
@@ -77,27 +77,27 @@
 	return addrs, eris.Wrap(lines.Err(), "ctl.fleet")
 }
 
-// member is one process as it answered.
-type member struct {
+// processReport is one process as it answered.
+type processReport struct {
 	Operator string `json:"operator"`
 	// Info is nil where the process didn't say who it is.
 	Info  *process.Info `json:"process,omitempty"`
 	Ready bool          `json:"ready"`
-	// Why says why a process isn't ready.
-	Why string `json:"why,omitempty"`
+	// NotReadyReason says why a process isn't ready.
+	NotReadyReason string `json:"why,omitempty"`
 	// Unreachable is why the process didn't answer, empty where it did.
 	Unreachable string `json:"unreachable,omitempty"`
 }
 
-// askAll asks the processes, some at once, and keeps their order.
-func (a *App) askAll(ctx context.Context, timeout time.Duration, addrs []string) []member {
-	members := make([]member, len(addrs))
+// queryAll asks the processes, some at once, and keeps their order.
+func (a *App) queryAll(ctx context.Context, timeout time.Duration, addrs []string) []processReport {
+	reports := make([]processReport, len(addrs))
 	indices := make(chan int)
 	var wg sync.WaitGroup
 	for range min(fleetWorkers, len(addrs)) {
 		wg.Go(func() {
 			for i := range indices {
-				members[i] = a.ask(ctx, timeout, addrs[i])
+				reports[i] = a.query(ctx, timeout, addrs[i])
 			}
 		})
 	}
@@ -106,29 +106,29 @@
 	}
 	close(indices)
 	wg.Wait()
-	return members
+	return reports
 }
 
-// ask reads one process's readiness and dump.
-func (a *App) ask(ctx context.Context, timeout time.Duration, addr string) member {
-	m := member{Operator: addr}
+// query reads one process's readiness and dump.
+func (a *App) query(ctx context.Context, timeout time.Duration, addr string) processReport {
+	p := processReport{Operator: addr}
 	status, body, err := a.operators.get(ctx, timeout, addr, "/ready")
 	if err != nil {
-		m.Unreachable = strings.TrimPrefix(err.Error(), addr+": ")
-		return m
+		p.Unreachable = strings.TrimPrefix(err.Error(), addr+": ")
+		return p
 	}
-	m.Ready = status == http.StatusOK
-	if !m.Ready {
-		m.Why = strings.TrimSpace(string(body))
+	p.Ready = status == http.StatusOK
+	if !p.Ready {
+		p.NotReadyReason = strings.TrimSpace(string(body))
 	}
 	duties, err := a.operators.dump(ctx, timeout, addr)
 	if err != nil {
-		m.Unreachable = strings.TrimPrefix(err.Error(), addr+": ")
-		return m
+		p.Unreachable = strings.TrimPrefix(err.Error(), addr+": ")
+		return p
 	}
 	var info process.Info
 	if json.Unmarshal(duties[process.InfoDuty], &info) == nil {
-		m.Info = &info
+		p.Info = &info
 	}
-	return m
+	return p
 }
--- a/internal/ctl/fleet_test.go
+++ b/internal/ctl/fleet_test.go
@@ -14,11 +14,11 @@
 )
 
 // serveProcess serves an operators' listener as a daemon does.
-func serveProcess(t *testing.T, info process.Info, why string) string {
+func serveProcess(t *testing.T, info process.Info, notReadyReason string) string {
 	dumps := operator.NewDumps()
 	dumps.Add(process.InfoDuty, operator.DumpFunc(func() any { return info }))
 	dumps.Add("queue", operator.DumpFunc(func() any { return map[string]int{"length": 7} }))
-	return serve(t, operator.Handler(prometheus.NewRegistry(), dumps, func() (bool, string) { return why == "", why }))
+	return serve(t, operator.Handler(prometheus.NewRegistry(), dumps, func() (bool, string) { return notReadyReason == "", notReadyReason }))
 }
 
 // row returns the cells of the row that starts with the address.
@@ -47,7 +47,7 @@
 	foreign := serve(t, http.NotFoundHandler())
 	down := closedAddress(t)
 
-	list := write(t, "fleet", "# entries\n"+ready+"\n"+draining+" # leaving\n\n")
+	list := writeFile(t, "fleet", "# entries\n"+ready+"\n"+draining+" # leaving\n\n")
 	args := []string{"fleet", "--list", list, "--operator", down, "--operator", foreign, "--timeout", "1m"}
 	r := burdockctl(t, args...)
 	is.Equal(r.code, ExitFailure) // some are unreachable
@@ -61,20 +61,20 @@
 	var got fleetReport
 	is.NoErr(json.Unmarshal([]byte(burdockctl(t, append(args, "--json")...).out), &got))
 	is.Equal(len(got.Processes), 4)
-	for _, m := range got.Processes {
-		if m.Operator == ready {
-			is.Equal(m.Info.Incarnation, uint64(incarnation))
+	for _, p := range got.Processes {
+		if p.Operator == ready {
+			is.Equal(p.Info.Incarnation, uint64(incarnation))
 		}
 	}
 	is.Equal(burdockctl(t, "fleet", "--operator", ready+","+draining).code, ExitOK)
 }
 
-func TestFleetGivesUpOnASilentProcess(t *testing.T) {
+func TestFleetTimesOutOnUnresponsiveProcess(t *testing.T) {
 	is := is.New(t)
-	silent := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
-	r := burdockctl(t, "fleet", "--operator", silent, "--timeout", "10ms")
+	unresponsive := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
+	r := burdockctl(t, "fleet", "--operator", unresponsive, "--timeout", "10ms")
 	is.Equal(r.code, ExitFailure)
-	is.True(strings.Contains(row(t, r.out, silent), "unreachable no answer in time"))
+	is.True(strings.Contains(row(t, r.out, unresponsive), "unreachable no answer in time"))
 }
 
 func TestDumpPrintsOneProcess(t *testing.T) {
--- a/internal/ctl/fleetreport.go
+++ b/internal/ctl/fleetreport.go
@@ -11,24 +11,24 @@
 
 // fleetReport is the state of all processes asked.
 type fleetReport struct {
-	Processes   []member `json:"processes"`
-	Ready       int      `json:"ready"`
-	Unreachable int      `json:"unreachable"`
+	Processes   []processReport `json:"processes"`
+	Ready       int             `json:"ready"`
+	Unreachable int             `json:"unreachable"`
 	// BundleVersions counts processes by the version they have in force.
 	BundleVersions map[uint64]int `json:"bundle_versions"`
 }
 
-func newFleetReport(members []member) fleetReport {
-	r := fleetReport{Processes: members, BundleVersions: make(map[uint64]int)}
-	for _, m := range members {
+func newFleetReport(reports []processReport) fleetReport {
+	r := fleetReport{Processes: reports, BundleVersions: make(map[uint64]int)}
+	for _, p := range reports {
 		switch {
-		case m.Unreachable != "":
+		case p.Unreachable != "":
 			r.Unreachable++
-		case m.Ready:
+		case p.Ready:
 			r.Ready++
 		}
-		if m.Info != nil {
-			r.BundleVersions[m.Info.BundleVersion]++
+		if p.Info != nil {
+			r.BundleVersions[p.Info.BundleVersion]++
 		}
 	}
 	return r
@@ -37,8 +37,8 @@
 func (r fleetReport) writeText(w io.Writer) {
 	t := newTable(w)
 	_, _ = fmt.Fprintln(t, "OPERATOR\tVM\tZONE\tROLE\tINCARNATION\tBUNDLE\tPLATFORM AGE\tSTATE\tREADY")
-	for _, m := range r.Processes {
-		_, _ = fmt.Fprintln(t, strings.Join(m.cells(), "\t"))
+	for _, p := range r.Processes {
+		_, _ = fmt.Fprintln(t, strings.Join(p.cells(), "\t"))
 	}
 	_ = t.Flush()
 	_, _ = fmt.Fprintf(w, "\n%d processes, %d ready, %d unreachable\n", len(r.Processes), r.Ready, r.Unreachable)
@@ -56,21 +56,21 @@
 }
 
 // cells are the columns of a process's row.
-func (m member) cells() []string {
-	unknown := []string{m.Operator, "-", "-", "-", "-", "-", "-"}
-	if m.Unreachable != "" {
-		return append(unknown, "unreachable", m.Unreachable)
+func (p processReport) cells() []string {
+	unknown := []string{p.Operator, "-", "-", "-", "-", "-", "-"}
+	if p.Unreachable != "" {
+		return append(unknown, "unreachable", p.Unreachable)
 	}
 	ready := "ready"
-	if !m.Ready {
-		ready = "not ready: " + m.Why
+	if !p.Ready {
+		ready = "not ready: " + p.NotReadyReason
 	}
-	if m.Info == nil {
+	if p.Info == nil {
 		return append(unknown, "-", ready)
 	}
-	i := m.Info
+	i := p.Info
 	return []string{
-		m.Operator, i.VM, i.Zone, i.Role, fmt.Sprintf("%016x", i.Incarnation), fmt.Sprint(i.BundleVersion),
+		p.Operator, i.VM, i.Zone, i.Role, fmt.Sprintf("%016x", i.Incarnation), fmt.Sprint(i.BundleVersion),
 		platformAge(i.PlatformAgeSeconds), string(i.State), ready,
 	}
 }
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -20,8 +20,8 @@
 	pemType = "PRIVATE KEY"
 	// keyFileMode lets only its owner read a private key.
 	keyFileMode = 0o600
-	// othersMode are the permissions that a private key must not have.
-	othersMode = 0o077
+	// nonOwnerMode are the permissions that a private key must not have.
+	nonOwnerMode = 0o077
 )
 
 // BundleKeygenCmd makes a reviewer's key pair.
@@ -78,20 +78,20 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "ctl.sign: read key")
 	}
-	if info, err := os.Stat(file); err == nil && info.Mode().Perm()&othersMode != 0 {
+	if info, err := os.Stat(file); err == nil && info.Mode().Perm()&nonOwnerMode != 0 {
 		_, _ = fmt.Fprintf(w, "burdockctl: warning: others than its owner can use the key %s (mode %o)\n", file, info.Mode().Perm())
 	}
 	block, _ := pem.Decode(data)
 	if block == nil || block.Type != pemType {
-		return nil, usage("%s: not a private key in PEM", file)
+		return nil, usageErrorf("%s: not a private key in PEM", file)
 	}
 	key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, usage("%s: %v", file, err)
+		return nil, usageErrorf("%s: %v", file, err)
 	}
 	private, ok := key.(ed25519.PrivateKey)
 	if !ok {
-		return nil, usage("%s: not an ed25519 key", file)
+		return nil, usageErrorf("%s: not an ed25519 key", file)
 	}
 	return private, nil
 }
--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -20,7 +20,7 @@
 // Run implements the command.
 func (c *LossesCmd) Run(app *App) error {
 	if !c.From.IsZero() && !c.To.IsZero() && !c.From.Before(c.To) {
-		return usage("--from: want a time before --to, got %v and %v", c.From, c.To)
+		return usageErrorf("--from: want a time before --to, got %v and %v", c.From, c.To)
 	}
 	var lines []story.Line
 	for _, name := range c.Files {
@@ -35,8 +35,8 @@
 
 // lossesReport is the ledger as it is printed.
 type lossesReport struct {
-	Causes  []lossesCause `json:"causes"`
-	LeftOut int64         `json:"lines_left_out"`
+	Causes       []lossesCause `json:"causes"`
+	DroppedLines int64         `json:"lines_left_out"`
 }
 
 type lossesCause struct {
@@ -46,9 +46,9 @@
 	IDs      []string `json:"first_ids"`
 }
 
-func newLossesReport(l *losses.Summary) lossesReport {
-	r := lossesReport{LeftOut: l.DroppedLines}
-	for _, c := range l.Causes {
+func newLossesReport(summary *losses.Summary) lossesReport {
+	r := lossesReport{DroppedLines: summary.DroppedLines}
+	for _, c := range summary.Causes {
 		r.Causes = append(r.Causes, lossesCause{c.Name, c.Requests, c.Late, c.IDs})
 	}
 	return r
@@ -61,7 +61,7 @@
 		_, _ = fmt.Fprintf(t, "%d\t%d\t%s\t%s\n", c.Requests, c.Late, c.Cause, strings.Join(c.IDs, " "))
 	}
 	_ = t.Flush()
-	if r.LeftOut > 0 {
-		_, _ = fmt.Fprintf(w, "%d lines were left out by the logs' limits: there were more than these.\n", r.LeftOut)
+	if r.DroppedLines > 0 {
+		_, _ = fmt.Fprintf(w, "%d lines were left out by the logs' limits: there were more than these.\n", r.DroppedLines)
 	}
 }
--- a/internal/ctl/reach.go
+++ b/internal/ctl/reach.go
@@ -21,7 +21,7 @@
 // checkAddress refuses an address that isn't IP:PORT.
 func checkAddress(flag, addr string) error {
 	if a, err := netip.ParseAddrPort(addr); err != nil || a.Port() == 0 {
-		return usage("%s: want IP:PORT, got %q", flag, addr)
+		return usageErrorf("%s: want IP:PORT, got %q", flag, addr)
 	}
 	return nil
 }
--- a/internal/ctl/request_test.go
+++ b/internal/ctl/request_test.go
@@ -20,8 +20,8 @@
 
 // fakeEntry answers as it is told and notes what came.
 type fakeEntry struct {
-	err  error
-	hang bool // close the connection in place of an answer
+	err   error
+	abort bool // close the connection in place of an answer
 
 	mu sync.Mutex
 	// guarded by mu
@@ -30,7 +30,7 @@
 	orders   []*pb.OrderRequest
 }
 
-func (e *fakeEntry) note(ctx context.Context) {
+func (e *fakeEntry) record(ctx context.Context) {
 	info, _ := connect.CallInfoForHandlerContext(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,7 +39,7 @@
 }
 
 func (e *fakeEntry) Search(ctx context.Context, req *pb.SearchRequest) (*pb.SearchResponse, error) {
-	e.note(ctx)
+	e.record(ctx)
 	if e.err != nil {
 		return nil, e.err
 	}
@@ -55,17 +55,17 @@
 }
 
 func (e *fakeEntry) IssueTicket(ctx context.Context, _ *pb.IssueTicketRequest) (*pb.IssueTicketResponse, error) {
-	e.note(ctx)
+	e.record(ctx)
 	return &pb.IssueTicketResponse{Ticket: "t-1", Expires: timestamppb.New(time.Unix(1000, 0))}, nil
 }
 
 func (e *fakeEntry) Order(ctx context.Context, req *pb.OrderRequest) (*pb.OrderResponse, error) {
-	e.note(ctx)
+	e.record(ctx)
 	e.mu.Lock()
 	e.orders = append(e.orders, req)
 	replayed := len(e.orders) > 1
 	e.mu.Unlock()
-	if e.hang {
+	if e.abort {
 		panic(http.ErrAbortHandler)
 	}
 	if e.err != nil {
@@ -84,16 +84,16 @@
 }
 
 func searchArgs(t *testing.T, entry string, more ...string) []string {
-	return append([]string{"search", "--entry", entry, "--token-file", write(t, "token", "secret\n"),
+	return append([]string{"search", "--entry", entry, "--token-file", writeFile(t, "token", "secret\n"),
 		"--service", "teachers", "--kind", "dawn", "--query", "maths"}, more...)
 }
 
 func orderArgs(t *testing.T, command, entry string, more ...string) []string {
-	return append([]string{"order", command, "--entry", entry, "--token-file", write(t, "token", "secret\n"),
+	return append([]string{"order", command, "--entry", entry, "--token-file", writeFile(t, "token", "secret\n"),
 		"--service", "teachers", "--kind", "book", "--key", "school-1", "--payload", "Anna"}, more...)
 }
 
-func TestSearchShowsTheAnswer(t *testing.T) {
+func TestSearchPrintsAnswer(t *testing.T) {
 	is := is.New(t)
 	e := new(fakeEntry)
 	addr := serveEntry(t, e)
@@ -117,10 +117,10 @@
 func TestOutcomesHaveTheirExitCodes(t *testing.T) {
 	wait := 1500 * time.Millisecond
 	tests := []struct {
-		name string
-		err  *outcome.Error
-		code int
-		says []string
+		name       string
+		err        *outcome.Error
+		code       int
+		wantOutput []string
 	}{
 		{"not run", outcome.NotRun(pb.Reason_REASON_QUEUE_FULL, "entry.admission", "queue of 10").After(wait), ExitNotRun,
 			[]string{"not_run", "queue_full", "entry.admission", "come back in", "1.5s", "req-9"}},
@@ -135,7 +135,7 @@
 			addr := serveEntry(t, &fakeEntry{err: outcome.ToConnect(tt.err, "req-9")})
 			r := burdockctl(t, searchArgs(t, addr)...)
 			is.Equal(r.code, tt.code)
-			for _, part := range tt.says {
+			for _, part := range tt.wantOutput {
 				is.True(strings.Contains(r.out, part)) // part of the outcome
 			}
 			var got failureReport
@@ -160,7 +160,7 @@
 
 func TestOrderWithoutAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
-	e := &fakeEntry{hang: true}
+	e := &fakeEntry{abort: true}
 	r := burdockctl(t, orderArgs(t, "run", serveEntry(t, e))...)
 	is.Equal(r.code, ExitUnknown)
 	is.True(strings.HasPrefix(r.out, "ticket")) // printed before the order went out
--- a/internal/ctl/settingscheck.go
+++ b/internal/ctl/settingscheck.go
@@ -31,10 +31,10 @@
 func (c *SettingsCheckCmd) Run(app *App) error {
 	defaults, ok := app.programs[c.Program]
 	if !ok {
-		return usage("this build can't check the settings of %q", c.Program)
+		return usageErrorf("this build can't check the settings of %q", c.Program)
 	}
 	if err := settings.Load(c.File, defaults()); err != nil {
-		return refused(err)
+		return usageError(err)
 	}
 	_, err := fmt.Fprintln(app.Out, "ok")
 	return err
--- a/internal/ctl/story.go
+++ b/internal/ctl/story.go
@@ -24,7 +24,7 @@
 // Run implements the command.
 func (c *StoryCmd) Run(app *App) error {
 	if c.Around < 0 {
-		return usage("--around: want 0s or more, got %v", c.Around)
+		return usageErrorf("--around: want 0s or more, got %v", c.Around)
 	}
 	var lines []story.Line
 	skipped := 0
@@ -36,15 +36,15 @@
 		lines = append(lines, log.Lines...)
 		skipped += log.Skipped
 	}
-	told, err := story.Collect(lines, c.ID, c.Around)
+	selected, err := story.Collect(lines, c.ID, c.Around)
 	var unknown *story.UnknownError
 	if errors.As(err, &unknown) {
-		return usage("%v (%d lines read, %d passed over)", err, len(lines), skipped)
+		return usageErrorf("%v (%d lines read, %d passed over)", err, len(lines), skipped)
 	}
 	if err != nil {
 		return err
 	}
-	return app.print(newStoryReport(c.ID, told))
+	return app.print(newStoryReport(c.ID, selected))
 }
 
 func readLog(name string) (*story.Log, error) {
@@ -71,8 +71,8 @@
 	Where        string         `json:"where"`
 }
 
-// told are the fields of a line that the report shows apart, or that every line of a log has.
-var told = []string{decision.FieldTime, decision.FieldVM, decision.FieldMsg, "level", "program"}
+// omittedFields are the fields of a line that the report shows apart, or that every line of a log has.
+var omittedFields = []string{decision.FieldTime, decision.FieldVM, decision.FieldMsg, "level", "program"}
 
 func newStoryReport(id string, lines []story.Line) storyReport {
 	own := func(l story.Line) bool { return l.Fields[decision.FieldID] == id }
@@ -81,7 +81,7 @@
 	for _, l := range lines {
 		fields := make(map[string]any)
 		for k, v := range l.Fields {
-			if !slices.Contains(told, k) && !empty(v) {
+			if !slices.Contains(omittedFields, k) && !isEmpty(v) {
 				fields[k] = v
 			}
 		}
@@ -93,8 +93,8 @@
 	return r
 }
 
-// empty tells whether a field says nothing.
-func empty(v any) bool { return v == nil || v == "" || v == json.Number("0") }
+// isEmpty tells whether a field says nothing.
+func isEmpty(v any) bool { return v == nil || v == "" || v == json.Number("0") }
 
 func (r storyReport) writeText(w io.Writer) {
 	t := newTable(w)
