--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -16,8 +16,8 @@
 	"github.com/burdockplank/burdockplank/internal/decision"
 )
 
-// lineMost bounds a log line, in bytes; the longest that the programs write are some kilobytes.
-const lineMost = 1 << 20
+// maxLineBytes bounds a log line, in bytes; the longest that the programs write are some kilobytes.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
@@ -42,7 +42,7 @@
 func Read(file string, r io.Reader) (*Log, error) {
 	log := new(Log)
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for n := 1; s.Scan(); n++ {
 		line, ok := parse(s.Bytes())
 		if !ok {
@@ -96,14 +96,14 @@
 // it, and those between the given time before the first and the same time after the last in which a VM
 // that served it tells of itself, or any VM of a leaf or service that the request's lines name. Each VM
 // writes times by its own clock. It returns an *UnknownError where no line names the request.
-func Collect(lines []Line, id string, around time.Duration) ([]Line, error) {
-	c := newChapter(lines, id)
-	if c == nil {
+func Collect(lines []Line, id string, margin time.Duration) ([]Line, error) {
+	scope := newRequestScope(lines, id)
+	if scope == nil {
 		return nil, &UnknownError{ID: id}
 	}
 	var out []Line
 	for _, l := range lines {
-		if l.text(decision.FieldID) == id || c.concerns(&l, around) {
+		if l.text(decision.FieldID) == id || scope.includes(&l, margin) {
 			out = append(out, l)
 		}
 	}
@@ -111,57 +111,57 @@
 	return out, nil
 }
 
-// chapter is what a request's own lines tell.
-type chapter struct {
+// requestScope is what a request's own lines tell.
+type requestScope struct {
 	first, last time.Time
 	vms, leaves map[string]bool
 	services    map[string]bool
 }
 
-// newChapter gathers the request's own lines; nil where there are none.
-func newChapter(lines []Line, id string) *chapter {
-	c := &chapter{vms: make(map[string]bool), leaves: make(map[string]bool), services: make(map[string]bool)}
+// newRequestScope gathers the request's own lines; nil where there are none.
+func newRequestScope(lines []Line, id string) *requestScope {
+	s := &requestScope{vms: make(map[string]bool), leaves: make(map[string]bool), services: make(map[string]bool)}
 	for _, l := range lines {
 		if l.text(decision.FieldID) != id {
 			continue
 		}
-		if c.first.IsZero() || l.At.Before(c.first) {
-			c.first = l.At
+		if s.first.IsZero() || l.At.Before(s.first) {
+			s.first = l.At
 		}
-		if l.At.After(c.last) {
-			c.last = l.At
+		if l.At.After(s.last) {
+			s.last = l.At
 		}
-		c.vms[l.VM] = true
-		c.noteCalls(&l)
+		s.vms[l.VM] = true
+		s.addCalls(&l)
 	}
-	if len(c.vms) == 0 {
+	if len(s.vms) == 0 {
 		return nil
 	}
-	return c
+	return s
 }
 
-// noteCalls takes the leaves and services of the line's bad calls.
-func (c *chapter) noteCalls(l *Line) {
+// addCalls takes the leaves and services of the line's bad calls.
+func (s *requestScope) addCalls(l *Line) {
 	calls, _ := l.Fields[decision.FieldBadCalls].([]any)
 	for _, call := range calls {
 		fields, _ := call.(map[string]any)
 		if leaf, _ := fields[decision.FieldLeaf].(string); leaf != "" {
-			c.leaves[leaf] = true
+			s.leaves[leaf] = true
 		}
 		if service, _ := fields[decision.FieldService].(string); service != "" {
-			c.services[service] = true
+			s.services[service] = true
 		}
 	}
 }
 
-// concerns tells whether a line that names another request, or none, belongs to the story.
-func (c *chapter) concerns(l *Line, around time.Duration) bool {
-	if l.Msg == decision.MsgRequest || l.At.Before(c.first.Add(-around)) || l.At.After(c.last.Add(around)) {
+// includes tells whether a line that names another request, or none, belongs to the story.
+func (s *requestScope) includes(l *Line, margin time.Duration) bool {
+	if l.Msg == decision.MsgRequest || l.At.Before(s.first.Add(-margin)) || l.At.After(s.last.Add(margin)) {
 		return false
 	}
 	leaf, service := l.text(decision.FieldLeaf), l.text(decision.FieldService)
 	if leaf == "" && service == "" {
-		return c.vms[l.VM]
+		return s.vms[l.VM]
 	}
-	return c.leaves[leaf] || leaf == "" && c.services[service]
+	return s.leaves[leaf] || leaf == "" && s.services[service]
 }
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -40,9 +40,9 @@
 	return all
 }
 
-func told(t *testing.T, id string, around time.Duration) string {
+func collected(t *testing.T, id string, margin time.Duration) string {
 	t.Helper()
-	story, err := Collect(lines(t), id, around)
+	story, err := Collect(lines(t), id, margin)
 	is.New(t).NoErr(err)
 	var out []string
 	for _, l := range story {
@@ -51,10 +51,10 @@
 	return strings.Join(out, "; ")
 }
 
-func TestTell(t *testing.T) {
+func TestCollect(t *testing.T) {
 	for name, tt := range map[string]struct {
 		id     string
-		around time.Duration
+		margin time.Duration
 		want   string
 	}{
 		"own lines of all VMs": {"r-1", 0, "vm-1 request; vm-2 request"},
@@ -62,7 +62,7 @@
 		"further around":       {"r-1", time.Minute, "vm-1 started; vm-1 store lost; vm-2 store regained; vm-2 leaf crashed with a request in flight; vm-1 request; vm-2 request"},
 		"a request of one VM":  {"r-2", 2 * time.Second, "vm-1 store lost; vm-1 request"},
 	} {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(told(t, tt.id, tt.around), tt.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(collected(t, tt.id, tt.margin), tt.want) })
 	}
 }
 
@@ -75,7 +75,7 @@
 }
 
 func TestOverlongLine(t *testing.T) {
-	_, err := Read("f", strings.NewReader(strings.Repeat("x", lineMost+1)))
+	_, err := Read("f", strings.NewReader(strings.Repeat("x", maxLineBytes+1)))
 	is.New(t).True(err != nil)
 }
 
