--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -1,5 +1,6 @@
-// Package story puts the log lines of several VMs about one request in order: its own lines, and what
-// the VMs that served it came to believe around it, of themselves and of the leaves it named.
+// Package story collects the log lines about one request from the logs of several VMs and sorts them by time.
+// These are the lines that name the request and the lines around it about the VMs that served it and about the
+// leaves and services that it names.
 package story
 
 import (
@@ -16,29 +17,30 @@
 	"github.com/burdockplank/burdockplank/internal/decision"
 )
 
-// maxLineBytes bounds a log line, in bytes; the longest that the programs write are some kilobytes.
+// maxLineBytes bounds the length of a log line. The longest lines that the programs write are a few kilobytes.
 const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is one parsed line of a log.
 type Line struct {
 	At time.Time
-	// VM that wrote it, and Msg, what it is about.
+	// VM is the VM that wrote the line. Msg is its message.
 	VM, Msg string
-	// Fields hold all that the line says, those of above included.
+	// Fields holds all fields of the line, including the time, the VM and the message.
 	Fields map[string]any
-	// File and Number say where the line stands; the first is 1.
+	// File and Number locate the line. The first line of a file has number 1.
 	File   string
 	Number int
 }
 
-// Log is what was read of one file.
+// Log holds the lines read from one file.
 type Log struct {
 	Lines []Line
-	// Skipped counts lines that are no log lines of the programs.
+	// Skipped counts the lines that are not log lines of the programs.
 	Skipped int
 }
 
-// Read reads a log. Text before a line's first brace, as a supervisor may put there, is passed over.
+// Read reads a log. It ignores text before the first brace of a line, such as a prefix from a supervisor. It
+// returns an error if reading fails or a line exceeds maxLineBytes.
 func Read(file string, r io.Reader) (*Log, error) {
 	log := new(Log)
 	s := bufio.NewScanner(r)
@@ -58,7 +60,7 @@
 	return log, nil
 }
 
-// parse takes a line apart; false where it is none of the programs'.
+// parse parses a line. It returns false if the line is not a log line of the programs.
 func parse(text []byte) (Line, bool) {
 	brace := bytes.IndexByte(text, '{')
 	if brace < 0 {
@@ -78,24 +80,24 @@
 	return l, l.Msg != ""
 }
 
-// text returns a field that is text, empty where it is none.
+// text returns the value of a text field, or "" if the field is missing or not text.
 func (l *Line) text(field string) string {
 	s, _ := l.Fields[field].(string)
 	return s
 }
 
-// UnknownError says that no line names the request.
+// UnknownError reports that no line names the request.
 type UnknownError struct{ ID string }
 
 // Error implements error.
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("story: no line names the request %q; plain successes have none, and lines beyond the log's limits were left out", e.ID)
+	return fmt.Sprintf("story: no line names the request %q; plain successes are not logged, and lines beyond the log's limits were left out", e.ID)
 }
 
-// Collect returns the lines that belong to the request's story, in the order of their times: those that name
-// it, and those between the given time before the first and the same time after the last in which a VM
-// that served it tells of itself, or any VM of a leaf or service that the request's lines name. Each VM
-// writes times by its own clock. It returns an *UnknownError where no line names the request.
+// Collect returns the lines about the request, sorted by time. These are the lines that name the request and,
+// from margin before the first to margin after the last of those, two more kinds: lines of a VM that served
+// the request which name no leaf or service, and lines of any VM about a leaf or service that the request's
+// lines name. Each VM writes times by its own clock. It returns an *UnknownError if no line names the request.
 func Collect(lines []Line, id string, margin time.Duration) ([]Line, error) {
 	scope := newRequestScope(lines, id)
 	if scope == nil {
@@ -111,14 +113,14 @@
 	return out, nil
 }
 
-// requestScope is what a request's own lines tell.
+// requestScope holds the time span, VMs, leaves and services that a request's own lines name.
 type requestScope struct {
 	first, last time.Time
 	vms, leaves map[string]bool
 	services    map[string]bool
 }
 
-// newRequestScope gathers the request's own lines; nil where there are none.
+// newRequestScope returns the scope of the request's own lines, or nil if there are none.
 func newRequestScope(lines []Line, id string) *requestScope {
 	s := &requestScope{vms: make(map[string]bool), leaves: make(map[string]bool), services: make(map[string]bool)}
 	for _, l := range lines {
@@ -140,7 +142,7 @@
 	return s
 }
 
-// addCalls takes the leaves and services of the line's bad calls.
+// addCalls adds the leaves and services of the line's bad calls to the scope.
 func (s *requestScope) addCalls(l *Line) {
 	calls, _ := l.Fields[decision.FieldBadCalls].([]any)
 	for _, call := range calls {
@@ -154,7 +156,8 @@
 	}
 }
 
-// includes tells whether a line that names another request, or none, belongs to the story.
+// includes reports whether a line that names another request or none belongs to the request's story. Lines of
+// requests never do.
 func (s *requestScope) includes(l *Line, margin time.Duration) bool {
 	if l.Msg == decision.MsgRequest || l.At.Before(s.first.Add(-margin)) || l.At.After(s.last.Add(margin)) {
 		return false
