--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -13,8 +13,8 @@
 	"github.com/burdockplank/burdockplank/internal/story"
 )
 
-// idsMost is how many requests of a cause are named.
-const idsMost = 3
+// maxIDs is how many requests of a cause are named.
+const maxIDs = 3
 
 // Cause is what befell requests, and how many.
 type Cause struct {
@@ -38,13 +38,13 @@
 // request is what a line says of a request.
 type request struct {
 	id, outcome, reason, gatherer string
-	took, target                  float64
-	bad                           []string
+	elapsed, target               float64
+	badCalls                      []string
 }
 
 // Summarize returns the ledger of the lines between two times; a zero time is no bound.
 func Summarize(lines []story.Line, from, to time.Time) *Summary {
-	l := new(Summary)
+	summary := new(Summary)
 	causes := make(map[string]*Cause)
 	for i := range lines {
 		line := &lines[i]
@@ -53,22 +53,22 @@
 		}
 		switch line.Msg {
 		case decision.MsgLeftOut:
-			l.DroppedLines += int64(number(line.Fields[decision.FieldLines]))
+			summary.DroppedLines += int64(number(line.Fields[decision.FieldLines]))
 		case decision.MsgRequest:
-			note(causes, read(line))
+			countRequest(causes, parseRequest(line))
 		}
 	}
 	for _, c := range causes {
-		l.Causes = append(l.Causes, *c)
+		summary.Causes = append(summary.Causes, *c)
 	}
-	slices.SortFunc(l.Causes, func(a, b Cause) int { return cmp.Or(b.Requests-a.Requests, strings.Compare(a.Name, b.Name)) })
-	return l
+	slices.SortFunc(summary.Causes, func(a, b Cause) int { return cmp.Or(b.Requests-a.Requests, strings.Compare(a.Name, b.Name)) })
+	return summary
 }
 
-// note counts a request under its cause; one that was whole and in time, or that another VM's line tells of, has
+// countRequest counts a request under its cause; one that was whole and in time, or that another VM's line tells of, has
 // none.
-func note(causes map[string]*Cause, r *request) {
-	late := r.target > 0 && r.took > r.target
+func countRequest(causes map[string]*Cause, r *request) {
+	late := r.target > 0 && r.elapsed > r.target
 	name := causeOf(r)
 	if r.gatherer != "" || name == "" && !late {
 		return
@@ -85,7 +85,7 @@
 	if late {
 		c.Late++
 	}
-	if len(c.IDs) < idsMost {
+	if len(c.IDs) < maxIDs {
 		c.IDs = append(c.IDs, r.id)
 	}
 }
@@ -96,28 +96,28 @@
 	case r.outcome != "served":
 		return strings.TrimRight(r.outcome+": "+r.reason, ": ")
 	case r.reason == "partial":
-		return "partial: " + worst(r.bad)
+		return "partial: " + mainFailure(r.badCalls)
 	}
 	return ""
 }
 
-// kinds of bad calls from the one that explains most to the one that explains least.
-var kinds = []string{"no budget for a repeat", "no connection free", "no answer yet", "refused", "no connection"}
+// failureKinds of bad calls from the one that explains most to the one that explains least.
+var failureKinds = []string{"no budget for a repeat", "no connection free", "no answer yet", "refused", "no connection"}
 
-// worst returns the kind of bad call that explains best why a shard is missing.
-func worst(bad []string) string {
-	for _, k := range kinds {
-		if slices.Contains(bad, k) {
+// mainFailure returns the kind of bad call that explains best why a shard is missing.
+func mainFailure(badCalls []string) string {
+	for _, k := range failureKinds {
+		if slices.Contains(badCalls, k) {
 			return k
 		}
 	}
-	if len(bad) == 0 {
+	if len(badCalls) == 0 {
 		return "not told"
 	}
 	return "failed calls"
 }
 
-func read(line *story.Line) *request {
+func parseRequest(line *story.Line) *request {
 	text := func(name string) string {
 		s, _ := line.Fields[name].(string)
 		return s
@@ -125,13 +125,13 @@
 	r := &request{
 		id: text(decision.FieldID), outcome: text(decision.FieldOutcome), reason: text(decision.FieldReason),
 		gatherer: text(decision.FieldGatherer),
-		took:     number(line.Fields[decision.FieldTook]), target: number(line.Fields[decision.FieldTarget]),
+		elapsed:  number(line.Fields[decision.FieldTook]), target: number(line.Fields[decision.FieldTarget]),
 	}
 	calls, _ := line.Fields[decision.FieldBadCalls].([]any)
 	for _, c := range calls {
 		if fields, ok := c.(map[string]any); ok {
 			what, _ := fields[decision.FieldWhat].(string)
-			r.bad = append(r.bad, what)
+			r.badCalls = append(r.badCalls, what)
 		}
 	}
 	return r
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -21,18 +21,18 @@
 {"time":"2026-01-27T11:00:05Z","vm":"a","msg":"log lines left out","lines":7}
 {"time":"2026-01-27T11:00:05Z","vm":"a","msg":"started"}`
 
-func TestLedger(t *testing.T) {
+func TestSummarize(t *testing.T) {
 	is := is.New(t)
 	read, err := story.Read("a", strings.NewReader(log))
 	is.NoErr(err)
-	l := Summarize(read.Lines, time.Time{}, time.Time{})
-	is.Equal(l.Causes, []Cause{
+	summary := Summarize(read.Lines, time.Time{}, time.Time{})
+	is.Equal(summary.Causes, []Cause{
 		{Name: "partial: no answer yet", Requests: 2, Late: 1, IDs: []string{"1", "2"}},
 		{Name: "not_run: busy_leaves", Requests: 1, IDs: []string{"5"}},
 		{Name: "served late", Requests: 1, Late: 1, IDs: []string{"3"}},
 		{Name: "unknown", Requests: 1, IDs: []string{"6"}},
 	})
-	is.Equal(l.DroppedLines, int64(7))
+	is.Equal(summary.DroppedLines, int64(7))
 	at := time.Date(2026, 1, 27, 11, 0, 2, 0, time.UTC)
 	is.Equal(len(Summarize(read.Lines, at, at.Add(time.Second)).Causes), 2)
 }
