--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,5 +1,6 @@
-// Package losses tells from log lines where answers were lost, or worth less than whole ones in time: how many
-// requests by cause and by time, with ids to begin a walk at.
+// Package losses counts, from log lines, the requests that got no answer, a partial answer or a late one. It
+// groups them by cause within a time range and names the first request ids of each cause as starting points for
+// an investigation.
 package losses
 
 import (
@@ -13,36 +14,38 @@
 	"github.com/burdockplank/burdockplank/internal/story"
 )
 
-// maxIDs is how many requests of a cause are named.
+// maxIDs is the maximum number of request ids listed per cause.
 const maxIDs = 3
 
-// Cause is what befell requests, and how many.
+// Cause counts the requests that were lost or degraded for one cause.
 type Cause struct {
-	// Name is the outcome with its reason, and for an answer without some shards what those were missing for.
+	// Name is the outcome with its reason. For a partial answer it is why shards are missing.
 	Name     string
 	Requests int
-	// Late is how many of them were answered after the target.
+	// Late counts those of the requests that were answered after their target latency.
 	Late int
-	// IDs of the first of them.
+	// IDs holds the ids of the first maxIDs requests.
 	IDs []string
 }
 
-// Summary is what was lost.
+// Summary holds the lost and degraded requests by cause.
 type Summary struct {
-	// Causes, the most frequent first.
+	// Causes is sorted by number of requests, the most frequent first.
 	Causes []Cause
-	// DroppedLines counts lines that the volume limit left out: requests are at least as many as said.
+	// DroppedLines counts the log lines that were dropped by the log's volume limit. If it isn't 0, the numbers of
+	// requests are lower bounds.
 	DroppedLines int64
 }
 
-// request is what a line says of a request.
+// request is one parsed log line of a request. elapsed and target are in seconds.
 type request struct {
 	id, outcome, reason, gatherer string
 	elapsed, target               float64
 	badCalls                      []string
 }
 
-// Summarize returns the ledger of the lines between two times; a zero time is no bound.
+// Summarize returns the summary of the lines from the time from, inclusive, to the time to, exclusive. A zero
+// time is no bound.
 func Summarize(lines []story.Line, from, to time.Time) *Summary {
 	summary := new(Summary)
 	causes := make(map[string]*Cause)
@@ -65,8 +68,8 @@
 	return summary
 }
 
-// countRequest counts a request under its cause; one that was whole and in time, or that another VM's line tells of, has
-// none.
+// countRequest counts a request under its cause. It ignores a request that was answered wholly and in time, and a
+// line that names another VM as gatherer, because that VM's own line counts the request.
 func countRequest(causes map[string]*Cause, r *request) {
 	late := r.target > 0 && r.elapsed > r.target
 	name := causeOf(r)
@@ -90,7 +93,7 @@
 	}
 }
 
-// causeOf names what a request lacks; empty for a whole answer.
+// causeOf returns the name of the cause, or "" for a whole answer.
 func causeOf(r *request) string {
 	switch {
 	case r.outcome != "served":
@@ -101,10 +104,10 @@
 	return ""
 }
 
-// failureKinds of bad calls from the one that explains most to the one that explains least.
+// failureKinds lists the kinds of bad calls, the one that best explains a missing shard first.
 var failureKinds = []string{"no budget for a repeat", "no connection free", "no answer yet", "refused", "no connection"}
 
-// mainFailure returns the kind of bad call that explains best why a shard is missing.
+// mainFailure returns the kind of bad call that best explains why a shard is missing.
 func mainFailure(badCalls []string) string {
 	for _, k := range failureKinds {
 		if slices.Contains(badCalls, k) {
@@ -117,6 +120,7 @@
 	return "failed calls"
 }
 
+// parseRequest reads the fields of a request's log line. Missing fields stay zero.
 func parseRequest(line *story.Line) *request {
 	text := func(name string) string {
 		s, _ := line.Fields[name].(string)
@@ -137,7 +141,7 @@
 	return r
 }
 
-// number returns a field that is a number, 0 where it is none.
+// number returns the value of a numeric field, or 0 if it is not a number.
 func number(v any) float64 {
 	n, _ := v.(json.Number)
 	f, err := n.Float64()
