--- a/internal/capacity/bundle.go
+++ b/internal/capacity/bundle.go
@@ -13,9 +13,9 @@
 
 // The two-year bundle: services with leaves of two replicas a shard and three snapshots.
 const (
-	services         = 31
-	leavesAService   = 100
-	snapshotsService = 3
+	services            = 31
+	leavesPerService    = 100
+	snapshotsPerService = 3
 )
 
 // bundleText returns a bundle of 3,100 leaves. From one version to the next two
@@ -29,12 +29,12 @@
 			timeout += int(version)
 		}
 		fmt.Fprintf(&b, "[[service]]\nname = \"s%d\"\n[[service.kind]]\nname = \"k\"\nmode = \"search\"\ntimeout = \"%dms\"\n", s, timeout)
-		for l := range leavesAService {
+		for l := range leavesPerService {
 			fmt.Fprintf(&b, "[[service.leaf]]\nid = \"leaf-s%d-%d\"\nzone = \"az-%d\"\naddress = \"10.%d.0.%d:9001\"\nslots = 3\nconnections = 30\n", s, l, l%4+1, s, l)
 		}
-		for v := 1; v <= snapshotsService; v++ {
+		for v := 1; v <= snapshotsPerService; v++ {
 			fmt.Fprintf(&b, "[[service.snapshot]]\nversion = %d\n", v)
-			for sh := range leavesAService / 2 {
+			for sh := range leavesPerService / 2 {
 				fmt.Fprintf(&b, "[[service.snapshot.shard]]\nid = %d\ndocuments = 1000000\nleaves = [\"leaf-s%d-%d\", \"leaf-s%d-%d\"]\n", sh, s, 2*sh, s, 2*sh+1)
 			}
 		}
--- a/internal/capacity/bundle_test.go
+++ b/internal/capacity/bundle_test.go
@@ -19,13 +19,13 @@
 		leaves += len(s.Leaves)
 	}
 	is.Equal(leaves, 3100)
-	held := make(map[bundle.Digest]bool)
+	previous := make(map[bundle.Digest]bool)
 	for _, s := range bundle.Split(before) {
-		held[bundle.SectionDigest(s)] = true
+		previous[bundle.SectionDigest(s)] = true
 	}
 	changed := 0
 	for _, s := range bundle.Split(after) {
-		if !held[bundle.SectionDigest(s)] {
+		if !previous[bundle.SectionDigest(s)] {
 			changed++
 		}
 	}
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// pollPeriod is how often it is looked whether a version is everywhere.
-	pollPeriod = 20 * time.Millisecond
-	// startPause is the time between two starts, so that not all ask the first ones for all sections.
-	startPause = 10 * time.Millisecond
+	// pollInterval is how often it is looked whether a version is everywhere.
+	pollInterval = 20 * time.Millisecond
+	// startInterval is the time between two starts, so that not all ask the first ones for all sections.
+	startInterval = 10 * time.Millisecond
 	// firstHost leaves the low numbers to the platform.
 	firstHost = 256
 )
@@ -33,12 +33,12 @@
 
 	mu sync.Mutex
 	// nodes and zoneOf (by IP:PORT) are guarded by mu.
-	nodes  []*node
-	zoneOf map[string]string
-	next   int
-	// retired holds what the counters of ended VMs stood at; guarded by mu.
-	retired totals
-	version uint64
+	nodes      []*node
+	zoneOf     map[string]string
+	nextNumber int
+	// stoppedTotals holds what the counters of ended VMs stood at; guarded by mu.
+	stoppedTotals totals
+	version       uint64
 }
 
 // totals are sums over all VMs, sent and received.
@@ -81,8 +81,8 @@
 // add starts the next VM.
 func (f *fleet) add(ctx context.Context) error {
 	f.mu.Lock()
-	number := f.next
-	f.next++
+	number := f.nextNumber
+	f.nextNumber++
 	f.mu.Unlock()
 	n, err := newNode(ctx, f, number)
 	if err != nil {
@@ -103,7 +103,7 @@
 	f.mu.Unlock()
 	old.stop()
 	f.mu.Lock()
-	f.retired.add(old)
+	f.stoppedTotals.add(old)
 	f.mu.Unlock()
 	if err := f.add(ctx); err != nil {
 		return err
@@ -124,20 +124,20 @@
 func (f *fleet) totals() totals {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.retired
+	t := f.stoppedTotals
 	for _, n := range f.nodes {
 		t.add(n)
 	}
 	return t
 }
 
-func (f *fleet) all() []*node {
+func (f *fleet) runningNodes() []*node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*node(nil), f.nodes...)
 }
 
-func (f *fleet) count() int { return len(f.all()) }
+func (f *fleet) count() int { return len(f.runningNodes()) }
 
 // publishList lists the VMs that run, or those that are about to where none does yet, and 3,100 leaves.
 func (f *fleet) publishList(vms int) {
@@ -147,13 +147,13 @@
 			Address: f.ip(number), EntryPort: 7400, GatherPort: 7401, SyncPort: syncPort, OperatorPort: 7412, State: platform.StateLive})
 	}
 	f.mu.Lock()
-	last := f.next
+	last := f.nextNumber
 	f.mu.Unlock()
 	for number := max(0, last-vms); number < max(last, vms); number++ {
 		vm(number)
 	}
 	for s := range services {
-		for i := range leavesAService {
+		for i := range leavesPerService {
 			l.Leaves = append(l.Leaves, platform.Leaf{ID: fmt.Sprintf("leaf-s%d-%d", s, i), Zone: fmt.Sprintf("az-%d", i%4+1),
 				Address: fmt.Sprintf("10.%d.0.%d:9001", s, i), State: platform.StateLive})
 		}
@@ -179,7 +179,7 @@
 func (f *fleet) setCut(on bool) error {
 	var faults platform.Faults
 	if on {
-		for _, n := range f.all() {
+		for _, n := range f.runningNodes() {
 			if n.zone == cutZone {
 				faults.CutSources = append(faults.CutSources, n.ip)
 			}
@@ -189,33 +189,33 @@
 	return f.platform.SetFaults(faults)
 }
 
-// setDown stops the platform or brings it back.
-func (f *fleet) setDown(on bool) error { return f.platform.SetFaults(platform.Faults{Down: on}) }
+// setOutage stops the platform or brings it back.
+func (f *fleet) setOutage(on bool) error { return f.platform.SetFaults(platform.Faults{Down: on}) }
 
-// publish puts the next version on the platform and returns its length.
-func (f *fleet) publish() (int, error) {
+// publishNext puts the next version on the platform and returns its length.
+func (f *fleet) publishNext() (int, error) {
 	f.version++
 	return publishBundle(f.platform, f.key, f.version)
 }
 
-// everywhere waits until the newest version is in force at all VMs, and returns how long that took.
-func (f *fleet) everywhere(ctx context.Context) (time.Duration, error) {
+// awaitVersion waits until the newest version is in force at all VMs, and returns how long that took.
+func (f *fleet) awaitVersion(ctx context.Context) (time.Duration, error) {
 	start := time.Now()
-	left := f.all()
-	for len(left) > 0 {
+	remaining := f.runningNodes()
+	for len(remaining) > 0 {
 		var next []*node
-		for _, n := range left {
+		for _, n := range remaining {
 			if n.version(ctx) < f.version {
 				next = append(next, n)
 			}
 		}
-		if left = next; len(left) == 0 {
+		if remaining = next; len(remaining) == 0 {
 			break
 		}
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(pollPeriod):
+		case <-time.After(pollInterval):
 		}
 	}
 	return time.Since(start), nil
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -53,11 +53,11 @@
 	vms int
 }
 
-func (p *printer) header() {
+func (p *printer) printHeader() {
 	fmt.Println("vms\tphase\tseconds\tbytes/s/VM\tpackets/s/VM\tcalls/s/VM\tCPU % of a core/VM\tRSS MB/VM\tplatform reads/s\tnote")
 }
 
-func (p *printer) line(phase string, from sample, note string) {
+func (p *printer) printPhase(phase string, from sample, note string) {
 	to := p.f.sample()
 	seconds := to.at.Sub(from.at).Seconds()
 	vms := float64(p.vms)
@@ -87,42 +87,42 @@
 	if err != nil {
 		return err
 	}
-	length, err := f.publish()
+	length, err := f.publishNext()
 	if err != nil {
 		return err
 	}
 	p := &printer{f: f, vms: o.VMs}
-	p.header()
+	p.printHeader()
 	from := f.sample()
 	f.publishList(o.VMs)
 	for range o.VMs {
 		if err := f.add(ctx); err != nil {
 			return err
 		}
-		time.Sleep(startPause)
+		time.Sleep(startInterval)
 	}
-	if _, err := f.everywhere(ctx); err != nil {
+	if _, err := f.awaitVersion(ctx); err != nil {
 		return err
 	}
-	p.line("start", from, fmt.Sprintf("bundle of %d bytes at all VMs", length))
+	p.printPhase("start", from, fmt.Sprintf("bundle of %d bytes at all VMs", length))
 	return p.phases(ctx, o)
 }
 
 // phases runs what follows the start.
 func (p *printer) phases(ctx context.Context, o Options) error {
-	rest := func() error { return pause(ctx, o.Phase) }
+	waitPhase := func() error { return sleep(ctx, o.Phase) }
 	steps := []struct {
 		name string
 		run  func() (string, error)
 	}{
-		{"settle", func() (string, error) { return "", rest() }},
-		{"calm", func() (string, error) { return "", rest() }},
+		{"settle", func() (string, error) { return "", waitPhase() }},
+		{"calm", func() (string, error) { return "", waitPhase() }},
 		{"changes", func() (string, error) { return p.changes(ctx, o) }},
-		{"zone cut", func() (string, error) { return "", then(p.f.setCut(true), rest) }},
-		{"healed", func() (string, error) { return "", then(p.f.setCut(false), rest) }},
+		{"zone cut", func() (string, error) { return "", runIfNil(p.f.setCut(true), waitPhase) }},
+		{"healed", func() (string, error) { return "", runIfNil(p.f.setCut(false), waitPhase) }},
 		{"replacements", func() (string, error) { return p.replacements(ctx, o) }},
-		{"platform down", func() (string, error) { return "", then(p.f.setDown(true), rest) }},
-		{"platform back", func() (string, error) { return p.back(ctx, rest) }},
+		{"platform down", func() (string, error) { return "", runIfNil(p.f.setOutage(true), waitPhase) }},
+		{"platform back", func() (string, error) { return p.platformBack(ctx, waitPhase) }},
 	}
 	for _, s := range steps {
 		from := p.f.sample()
@@ -130,12 +130,12 @@
 		if err != nil {
 			return err
 		}
-		p.line(s.name, from, note)
+		p.printPhase(s.name, from, note)
 	}
 	return nil
 }
 
-func then(err error, next func() error) error {
+func runIfNil(err error, next func() error) error {
 	if err != nil {
 		return err
 	}
@@ -144,19 +144,19 @@
 
 // changes publishes versions over the phase, and tells how long the slowest VM of each took.
 func (p *printer) changes(ctx context.Context, o Options) (string, error) {
-	gap := o.Phase / time.Duration(o.Changes)
+	interval := o.Phase / time.Duration(o.Changes)
 	var worst, sum time.Duration
 	for range o.Changes {
 		start := time.Now()
-		if _, err := p.f.publish(); err != nil {
+		if _, err := p.f.publishNext(); err != nil {
 			return "", err
 		}
-		took, err := p.f.everywhere(ctx)
+		elapsed, err := p.f.awaitVersion(ctx)
 		if err != nil {
 			return "", err
 		}
-		worst, sum = max(worst, took), sum+took
-		if err := pause(ctx, gap-time.Since(start)); err != nil {
+		worst, sum = max(worst, elapsed), sum+elapsed
+		if err := sleep(ctx, interval-time.Since(start)); err != nil {
 			return "", err
 		}
 	}
@@ -166,37 +166,37 @@
 
 // replacements ends VMs without a drain and starts as many new ones over the phase.
 func (p *printer) replacements(ctx context.Context, o Options) (string, error) {
-	gap := o.Phase / time.Duration(o.Replace)
+	interval := o.Phase / time.Duration(o.Replace)
 	for range o.Replace {
 		start := time.Now()
 		if err := p.f.replaceOldest(ctx); err != nil {
 			return "", err
 		}
-		if err := pause(ctx, gap-time.Since(start)); err != nil {
+		if err := sleep(ctx, interval-time.Since(start)); err != nil {
 			return "", err
 		}
 	}
-	_, err := p.f.everywhere(ctx)
+	_, err := p.f.awaitVersion(ctx)
 	return fmt.Sprintf("%d VMs replaced", o.Replace), err
 }
 
-// back publishes a version while the platform is down and tells how long it took once it was back.
-func (p *printer) back(ctx context.Context, rest func() error) (string, error) {
-	if _, err := p.f.publish(); err != nil {
+// platformBack publishes a version while the platform is down and tells how long it took once it was back.
+func (p *printer) platformBack(ctx context.Context, waitPhase func() error) (string, error) {
+	if _, err := p.f.publishNext(); err != nil {
 		return "", err
 	}
-	if err := p.f.setDown(false); err != nil {
+	if err := p.f.setOutage(false); err != nil {
 		return "", err
 	}
-	took, err := p.f.everywhere(ctx)
+	elapsed, err := p.f.awaitVersion(ctx)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("version published meanwhile at the slowest VM after %.2f s", took.Seconds()), rest()
+	return fmt.Sprintf("version published meanwhile at the slowest VM after %.2f s", elapsed.Seconds()), waitPhase()
 }
 
-// pause waits, or returns the reason why ctx ended.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits, or returns the reason why ctx ended.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -24,8 +24,8 @@
 
 const (
 	fleetName = "capacity"
-	// lostCall is how long a call across a cut waits before it fails, as dialling does.
-	lostCall = time.Second
+	// cutCallDelay is how long a call across a cut waits before it fails, as dialling does.
+	cutCallDelay = time.Second
 	// syncPort of every sync.
 	syncPort = 7402
 )
@@ -143,21 +143,21 @@
 	to   string
 }
 
-func (p *peer) pass(ctx context.Context) error {
+func (p *peer) beforeCall(ctx context.Context) error {
 	p.from.calls.Add(1)
 	if !p.from.fleet.cutBetween(p.from, p.to) {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(lostCall):
+	case <-time.After(cutCallDelay):
 	}
 	return errCut
 }
 
 // Manifest implements PeerServiceClient.
 func (p *peer) Manifest(ctx context.Context, r *pb.ManifestRequest) (*pb.ManifestResponse, error) {
-	if err := p.pass(ctx); err != nil {
+	if err := p.beforeCall(ctx); err != nil {
 		return nil, err
 	}
 	return p.PeerServiceClient.Manifest(ctx, r)
@@ -165,7 +165,7 @@
 
 // Sections implements PeerServiceClient.
 func (p *peer) Sections(ctx context.Context, r *pb.SectionsRequest) (*pb.SectionsResponse, error) {
-	if err := p.pass(ctx); err != nil {
+	if err := p.beforeCall(ctx); err != nil {
 		return nil, err
 	}
 	return p.PeerServiceClient.Sections(ctx, r)
@@ -173,7 +173,7 @@
 
 // Exchange implements PeerServiceClient.
 func (p *peer) Exchange(ctx context.Context, r *pb.ExchangeRequest) (*pb.ExchangeResponse, error) {
-	if err := p.pass(ctx); err != nil {
+	if err := p.beforeCall(ctx); err != nil {
 		return nil, err
 	}
 	return p.PeerServiceClient.Exchange(ctx, r)
