--- a/internal/capacity/bundle.go
+++ b/internal/capacity/bundle.go
@@ -11,15 +11,16 @@
 	"github.com/burdockplank/burdockplank/internal/standin/platform"
 )
 
-// The two-year bundle: services with leaves of two replicas a shard and three snapshots.
+// Size of the bundle expected in two years: 31 services of 100 leaves, with two replicas per shard and three
+// snapshots.
 const (
 	services            = 31
 	leavesPerService    = 100
 	snapshotsPerService = 3
 )
 
-// bundleText returns a bundle of 3,100 leaves. From one version to the next two
-// services change: one by its timeout, the one before back to the common timeout.
+// bundleText returns the text of a bundle with 3,100 leaves. Two services change from one version to the next:
+// one gets a timeout of its own, the one before returns to the common timeout.
 func bundleText(version uint64) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version = %d\n[[caller]]\nname = \"desk\"\ntoken_sha256 = %q\nservices = [\"s0\"]\n", version, strings.Repeat("a", 64))
@@ -42,7 +43,8 @@
 	return []byte(b.String())
 }
 
-// publishBundle puts a version on the platform, sections first, and returns the length of its text.
+// publishBundle publishes a version on the platform, the sections before the manifest. It returns the length of
+// its text in bytes.
 func publishBundle(p *platform.Platform, key ed25519.PrivateKey, version uint64) (int, error) {
 	text := bundleText(version)
 	signed, err := bundle.Sign(text, bundle.Digest{}, key)
--- a/internal/capacity/bundle_test.go
+++ b/internal/capacity/bundle_test.go
@@ -8,7 +8,8 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// The figures of a change hold for what a version changes: the version itself and two services.
+// Guards the cost measured per change: a new version must change exactly three sections, the version itself and
+// two services.
 func TestOneVersionChangesThreeSections(t *testing.T) {
 	is := is.New(t)
 	before, after := bundleText(4), bundleText(5)
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	// pollInterval is how often it is looked whether a version is everywhere.
+	// pollInterval is the time between two checks whether a version is in force at all VMs.
 	pollInterval = 20 * time.Millisecond
-	// startInterval is the time between two starts, so that not all ask the first ones for all sections.
+	// startInterval is the time between two starts of VMs, so that not all request all sections from the first
+	// ones.
 	startInterval = 10 * time.Millisecond
-	// firstHost leaves the low numbers to the platform.
+	// firstHost is the host number of the first VM. The lower numbers are reserved for the platform.
 	firstHost = 256
 )
 
-// fleet is the syncs of the run and their platform.
+// fleet holds the sync processes of a run and their platform.
 type fleet struct {
 	net, zones int
 	key        ed25519.PrivateKey
 	platform   *platform.Platform
-	// sink takes what is sent across a cut.
+	// sink receives and discards the packets sent across a cut.
 	sink *net.UDPConn
-	// cut is true while the VMs of az-1 are apart from the others.
+	// cut is true while the VMs of az-1 are cut off from the others.
 	cut atomic.Bool
 
 	mu sync.Mutex
-	// nodes and zoneOf (by IP:PORT) are guarded by mu.
+	// nodes, zoneOf (keyed by IP:PORT) and nextNumber are guarded by mu.
 	nodes      []*node
 	zoneOf     map[string]string
 	nextNumber int
-	// stoppedTotals holds what the counters of ended VMs stood at; guarded by mu.
+	// stoppedTotals holds the final counters of stopped VMs. It is guarded by mu.
 	stoppedTotals totals
 	version       uint64
 }
 
-// totals are sums over all VMs, sent and received.
+// totals holds sums over all VMs: bytes and packets sent and received, platform reads, and calls made.
 type totals struct {
 	bytes, reads   float64
 	packets, calls int64
 }
 
-// newFleet opens the platform with the first bundle.
+// newFleet starts the platform, without a bundle and without VMs. The platform runs until ctx ends.
 func newFleet(ctx context.Context, o Options) (*fleet, error) {
 	f := &fleet{net: o.Net, zones: o.Zones, key: ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize)), zoneOf: make(map[string]string)}
 	host := fmt.Sprintf("127.%d.0.1", o.Net)
@@ -63,6 +64,7 @@
 	return f, nil
 }
 
+// drainSink discards what arrives at the sink until its socket fails.
 func (f *fleet) drainSink() {
 	buf := make([]byte, 2048)
 	for {
@@ -72,7 +74,7 @@
 	}
 }
 
-// ip returns the address of the VM of a number.
+// ip returns the loopback address of the VM with the given number.
 func (f *fleet) ip(number int) string {
 	host := firstHost + number
 	return fmt.Sprintf("127.%d.%d.%d", f.net, host/250, host%250+1)
@@ -95,7 +97,8 @@
 	return nil
 }
 
-// replaceOldest ends the oldest VM without a drain, starts a new one of another id, and lists it.
+// replaceOldest stops the oldest VM without a drain, starts a new one with another id, and publishes a list that
+// includes it.
 func (f *fleet) replaceOldest(ctx context.Context) error {
 	f.mu.Lock()
 	old := f.nodes[0]
@@ -112,6 +115,7 @@
 	return nil
 }
 
+// add adds the counters of a VM.
 func (t *totals) add(n *node) {
 	bytes, reads := n.counters()
 	t.bytes += bytes
@@ -120,7 +124,7 @@
 	t.calls += n.calls.Load()
 }
 
-// totals sums the counters of all VMs, ended ones too.
+// totals sums the counters of all VMs, including stopped ones.
 func (f *fleet) totals() totals {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,6 +135,7 @@
 	return t
 }
 
+// runningNodes returns a copy of the list of running VMs.
 func (f *fleet) runningNodes() []*node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -139,7 +144,8 @@
 
 func (f *fleet) count() int { return len(f.runningNodes()) }
 
-// publishList lists the VMs that run, or those that are about to where none does yet, and 3,100 leaves.
+// publishList publishes a list of the last vms started VMs and 3,100 leaves. Before the first start it lists the
+// VMs about to start.
 func (f *fleet) publishList(vms int) {
 	var l platform.List
 	vm := func(number int) {
@@ -161,7 +167,7 @@
 	f.platform.PutList(l)
 }
 
-// cutBetween tells whether a cut lies between the VM and the one at IP:PORT.
+// cutBetween reports whether a cut separates the VM from the one at IP:PORT.
 func (f *fleet) cutBetween(n *node, to string) bool {
 	if !f.cut.Load() {
 		return false
@@ -175,7 +181,7 @@
 // cutZone is the availability zone that is cut off.
 const cutZone = "az-1"
 
-// setCut cuts the zone off from the others and from the platform, or heals it.
+// setCut cuts cutZone off from the other zones and from the platform, or heals the cut.
 func (f *fleet) setCut(on bool) error {
 	var faults platform.Faults
 	if on {
@@ -189,16 +195,17 @@
 	return f.platform.SetFaults(faults)
 }
 
-// setOutage stops the platform or brings it back.
+// setOutage makes the platform unavailable or available again.
 func (f *fleet) setOutage(on bool) error { return f.platform.SetFaults(platform.Faults{Down: on}) }
 
-// publishNext puts the next version on the platform and returns its length.
+// publishNext publishes the next bundle version on the platform. It returns the length of its text in bytes.
 func (f *fleet) publishNext() (int, error) {
 	f.version++
 	return publishBundle(f.platform, f.key, f.version)
 }
 
-// awaitVersion waits until the newest version is in force at all VMs, and returns how long that took.
+// awaitVersion waits until the newest version is in force at all VMs. It returns the time this took, or an
+// error if ctx ends first.
 func (f *fleet) awaitVersion(ctx context.Context) (time.Duration, error) {
 	start := time.Now()
 	remaining := f.runningNodes()
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -1,6 +1,6 @@
-// Package capacity measures what the sync costs by the number of VMs: real syncs over UDP and TCP on
-// loopback, each on an IP number of its own, many in this process, before a stand-in platform that runs
-// in it too. Nothing of the product uses it.
+// Package capacity measures the cost of the sync process as a function of the number of VMs. It runs many real
+// syncs in this process, over UDP and TCP on loopback, each on its own IP address, against a stand-in platform
+// in the same process. The product itself doesn't use this package.
 package capacity
 
 import (
@@ -13,18 +13,19 @@
 	"time"
 )
 
-// sample is what stands at one time.
+// sample holds the CPU time and the counters at one time.
 type sample struct {
 	at     time.Time
 	cpu    time.Duration
 	totals totals
 }
 
+// sample takes a sample now.
 func (f *fleet) sample() sample {
 	return sample{at: time.Now(), cpu: processorTime(), totals: f.totals()}
 }
 
-// processorTime is the user and system time of this process.
+// processorTime returns the user and system CPU time of this process, 0 if it can't be read.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -33,7 +34,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// residentBytes is the memory of this process.
+// residentBytes returns the resident memory of this process in bytes, 0 if it can't be read.
 func residentBytes() float64 {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -47,7 +48,7 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// printer prints a line a phase.
+// printer prints one line per phase to standard output.
 type printer struct {
 	f   *fleet
 	vms int
@@ -57,6 +58,8 @@
 	fmt.Println("vms\tphase\tseconds\tbytes/s/VM\tpackets/s/VM\tcalls/s/VM\tCPU % of a core/VM\tRSS MB/VM\tplatform reads/s\tnote")
 }
 
+// printPhase prints the cost of a phase that began at the sample from. Rates and memory are per VM, except the
+// platform reads.
 func (p *printer) printPhase(phase string, from sample, note string) {
 	to := p.f.sample()
 	seconds := to.at.Sub(from.at).Seconds()
@@ -67,19 +70,21 @@
 		100*per((to.cpu-from.cpu).Seconds()), residentBytes()/vms/1e6, (to.totals.reads-from.totals.reads)/seconds, note)
 }
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// VMs is the number of syncs, Zones that of availability zones.
+	// VMs is the number of syncs. Zones is the number of availability zones.
 	VMs, Zones int
-	// Net is the second number of the loopback addresses.
+	// Net is the second byte of the loopback addresses, 127.NET.x.y.
 	Net int
 	// Phase is the length of each phase.
 	Phase time.Duration
-	// Changes and Replace are how many bundles are published, and VMs replaced, in their phases.
+	// Changes is the number of bundles published in the phase of changes. Replace is the number of VMs replaced in
+	// the phase of replacements.
 	Changes, Replace int
 }
 
-// Measure runs all phases and prints a line for each to standard output, until ctx ends.
+// Measure runs all phases and prints one line for each to standard output. It returns an error if ctx ends before
+// the last phase.
 func Measure(ctx context.Context, o Options) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -108,7 +113,7 @@
 	return p.phases(ctx, o)
 }
 
-// phases runs what follows the start.
+// phases runs the phases after the start phase.
 func (p *printer) phases(ctx context.Context, o Options) error {
 	waitPhase := func() error { return sleep(ctx, o.Phase) }
 	steps := []struct {
@@ -135,6 +140,7 @@
 	return nil
 }
 
+// runIfNil runs next if err is nil and returns the first error.
 func runIfNil(err error, next func() error) error {
 	if err != nil {
 		return err
@@ -142,7 +148,8 @@
 	return next()
 }
 
-// changes publishes versions over the phase, and tells how long the slowest VM of each took.
+// changes publishes versions at equal intervals over the phase. It returns a note of how long the slowest VM took
+// to apply them.
 func (p *printer) changes(ctx context.Context, o Options) (string, error) {
 	interval := o.Phase / time.Duration(o.Changes)
 	var worst, sum time.Duration
@@ -164,7 +171,7 @@
 		o.Changes, sum.Seconds()/float64(o.Changes), worst.Seconds()), nil
 }
 
-// replacements ends VMs without a drain and starts as many new ones over the phase.
+// replacements stops VMs without a drain and starts as many new ones, at equal intervals over the phase.
 func (p *printer) replacements(ctx context.Context, o Options) (string, error) {
 	interval := o.Phase / time.Duration(o.Replace)
 	for range o.Replace {
@@ -180,7 +187,8 @@
 	return fmt.Sprintf("%d VMs replaced", o.Replace), err
 }
 
-// platformBack publishes a version while the platform is down and tells how long it took once it was back.
+// platformBack publishes a version while the platform is down and then makes the platform available again. It
+// returns a note of how long the version took from then on to be in force at all VMs.
 func (p *printer) platformBack(ctx context.Context, waitPhase func() error) (string, error) {
 	if _, err := p.f.publishNext(); err != nil {
 		return "", err
@@ -195,7 +203,7 @@
 	return fmt.Sprintf("version published meanwhile at the slowest VM after %.2f s", elapsed.Seconds()), waitPhase()
 }
 
-// sleep waits, or returns the reason why ctx ended.
+// sleep waits for d, or returns the error of ctx if it ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -24,15 +24,15 @@
 
 const (
 	fleetName = "capacity"
-	// cutCallDelay is how long a call across a cut waits before it fails, as dialling does.
+	// cutCallDelay is the time until a call across a cut fails, like a dial to an unreachable host.
 	cutCallDelay = time.Second
-	// syncPort of every sync.
+	// syncPort is the port of every sync.
 	syncPort = 7402
 )
 
 var errCut = errors.New("unreachable")
 
-// node is one sync with its sockets.
+// node is one sync process with its sockets. It implements spread.Transport, to count packets and to apply cuts.
 type node struct {
 	fleet        *fleet
 	id, zone, ip string
@@ -78,14 +78,14 @@
 	return n, nil
 }
 
-// stop ends the sync without a drain, as a VM that fails.
+// stop ends the sync without a drain, as if its VM failed.
 func (n *node) stop() {
 	n.cancel()
 	n.done.Wait()
 	_ = n.udp.Close()
 }
 
-// Send implements spread.Transport. A packet across a cut is sent and counted, but to nobody.
+// Send implements spread.Transport. A packet across a cut is counted and goes to the sink instead.
 func (n *node) Send(to string, packet []byte) error {
 	n.packets.Add(1)
 	if n.fleet.cutBetween(n, to) {
@@ -103,7 +103,7 @@
 	return packet, err
 }
 
-// version returns the version of the bundle in force, 0 for none.
+// version returns the version of the bundle in force, 0 if there is none or it can't be read.
 func (n *node) version(ctx context.Context) uint64 {
 	res, err := n.manager.Spread().Manifest(ctx, &pb.ManifestRequest{Fleet: fleetName})
 	if err != nil {
@@ -116,8 +116,8 @@
 	return m.GetVersion()
 }
 
-// counters returns the bytes sent and received, by the counters of the spread, and the reads of the
-// platform that ended, failed ones too.
+// counters returns the bytes sent and received, from the metrics of package spread, and the number of completed
+// reads of the platform, including failed ones.
 func (n *node) counters() (bytes, reads float64) {
 	families, err := n.registry.Gather()
 	if err != nil {
@@ -136,13 +136,14 @@
 	return bytes, reads
 }
 
-// peer is a client of another sync that fails across a cut.
+// peer is a client of another sync. It counts calls, and its calls fail across a cut.
 type peer struct {
 	burdockv1connect.PeerServiceClient
 	from *node
 	to   string
 }
 
+// beforeCall counts a call. Across a cut it returns errCut after cutCallDelay, or when ctx ends.
 func (p *peer) beforeCall(ctx context.Context) error {
 	p.from.calls.Add(1)
 	if !p.from.fleet.cutBetween(p.from, p.to) {
