--- a/cmd/burdockctl/main.go
+++ b/cmd/burdockctl/main.go
@@ -1,4 +1,5 @@
-// Command burdockctl is the operators' tool of burdockplank.
+// Command burdockctl is the command-line tool for operators of burdockplank. Package ctl defines its commands and
+// exit codes.
 package main
 
 import (
--- a/cmd/burdockctl/main_test.go
+++ b/cmd/burdockctl/main_test.go
@@ -20,7 +20,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
 		Setup: func(env *testscript.Env) error {
-			// The race detector's wait at each exit, a second by default, adds up over many commands.
+			// The race detector waits at each exit, 1 s by default, which adds up over many commands.
 			env.Setenv("GORACE", "atexit_sleep_ms=10")
 			return nil
 		},
@@ -49,7 +49,7 @@
 	}
 }
 
-// keyID sets a variable to KEY_ID=PUBLIC_KEY of what keygen printed: key-id VARIABLE FILE
+// keyID sets a variable to KEY_ID=PUBLIC_KEY from a file with the output of keygen: key-id VARIABLE FILE
 func keyID(ts *testscript.TestScript, _ bool, args []string) {
 	var parts []string
 	for line := range strings.Lines(ts.ReadFile(args[1])) {
