--- a/cmd/burdock-capacity/main.go
+++ b/cmd/burdock-capacity/main.go
@@ -1,6 +1,8 @@
-// Command burdock-capacity measures what the sync costs by the number of VMs: real syncs over UDP and
-// TCP on loopback, each on an IP number of its own, many in this process, before a stand-in platform that
-// runs in it too. It prints one line a phase. Exit codes: 0 measured, 1 runtime failure, 2 usage refused.
+// Command burdock-capacity measures the cost of the sync process as a function of the number of VMs. It runs many
+// real syncs in one process, over UDP and TCP on loopback, each on its own IP address, against a stand-in platform
+// in the same process. It prints one line per phase.
+//
+// Exit codes: 0 measured, 1 runtime failure, 2 usage refused.
 package main
 
 import (
@@ -37,7 +39,7 @@
 func main() {
 	var c commandLine
 	parser := kong.Must(&c, kong.Name("burdock-capacity"), kong.Vars{"version": version.Version},
-		kong.Description("Slopes of the sync by the number of VMs."))
+		kong.Description("Measures the cost of the sync process as a function of the number of VMs."))
 	if _, err := parser.Parse(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "burdock-capacity:", err)
 		os.Exit(settings.ExitCode)
