--- a/internal/capacity/bundle.go
+++ b/internal/capacity/bundle.go
@@ -11,15 +11,16 @@
 	"github.com/burdockplank/burdockplank/internal/standin/platform"
 )
 
-// The two-year bundle: services with leaves of two replicas a shard and three snapshots.
+// Size of the bundle expected in two years: 31 services of 100 leaves, with two replicas per shard and three
+// snapshots.
 const (
-	services         = 31
-	leavesAService   = 100
-	snapshotsService = 3
+	services            = 31
+	leavesPerService    = 100
+	snapshotsPerService = 3
 )
 
-// bundleText returns a bundle of 3,100 leaves. From one version to the next two
-// services change: one by its timeout, the one before back to the common timeout.
+// bundleText returns the text of a bundle with 3,100 leaves. Two services change from one version to the next:
+// one gets a timeout of its own, the one before returns to the common timeout.
 func bundleText(version uint64) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version = %d\n[[caller]]\nname = \"desk\"\ntoken_sha256 = %q\nservices = [\"s0\"]\n", version, strings.Repeat("a", 64))
@@ -29,12 +30,12 @@
 			timeout += int(version)
 		}
 		fmt.Fprintf(&b, "[[service]]\nname = \"s%d\"\n[[service.kind]]\nname = \"k\"\nmode = \"search\"\ntimeout = \"%dms\"\n", s, timeout)
-		for l := range leavesAService {
+		for l := range leavesPerService {
 			fmt.Fprintf(&b, "[[service.leaf]]\nid = \"leaf-s%d-%d\"\nzone = \"az-%d\"\naddress = \"10.%d.0.%d:9001\"\nslots = 3\nconnections = 30\n", s, l, l%4+1, s, l)
 		}
-		for v := 1; v <= snapshotsService; v++ {
+		for v := 1; v <= snapshotsPerService; v++ {
 			fmt.Fprintf(&b, "[[service.snapshot]]\nversion = %d\n", v)
-			for sh := range leavesAService / 2 {
+			for sh := range leavesPerService / 2 {
 				fmt.Fprintf(&b, "[[service.snapshot.shard]]\nid = %d\ndocuments = 1000000\nleaves = [\"leaf-s%d-%d\", \"leaf-s%d-%d\"]\n", sh, s, 2*sh, s, 2*sh+1)
 			}
 		}
@@ -42,7 +43,8 @@
 	return []byte(b.String())
 }
 
-// publishBundle puts a version on the platform, sections first, and returns the length of its text.
+// publishBundle publishes a version on the platform, the sections before the manifest. It returns the length of
+// its text in bytes.
 func publishBundle(p *platform.Platform, key ed25519.PrivateKey, version uint64) (int, error) {
 	text := bundleText(version)
 	signed, err := bundle.Sign(text, bundle.Digest{}, key)
--- a/internal/capacity/bundle_test.go
+++ b/internal/capacity/bundle_test.go
@@ -8,7 +8,8 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// The figures of a change hold for what a version changes: the version itself and two services.
+// Guards the cost measured per change: a new version must change exactly three sections, the version itself and
+// two services.
 func TestOneVersionChangesThreeSections(t *testing.T) {
 	is := is.New(t)
 	before, after := bundleText(4), bundleText(5)
@@ -19,13 +20,13 @@
 		leaves += len(s.Leaves)
 	}
 	is.Equal(leaves, 3100)
-	held := make(map[bundle.Digest]bool)
+	previous := make(map[bundle.Digest]bool)
 	for _, s := range bundle.Split(before) {
-		held[bundle.SectionDigest(s)] = true
+		previous[bundle.SectionDigest(s)] = true
 	}
 	changed := 0
 	for _, s := range bundle.Split(after) {
-		if !held[bundle.SectionDigest(s)] {
+		if !previous[bundle.SectionDigest(s)] {
 			changed++
 		}
 	}
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	// pollPeriod is how often it is looked whether a version is everywhere.
-	pollPeriod = 20 * time.Millisecond
-	// startPause is the time between two starts, so that not all ask the first ones for all sections.
-	startPause = 10 * time.Millisecond
-	// firstHost leaves the low numbers to the platform.
+	// pollInterval is the time between two checks whether a version is in force at all VMs.
+	pollInterval = 20 * time.Millisecond
+	// startInterval is the time between two starts of VMs, so that not all request all sections from the first
+	// ones.
+	startInterval = 10 * time.Millisecond
+	// firstHost is the host number of the first VM. The lower numbers are reserved for the platform.
 	firstHost = 256
 )
 
-// fleet is the syncs of the run and their platform.
+// fleet holds the sync processes of a run and their platform.
 type fleet struct {
 	net, zones int
 	key        ed25519.PrivateKey
 	platform   *platform.Platform
-	// sink takes what is sent across a cut.
+	// sink receives and discards the packets sent across a cut.
 	sink *net.UDPConn
-	// cut is true while the VMs of az-1 are apart from the others.
+	// cut is true while the VMs of az-1 are cut off from the others.
 	cut atomic.Bool
 
 	mu sync.Mutex
-	// nodes and zoneOf (by IP:PORT) are guarded by mu.
-	nodes  []*node
-	zoneOf map[string]string
-	next   int
-	// retired holds what the counters of ended VMs stood at; guarded by mu.
-	retired totals
-	version uint64
+	// nodes, zoneOf (keyed by IP:PORT) and nextNumber are guarded by mu.
+	nodes      []*node
+	zoneOf     map[string]string
+	nextNumber int
+	// stoppedTotals holds the final counters of stopped VMs. It is guarded by mu.
+	stoppedTotals totals
+	version       uint64
 }
 
-// totals are sums over all VMs, sent and received.
+// totals holds sums over all VMs: bytes and packets sent and received, platform reads, and calls made.
 type totals struct {
 	bytes, reads   float64
 	packets, calls int64
 }
 
-// newFleet opens the platform with the first bundle.
+// newFleet starts the platform, without a bundle and without VMs. The platform runs until ctx ends.
 func newFleet(ctx context.Context, o Options) (*fleet, error) {
 	f := &fleet{net: o.Net, zones: o.Zones, key: ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize)), zoneOf: make(map[string]string)}
 	host := fmt.Sprintf("127.%d.0.1", o.Net)
@@ -63,6 +64,7 @@
 	return f, nil
 }
 
+// drainSink discards what arrives at the sink until its socket fails.
 func (f *fleet) drainSink() {
 	buf := make([]byte, 2048)
 	for {
@@ -72,7 +74,7 @@
 	}
 }
 
-// ip returns the address of the VM of a number.
+// ip returns the loopback address of the VM with the given number.
 func (f *fleet) ip(number int) string {
 	host := firstHost + number
 	return fmt.Sprintf("127.%d.%d.%d", f.net, host/250, host%250+1)
@@ -81,8 +83,8 @@
 // add starts the next VM.
 func (f *fleet) add(ctx context.Context) error {
 	f.mu.Lock()
-	number := f.next
-	f.next++
+	number := f.nextNumber
+	f.nextNumber++
 	f.mu.Unlock()
 	n, err := newNode(ctx, f, number)
 	if err != nil {
@@ -95,7 +97,8 @@
 	return nil
 }
 
-// replaceOldest ends the oldest VM without a drain, starts a new one of another id, and lists it.
+// replaceOldest stops the oldest VM without a drain, starts a new one with another id, and publishes a list that
+// includes it.
 func (f *fleet) replaceOldest(ctx context.Context) error {
 	f.mu.Lock()
 	old := f.nodes[0]
@@ -103,7 +106,7 @@
 	f.mu.Unlock()
 	old.stop()
 	f.mu.Lock()
-	f.retired.add(old)
+	f.stoppedTotals.add(old)
 	f.mu.Unlock()
 	if err := f.add(ctx); err != nil {
 		return err
@@ -112,6 +115,7 @@
 	return nil
 }
 
+// add adds the counters of a VM.
 func (t *totals) add(n *node) {
 	bytes, reads := n.counters()
 	t.bytes += bytes
@@ -120,26 +124,28 @@
 	t.calls += n.calls.Load()
 }
 
-// totals sums the counters of all VMs, ended ones too.
+// totals sums the counters of all VMs, including stopped ones.
 func (f *fleet) totals() totals {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.retired
+	t := f.stoppedTotals
 	for _, n := range f.nodes {
 		t.add(n)
 	}
 	return t
 }
 
-func (f *fleet) all() []*node {
+// runningNodes returns a copy of the list of running VMs.
+func (f *fleet) runningNodes() []*node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*node(nil), f.nodes...)
 }
 
-func (f *fleet) count() int { return len(f.all()) }
+func (f *fleet) count() int { return len(f.runningNodes()) }
 
-// publishList lists the VMs that run, or those that are about to where none does yet, and 3,100 leaves.
+// publishList publishes a list of the last vms started VMs and 3,100 leaves. Before the first start it lists the
+// VMs about to start.
 func (f *fleet) publishList(vms int) {
 	var l platform.List
 	vm := func(number int) {
@@ -147,13 +153,13 @@
 			Address: f.ip(number), EntryPort: 7400, GatherPort: 7401, SyncPort: syncPort, OperatorPort: 7412, State: platform.StateLive})
 	}
 	f.mu.Lock()
-	last := f.next
+	last := f.nextNumber
 	f.mu.Unlock()
 	for number := max(0, last-vms); number < max(last, vms); number++ {
 		vm(number)
 	}
 	for s := range services {
-		for i := range leavesAService {
+		for i := range leavesPerService {
 			l.Leaves = append(l.Leaves, platform.Leaf{ID: fmt.Sprintf("leaf-s%d-%d", s, i), Zone: fmt.Sprintf("az-%d", i%4+1),
 				Address: fmt.Sprintf("10.%d.0.%d:9001", s, i), State: platform.StateLive})
 		}
@@ -161,7 +167,7 @@
 	f.platform.PutList(l)
 }
 
-// cutBetween tells whether a cut lies between the VM and the one at IP:PORT.
+// cutBetween reports whether a cut separates the VM from the one at IP:PORT.
 func (f *fleet) cutBetween(n *node, to string) bool {
 	if !f.cut.Load() {
 		return false
@@ -175,11 +181,11 @@
 // cutZone is the availability zone that is cut off.
 const cutZone = "az-1"
 
-// setCut cuts the zone off from the others and from the platform, or heals it.
+// setCut cuts cutZone off from the other zones and from the platform, or heals the cut.
 func (f *fleet) setCut(on bool) error {
 	var faults platform.Faults
 	if on {
-		for _, n := range f.all() {
+		for _, n := range f.runningNodes() {
 			if n.zone == cutZone {
 				faults.CutSources = append(faults.CutSources, n.ip)
 			}
@@ -189,33 +195,34 @@
 	return f.platform.SetFaults(faults)
 }
 
-// setDown stops the platform or brings it back.
-func (f *fleet) setDown(on bool) error { return f.platform.SetFaults(platform.Faults{Down: on}) }
+// setOutage makes the platform unavailable or available again.
+func (f *fleet) setOutage(on bool) error { return f.platform.SetFaults(platform.Faults{Down: on}) }
 
-// publish puts the next version on the platform and returns its length.
-func (f *fleet) publish() (int, error) {
+// publishNext publishes the next bundle version on the platform. It returns the length of its text in bytes.
+func (f *fleet) publishNext() (int, error) {
 	f.version++
 	return publishBundle(f.platform, f.key, f.version)
 }
 
-// everywhere waits until the newest version is in force at all VMs, and returns how long that took.
-func (f *fleet) everywhere(ctx context.Context) (time.Duration, error) {
+// awaitVersion waits until the newest version is in force at all VMs. It returns the time this took, or an
+// error if ctx ends first.
+func (f *fleet) awaitVersion(ctx context.Context) (time.Duration, error) {
 	start := time.Now()
-	left := f.all()
-	for len(left) > 0 {
+	remaining := f.runningNodes()
+	for len(remaining) > 0 {
 		var next []*node
-		for _, n := range left {
+		for _, n := range remaining {
 			if n.version(ctx) < f.version {
 				next = append(next, n)
 			}
 		}
-		if left = next; len(left) == 0 {
+		if remaining = next; len(remaining) == 0 {
 			break
 		}
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(pollPeriod):
+		case <-time.After(pollInterval):
 		}
 	}
 	return time.Since(start), nil
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -1,6 +1,6 @@
-// Package capacity measures what the sync costs by the number of VMs: real syncs over UDP and TCP on
-// loopback, each on an IP number of its own, many in this process, before a stand-in platform that runs
-// in it too. Nothing of the product uses it.
+// Package capacity measures the cost of the sync process as a function of the number of VMs. It runs many real
+// syncs in this process, over UDP and TCP on loopback, each on its own IP address, against a stand-in platform
+// in the same process. The product itself doesn't use this package.
 package capacity
 
 import (
@@ -13,18 +13,19 @@
 	"time"
 )
 
-// sample is what stands at one time.
+// sample holds the CPU time and the counters at one time.
 type sample struct {
 	at     time.Time
 	cpu    time.Duration
 	totals totals
 }
 
+// sample takes a sample now.
 func (f *fleet) sample() sample {
 	return sample{at: time.Now(), cpu: processorTime(), totals: f.totals()}
 }
 
-// processorTime is the user and system time of this process.
+// processorTime returns the user and system CPU time of this process, 0 if it can't be read.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -33,7 +34,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// residentBytes is the memory of this process.
+// residentBytes returns the resident memory of this process in bytes, 0 if it can't be read.
 func residentBytes() float64 {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -47,17 +48,19 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// printer prints a line a phase.
+// printer prints one line per phase to standard output.
 type printer struct {
 	f   *fleet
 	vms int
 }
 
-func (p *printer) header() {
+func (p *printer) printHeader() {
 	fmt.Println("vms\tphase\tseconds\tbytes/s/VM\tpackets/s/VM\tcalls/s/VM\tCPU % of a core/VM\tRSS MB/VM\tplatform reads/s\tnote")
 }
 
-func (p *printer) line(phase string, from sample, note string) {
+// printPhase prints the cost of a phase that began at the sample from. Rates and memory are per VM, except the
+// platform reads.
+func (p *printer) printPhase(phase string, from sample, note string) {
 	to := p.f.sample()
 	seconds := to.at.Sub(from.at).Seconds()
 	vms := float64(p.vms)
@@ -67,19 +70,21 @@
 		100*per((to.cpu-from.cpu).Seconds()), residentBytes()/vms/1e6, (to.totals.reads-from.totals.reads)/seconds, note)
 }
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// VMs is the number of syncs, Zones that of availability zones.
+	// VMs is the number of syncs. Zones is the number of availability zones.
 	VMs, Zones int
-	// Net is the second number of the loopback addresses.
+	// Net is the second byte of the loopback addresses, 127.NET.x.y.
 	Net int
 	// Phase is the length of each phase.
 	Phase time.Duration
-	// Changes and Replace are how many bundles are published, and VMs replaced, in their phases.
+	// Changes is the number of bundles published in the phase of changes. Replace is the number of VMs replaced in
+	// the phase of replacements.
 	Changes, Replace int
 }
 
-// Measure runs all phases and prints a line for each to standard output, until ctx ends.
+// Measure runs all phases and prints one line for each to standard output. It returns an error if ctx ends before
+// the last phase.
 func Measure(ctx context.Context, o Options) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -87,42 +92,42 @@
 	if err != nil {
 		return err
 	}
-	length, err := f.publish()
+	length, err := f.publishNext()
 	if err != nil {
 		return err
 	}
 	p := &printer{f: f, vms: o.VMs}
-	p.header()
+	p.printHeader()
 	from := f.sample()
 	f.publishList(o.VMs)
 	for range o.VMs {
 		if err := f.add(ctx); err != nil {
 			return err
 		}
-		time.Sleep(startPause)
+		time.Sleep(startInterval)
 	}
-	if _, err := f.everywhere(ctx); err != nil {
+	if _, err := f.awaitVersion(ctx); err != nil {
 		return err
 	}
-	p.line("start", from, fmt.Sprintf("bundle of %d bytes at all VMs", length))
+	p.printPhase("start", from, fmt.Sprintf("bundle of %d bytes at all VMs", length))
 	return p.phases(ctx, o)
 }
 
-// phases runs what follows the start.
+// phases runs the phases after the start phase.
 func (p *printer) phases(ctx context.Context, o Options) error {
-	rest := func() error { return pause(ctx, o.Phase) }
+	waitPhase := func() error { return sleep(ctx, o.Phase) }
 	steps := []struct {
 		name string
 		run  func() (string, error)
 	}{
-		{"settle", func() (string, error) { return "", rest() }},
-		{"calm", func() (string, error) { return "", rest() }},
+		{"settle", func() (string, error) { return "", waitPhase() }},
+		{"calm", func() (string, error) { return "", waitPhase() }},
 		{"changes", func() (string, error) { return p.changes(ctx, o) }},
-		{"zone cut", func() (string, error) { return "", then(p.f.setCut(true), rest) }},
-		{"healed", func() (string, error) { return "", then(p.f.setCut(false), rest) }},
+		{"zone cut", func() (string, error) { return "", runIfNil(p.f.setCut(true), waitPhase) }},
+		{"healed", func() (string, error) { return "", runIfNil(p.f.setCut(false), waitPhase) }},
 		{"replacements", func() (string, error) { return p.replacements(ctx, o) }},
-		{"platform down", func() (string, error) { return "", then(p.f.setDown(true), rest) }},
-		{"platform back", func() (string, error) { return p.back(ctx, rest) }},
+		{"platform down", func() (string, error) { return "", runIfNil(p.f.setOutage(true), waitPhase) }},
+		{"platform back", func() (string, error) { return p.platformBack(ctx, waitPhase) }},
 	}
 	for _, s := range steps {
 		from := p.f.sample()
@@ -130,33 +135,35 @@
 		if err != nil {
 			return err
 		}
-		p.line(s.name, from, note)
+		p.printPhase(s.name, from, note)
 	}
 	return nil
 }
 
-func then(err error, next func() error) error {
+// runIfNil runs next if err is nil and returns the first error.
+func runIfNil(err error, next func() error) error {
 	if err != nil {
 		return err
 	}
 	return next()
 }
 
-// changes publishes versions over the phase, and tells how long the slowest VM of each took.
+// changes publishes versions at equal intervals over the phase. It returns a note of how long the slowest VM took
+// to apply them.
 func (p *printer) changes(ctx context.Context, o Options) (string, error) {
-	gap := o.Phase / time.Duration(o.Changes)
+	interval := o.Phase / time.Duration(o.Changes)
 	var worst, sum time.Duration
 	for range o.Changes {
 		start := time.Now()
-		if _, err := p.f.publish(); err != nil {
+		if _, err := p.f.publishNext(); err != nil {
 			return "", err
 		}
-		took, err := p.f.everywhere(ctx)
+		elapsed, err := p.f.awaitVersion(ctx)
 		if err != nil {
 			return "", err
 		}
-		worst, sum = max(worst, took), sum+took
-		if err := pause(ctx, gap-time.Since(start)); err != nil {
+		worst, sum = max(worst, elapsed), sum+elapsed
+		if err := sleep(ctx, interval-time.Since(start)); err != nil {
 			return "", err
 		}
 	}
@@ -164,39 +171,40 @@
 		o.Changes, sum.Seconds()/float64(o.Changes), worst.Seconds()), nil
 }
 
-// replacements ends VMs without a drain and starts as many new ones over the phase.
+// replacements stops VMs without a drain and starts as many new ones, at equal intervals over the phase.
 func (p *printer) replacements(ctx context.Context, o Options) (string, error) {
-	gap := o.Phase / time.Duration(o.Replace)
+	interval := o.Phase / time.Duration(o.Replace)
 	for range o.Replace {
 		start := time.Now()
 		if err := p.f.replaceOldest(ctx); err != nil {
 			return "", err
 		}
-		if err := pause(ctx, gap-time.Since(start)); err != nil {
+		if err := sleep(ctx, interval-time.Since(start)); err != nil {
 			return "", err
 		}
 	}
-	_, err := p.f.everywhere(ctx)
+	_, err := p.f.awaitVersion(ctx)
 	return fmt.Sprintf("%d VMs replaced", o.Replace), err
 }
 
-// back publishes a version while the platform is down and tells how long it took once it was back.
-func (p *printer) back(ctx context.Context, rest func() error) (string, error) {
-	if _, err := p.f.publish(); err != nil {
+// platformBack publishes a version while the platform is down and then makes the platform available again. It
+// returns a note of how long the version took from then on to be in force at all VMs.
+func (p *printer) platformBack(ctx context.Context, waitPhase func() error) (string, error) {
+	if _, err := p.f.publishNext(); err != nil {
 		return "", err
 	}
-	if err := p.f.setDown(false); err != nil {
+	if err := p.f.setOutage(false); err != nil {
 		return "", err
 	}
-	took, err := p.f.everywhere(ctx)
+	elapsed, err := p.f.awaitVersion(ctx)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("version published meanwhile at the slowest VM after %.2f s", took.Seconds()), rest()
+	return fmt.Sprintf("version published meanwhile at the slowest VM after %.2f s", elapsed.Seconds()), waitPhase()
 }
 
-// pause waits, or returns the reason why ctx ended.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or returns the error of ctx if it ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/ctl/bundlesign.go
+++ b/internal/ctl/bundlesign.go
@@ -16,11 +16,11 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// noParent is the parent of a first bundle.
+// noParent stands for the missing parent of a first bundle.
 const noParent = "none"
 
-// BundleSignCmd signs a text. Reviewers who keep their keys apart sign one after the other into the
-// same directory: the signatures add up.
+// BundleSignCmd signs the text of a bundle. Reviewers who keep their keys separately sign one after
+// the other into the same directory; each run adds its signatures to the existing ones.
 type BundleSignCmd struct {
 	Text   string   `required:"" help:"Text of the bundle."`
 	Parent string   `default:"none" help:"Digest of the bundle before, as 'bundle show' prints it, or none."`
@@ -45,14 +45,14 @@
 	}
 	signed, err := bundle.Sign(text, parent)
 	if err != nil {
-		return refusedText(c.Text, err)
+		return bundleTextError(c.Text, err)
 	}
-	if signed, err = c.withEarlier(signed); err != nil {
+	if signed, err = c.withExistingSignatures(signed); err != nil {
 		return err
 	}
 	for _, k := range keys {
 		if err := bundle.AddSignature(signed, k); err != nil {
-			return refused(err)
+			return usageError(err)
 		}
 	}
 	if err := writeBundle(c.Out, signed, text); err != nil {
@@ -61,17 +61,19 @@
 	return app.print(newSignReport(c.Out, signed, text, parent))
 }
 
+// parent returns the digest of the parent bundle, zero for none.
 func (c *BundleSignCmd) parent() (bundle.Digest, error) {
 	if c.Parent == noParent {
 		return bundle.Digest{}, nil
 	}
 	d, err := bundle.ParseDigest(c.Parent)
 	if err != nil {
-		return d, usage("--parent: %v, or none", err)
+		return d, usageErrorf("--parent: %v, or none", err)
 	}
 	return d, nil
 }
 
+// keys reads the private keys and writes warnings about their file permissions to warnings.
 func (c *BundleSignCmd) keys(warnings io.Writer) ([]ed25519.PrivateKey, error) {
 	var keys []ed25519.PrivateKey
 	for _, file := range c.Key {
@@ -84,26 +86,27 @@
 	return keys, nil
 }
 
-// withEarlier returns the manifest with the signatures that the directory holds for it.
-func (c *BundleSignCmd) withEarlier(signed *pb.SignedManifest) (*pb.SignedManifest, error) {
-	earlier, err := readManifest(c.Out)
+// withExistingSignatures returns the manifest with the signatures that the output directory already holds for
+// it. It refuses a directory that holds another bundle unless --force is set.
+func (c *BundleSignCmd) withExistingSignatures(signed *pb.SignedManifest) (*pb.SignedManifest, error) {
+	existing, err := readManifest(c.Out)
 	if errors.Is(err, fs.ErrNotExist) || c.Force && err != nil {
 		return signed, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	if bytes.Equal(earlier.GetManifest(), signed.GetManifest()) {
-		return earlier, nil
+	if bytes.Equal(existing.GetManifest(), signed.GetManifest()) {
+		return existing, nil
 	}
 	if c.Force {
 		return signed, nil
 	}
-	return nil, usage("%s holds another bundle, %s; choose another directory, or --force to replace it",
-		c.Out, bundle.ManifestDigest(earlier.GetManifest()))
+	return nil, usageErrorf("%s holds another bundle, %s; choose another directory, or --force to replace it",
+		c.Out, bundle.ManifestDigest(existing.GetManifest()))
 }
 
-// signReport is what was signed.
+// signReport describes a signed bundle and its signers.
 type signReport struct {
 	Version  uint64   `json:"version"`
 	Digest   string   `json:"digest"`
--- a/internal/ctl/bundleverify.go
+++ b/internal/ctl/bundleverify.go
@@ -32,11 +32,11 @@
 		return err
 	}
 	if _, _, err := bundle.Verify(sb.signed, trust); err != nil {
-		return usage("%s: %v", c.Dir, err)
+		return usageErrorf("%s: %v", c.Dir, err)
 	}
 	b, err := bundle.Open(sb.signed, sb.text)
 	if err != nil {
-		return usage("%s: %v", c.Dir, err)
+		return usageErrorf("%s: %v", c.Dir, err)
 	}
 	r := verifyReport{
 		Version: b.Version, Digest: b.Digest.String(),
@@ -45,11 +45,12 @@
 	return app.print(r)
 }
 
+// trust returns the reviewers and the threshold, from the settings file or from the flags.
 func (c *BundleVerifyCmd) trust() (bundle.Trust, error) {
 	t, file := bundle.TrustSettings{}, "--reviewer"
 	if c.Trust != "" {
 		if c.Threshold != 0 {
-			return bundle.Trust{}, usage("--threshold goes with --reviewer; with --trust it comes from the file")
+			return bundle.Trust{}, usageErrorf("--threshold goes with --reviewer; with --trust it comes from the file")
 		}
 		var err error
 		if t, err = readTrust(c.Trust); err != nil {
@@ -60,11 +61,12 @@
 		t = c.reviewers()
 	}
 	if err := settings.CheckValues(file, t); err != nil {
-		return bundle.Trust{}, refused(err)
+		return bundle.Trust{}, usageError(err)
 	}
 	return t.Trust(), nil
 }
 
+// reviewers returns the trust settings from the flags. The threshold is the number of reviewers by default.
 func (c *BundleVerifyCmd) reviewers() bundle.TrustSettings {
 	t := bundle.TrustSettings{Threshold: c.Threshold}
 	for _, r := range c.Reviewer {
@@ -77,8 +79,8 @@
 	return t
 }
 
-// readTrust takes the table [trust] alone from a settings file; the program that owns the file
-// checks the rest.
+// readTrust reads only the [trust] table of a settings file. The program that owns the file checks the other
+// tables.
 func readTrust(file string) (bundle.TrustSettings, error) {
 	var v struct {
 		Trust bundle.TrustSettings `toml:"trust"`
@@ -88,12 +90,12 @@
 		return v.Trust, eris.Wrap(err, "ctl.verify")
 	}
 	if err := toml.Unmarshal(data, &v); err != nil {
-		return v.Trust, usage("%s: %v", file, err)
+		return v.Trust, usageErrorf("%s: %v", file, err)
 	}
 	return v.Trust, nil
 }
 
-// verifyReport is a bundle that the trust accepts.
+// verifyReport describes a bundle whose signatures meet the threshold.
 type verifyReport struct {
 	Version   uint64   `json:"version"`
 	Digest    string   `json:"digest"`
--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -10,7 +10,7 @@
 	"github.com/burdockplank/burdockplank/internal/story"
 )
 
-// LossesCmd tells from log files where answers were lost, by cause.
+// LossesCmd counts, from log files, the requests without a whole answer in time, by cause.
 type LossesCmd struct {
 	Files []string  `arg:"" help:"Log files of the VMs, in any order."`
 	From  time.Time `help:"Only lines from this time on, as 2006-01-02T15:04:05Z."`
@@ -20,7 +20,7 @@
 // Run implements the command.
 func (c *LossesCmd) Run(app *App) error {
 	if !c.From.IsZero() && !c.To.IsZero() && !c.From.Before(c.To) {
-		return usage("--from: want a time before --to, got %v and %v", c.From, c.To)
+		return usageErrorf("--from: want a time before --to, got %v and %v", c.From, c.To)
 	}
 	var lines []story.Line
 	for _, name := range c.Files {
@@ -30,13 +30,13 @@
 		}
 		lines = append(lines, log.Lines...)
 	}
-	return app.print(newLossesReport(losses.New(lines, c.From, c.To)))
+	return app.print(newLossesReport(losses.Summarize(lines, c.From, c.To)))
 }
 
-// lossesReport is the ledger as it is printed.
+// lossesReport is the printed form of a losses.Summary.
 type lossesReport struct {
-	Causes  []lossesCause `json:"causes"`
-	LeftOut int64         `json:"lines_left_out"`
+	Causes       []lossesCause `json:"causes"`
+	DroppedLines int64         `json:"lines_left_out"`
 }
 
 type lossesCause struct {
@@ -46,9 +46,9 @@
 	IDs      []string `json:"first_ids"`
 }
 
-func newLossesReport(l *losses.Ledger) lossesReport {
-	r := lossesReport{LeftOut: l.LeftOut}
-	for _, c := range l.Causes {
+func newLossesReport(summary *losses.Summary) lossesReport {
+	r := lossesReport{DroppedLines: summary.DroppedLines}
+	for _, c := range summary.Causes {
 		r.Causes = append(r.Causes, lossesCause{c.Name, c.Requests, c.Late, c.IDs})
 	}
 	return r
@@ -61,7 +61,7 @@
 		_, _ = fmt.Fprintf(t, "%d\t%d\t%s\t%s\n", c.Requests, c.Late, c.Cause, strings.Join(c.IDs, " "))
 	}
 	_ = t.Flush()
-	if r.LeftOut > 0 {
-		_, _ = fmt.Fprintf(w, "%d lines were left out by the logs' limits: there were more than these.\n", r.LeftOut)
+	if r.DroppedLines > 0 {
+		_, _ = fmt.Fprintf(w, "%d lines were left out by the logs' limits: there may be more requests than counted here.\n", r.DroppedLines)
 	}
 }
--- a/internal/ctl/story.go
+++ b/internal/ctl/story.go
@@ -14,7 +14,7 @@
 	"github.com/burdockplank/burdockplank/internal/story"
 )
 
-// StoryCmd tells what became of one request, from log files.
+// StoryCmd shows how one request was processed, from log files.
 type StoryCmd struct {
 	ID     string        `arg:"" help:"Id of the request."`
 	Files  []string      `arg:"" help:"Log files of the VMs, in any order."`
@@ -24,7 +24,7 @@
 // Run implements the command.
 func (c *StoryCmd) Run(app *App) error {
 	if c.Around < 0 {
-		return usage("--around: want 0s or more, got %v", c.Around)
+		return usageErrorf("--around: want 0s or more, got %v", c.Around)
 	}
 	var lines []story.Line
 	skipped := 0
@@ -36,17 +36,18 @@
 		lines = append(lines, log.Lines...)
 		skipped += log.Skipped
 	}
-	told, err := story.Tell(lines, c.ID, c.Around)
+	selected, err := story.Collect(lines, c.ID, c.Around)
 	var unknown *story.UnknownError
 	if errors.As(err, &unknown) {
-		return usage("%v (%d lines read, %d passed over)", err, len(lines), skipped)
+		return usageErrorf("%v (%d lines read, %d passed over)", err, len(lines), skipped)
 	}
 	if err != nil {
 		return err
 	}
-	return app.print(newStoryReport(c.ID, told))
+	return app.print(newStoryReport(c.ID, selected))
 }
 
+// readLog reads the log file with the given name.
 func readLog(name string) (*story.Log, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -56,7 +57,8 @@
 	return story.Read(name, f)
 }
 
-// storyReport is the request's story; times count from its first own line.
+// storyReport lists the log lines about a request. Times are relative to the first line that names the
+// request.
 type storyReport struct {
 	ID    string      `json:"id"`
 	Lines []storyLine `json:"lines"`
@@ -71,8 +73,8 @@
 	Where        string         `json:"where"`
 }
 
-// told are the fields of a line that the report shows apart, or that every line of a log has.
-var told = []string{decision.FieldTime, decision.FieldVM, decision.FieldMsg, "level", "program"}
+// omittedFields are the fields that the report shows in columns of their own or that every line of a log has.
+var omittedFields = []string{decision.FieldTime, decision.FieldVM, decision.FieldMsg, "level", "program"}
 
 func newStoryReport(id string, lines []story.Line) storyReport {
 	own := func(l story.Line) bool { return l.Fields[decision.FieldID] == id }
@@ -81,7 +83,7 @@
 	for _, l := range lines {
 		fields := make(map[string]any)
 		for k, v := range l.Fields {
-			if !slices.Contains(told, k) && !empty(v) {
+			if !slices.Contains(omittedFields, k) && !isEmpty(v) {
 				fields[k] = v
 			}
 		}
@@ -93,8 +95,8 @@
 	return r
 }
 
-// empty tells whether a field says nothing.
-func empty(v any) bool { return v == nil || v == "" || v == json.Number("0") }
+// isEmpty reports whether a field is null, an empty string or 0.
+func isEmpty(v any) bool { return v == nil || v == "" || v == json.Number("0") }
 
 func (r storyReport) writeText(w io.Writer) {
 	t := newTable(w)
@@ -108,7 +110,7 @@
 	_ = t.Flush()
 }
 
-// fieldText writes fields in the order of their names.
+// fieldText formats the fields as name=value, sorted by name.
 func fieldText(fields map[string]any) string {
 	var out []string
 	for k, v := range fields {
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,5 +1,6 @@
-// Package losses tells from log lines where answers were lost, or worth less than whole ones in time: how many
-// requests by cause and by time, with ids to begin a walk at.
+// Package losses counts, from log lines, the requests that got no answer, a partial answer or a late one. It
+// groups them by cause within a time range and names the first request ids of each cause as starting points for
+// an investigation.
 package losses
 
 import (
@@ -13,38 +14,40 @@
 	"github.com/burdockplank/burdockplank/internal/story"
 )
 
-// idsMost is how many requests of a cause are named.
-const idsMost = 3
+// maxIDs is the maximum number of request ids listed per cause.
+const maxIDs = 3
 
-// Cause is what befell requests, and how many.
+// Cause counts the requests that were lost or degraded for one cause.
 type Cause struct {
-	// Name is the outcome with its reason, and for an answer without some shards what those were missing for.
+	// Name is the outcome with its reason. For a partial answer it is why shards are missing.
 	Name     string
 	Requests int
-	// Late is how many of them were answered after the target.
+	// Late counts those of the requests that were answered after their target latency.
 	Late int
-	// IDs of the first of them.
+	// IDs holds the ids of the first maxIDs requests.
 	IDs []string
 }
 
-// Ledger is what was lost.
-type Ledger struct {
-	// Causes, the most frequent first.
+// Summary holds the lost and degraded requests by cause.
+type Summary struct {
+	// Causes is sorted by number of requests, the most frequent first.
 	Causes []Cause
-	// LeftOut counts lines that the volume limit left out: requests are at least as many as said.
-	LeftOut int64
+	// DroppedLines counts the log lines that were dropped by the log's volume limit. If it isn't 0, the numbers of
+	// requests are lower bounds.
+	DroppedLines int64
 }
 
-// request is what a line says of a request.
+// request is one parsed log line of a request. elapsed and target are in seconds.
 type request struct {
 	id, outcome, reason, gatherer string
-	took, target                  float64
-	bad                           []string
+	elapsed, target               float64
+	badCalls                      []string
 }
 
-// New returns the ledger of the lines between two times; a zero time is no bound.
-func New(lines []story.Line, from, to time.Time) *Ledger {
-	l := new(Ledger)
+// Summarize returns the summary of the lines from the time from, inclusive, to the time to, exclusive. A zero
+// time is no bound.
+func Summarize(lines []story.Line, from, to time.Time) *Summary {
+	summary := new(Summary)
 	causes := make(map[string]*Cause)
 	for i := range lines {
 		line := &lines[i]
@@ -53,22 +56,22 @@
 		}
 		switch line.Msg {
 		case decision.MsgLeftOut:
-			l.LeftOut += int64(number(line.Fields[decision.FieldLines]))
+			summary.DroppedLines += int64(number(line.Fields[decision.FieldLines]))
 		case decision.MsgRequest:
-			note(causes, read(line))
+			countRequest(causes, parseRequest(line))
 		}
 	}
 	for _, c := range causes {
-		l.Causes = append(l.Causes, *c)
+		summary.Causes = append(summary.Causes, *c)
 	}
-	slices.SortFunc(l.Causes, func(a, b Cause) int { return cmp.Or(b.Requests-a.Requests, strings.Compare(a.Name, b.Name)) })
-	return l
+	slices.SortFunc(summary.Causes, func(a, b Cause) int { return cmp.Or(b.Requests-a.Requests, strings.Compare(a.Name, b.Name)) })
+	return summary
 }
 
-// note counts a request under its cause; one that was whole and in time, or that another VM's line tells of, has
-// none.
-func note(causes map[string]*Cause, r *request) {
-	late := r.target > 0 && r.took > r.target
+// countRequest counts a request under its cause. It ignores a request that was answered wholly and in time, and a
+// line that names another VM as gatherer, because that VM's own line counts the request.
+func countRequest(causes map[string]*Cause, r *request) {
+	late := r.target > 0 && r.elapsed > r.target
 	name := causeOf(r)
 	if r.gatherer != "" || name == "" && !late {
 		return
@@ -85,39 +88,40 @@
 	if late {
 		c.Late++
 	}
-	if len(c.IDs) < idsMost {
+	if len(c.IDs) < maxIDs {
 		c.IDs = append(c.IDs, r.id)
 	}
 }
 
-// causeOf names what a request lacks; empty for a whole answer.
+// causeOf returns the name of the cause, or "" for a whole answer.
 func causeOf(r *request) string {
 	switch {
 	case r.outcome != "served":
 		return strings.TrimRight(r.outcome+": "+r.reason, ": ")
 	case r.reason == "partial":
-		return "partial: " + worst(r.bad)
+		return "partial: " + mainFailure(r.badCalls)
 	}
 	return ""
 }
 
-// kinds of bad calls from the one that explains most to the one that explains least.
-var kinds = []string{"no budget for a repeat", "no connection free", "no answer yet", "refused", "no connection"}
+// failureKinds lists the kinds of bad calls, the one that best explains a missing shard first.
+var failureKinds = []string{"no budget for a repeat", "no connection free", "no answer yet", "refused", "no connection"}
 
-// worst returns the kind of bad call that explains best why a shard is missing.
-func worst(bad []string) string {
-	for _, k := range kinds {
-		if slices.Contains(bad, k) {
+// mainFailure returns the kind of bad call that best explains why a shard is missing.
+func mainFailure(badCalls []string) string {
+	for _, k := range failureKinds {
+		if slices.Contains(badCalls, k) {
 			return k
 		}
 	}
-	if len(bad) == 0 {
+	if len(badCalls) == 0 {
 		return "not told"
 	}
 	return "failed calls"
 }
 
-func read(line *story.Line) *request {
+// parseRequest reads the fields of a request's log line. Missing fields stay zero.
+func parseRequest(line *story.Line) *request {
 	text := func(name string) string {
 		s, _ := line.Fields[name].(string)
 		return s
@@ -125,19 +129,19 @@
 	r := &request{
 		id: text(decision.FieldID), outcome: text(decision.FieldOutcome), reason: text(decision.FieldReason),
 		gatherer: text(decision.FieldGatherer),
-		took:     number(line.Fields[decision.FieldTook]), target: number(line.Fields[decision.FieldTarget]),
+		elapsed:  number(line.Fields[decision.FieldTook]), target: number(line.Fields[decision.FieldTarget]),
 	}
 	calls, _ := line.Fields[decision.FieldBadCalls].([]any)
 	for _, c := range calls {
 		if fields, ok := c.(map[string]any); ok {
 			what, _ := fields[decision.FieldWhat].(string)
-			r.bad = append(r.bad, what)
+			r.badCalls = append(r.badCalls, what)
 		}
 	}
 	return r
 }
 
-// number returns a field that is a number, 0 where it is none.
+// number returns the value of a numeric field, or 0 if it is not a number.
 func number(v any) float64 {
 	n, _ := v.(json.Number)
 	f, err := n.Float64()
