--- a/cmd/burdock-soak/main.go
+++ b/cmd/burdock-soak/main.go
@@ -49,7 +49,7 @@
 
 func (c *common) options(seed uint64, keep bool) soak.Options {
 	return soak.Options{
-		Seed: seed, Size: soak.Size{VMs: c.VMs, Zones: c.Zones, Faults: c.Faults, Strong: c.Strong}, Program: c.Program, Net: c.Net, Out: c.Out, Keep: keep,
+		Seed: seed, Size: soak.Size{VMs: c.VMs, Zones: c.Zones, Faults: c.Faults, LargerVMs: c.Strong}, Program: c.Program, Net: c.Net, Out: c.Out, Keep: keep,
 	}
 }
 
--- a/internal/child/child.go
+++ b/internal/child/child.go
@@ -187,16 +187,16 @@
 	return nil
 }
 
-// Wake lets it go on.
-func (p *Process) Wake() error {
+// Resume lets it go on.
+func (p *Process) Resume() error {
 	p.mu.Lock()
 	p.woken = time.Now()
 	p.mu.Unlock()
 	return p.Signal(syscall.SIGCONT)
 }
 
-// WokenAt returns the time just before the newest wake, zero for none.
-func (p *Process) WokenAt() time.Time {
+// ResumedAt returns the time just before the newest wake, zero for none.
+func (p *Process) ResumedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.woken
@@ -219,7 +219,7 @@
 // Terminate asks the process to end in order, without waiting.
 func (p *Process) Terminate() error {
 	if p.Frozen() {
-		if err := p.Wake(); err != nil {
+		if err := p.Resume(); err != nil {
 			return err
 		}
 	}
@@ -229,17 +229,17 @@
 	return p.Signal(syscall.SIGTERM)
 }
 
-// AwaitEnd waits until the newest start has ended, at most for the given time, and tells whether it has.
-func (p *Process) AwaitEnd(most time.Duration) bool {
+// WaitExit waits until the newest start has ended, at most for the given time, and tells whether it has.
+func (p *Process) WaitExit(most time.Duration) bool {
 	p.mu.Lock()
 	s := p.newest
 	p.mu.Unlock()
 	return s.within(most)
 }
 
-// Ended waits until the start that Terminate asked to end has ended, and wants exit code 0 unless Kill ended it;
+// WaitCleanExit waits until the start that Terminate asked to end has ended, and wants exit code 0 unless Kill ended it;
 // where none was asked it is the newest. The process may have been started again meanwhile.
-func (p *Process) Ended() error {
+func (p *Process) WaitCleanExit() error {
 	s := p.ending()
 	if !s.within(endBound) {
 		_ = p.Kill()
--- a/internal/child/child_test.go
+++ b/internal/child/child_test.go
@@ -34,7 +34,7 @@
 	is.NoErr(p.Kill())
 	is.NoErr(p.Start())
 	began := time.Now()
-	is.NoErr(p.Ended())
+	is.NoErr(p.WaitCleanExit())
 	is.True(time.Since(began) < time.Second)
 	is.True(p.Running())
 }
@@ -49,10 +49,10 @@
 	up(t, p)
 	is.NoErr(p.Terminate())
 	is.NoErr(p.Terminate())
-	is.NoErr(p.Ended())
+	is.NoErr(p.WaitCleanExit())
 	is.NoErr(p.Start())
 	began := time.Now()
-	is.NoErr(p.Ended())
+	is.NoErr(p.WaitCleanExit())
 	is.True(time.Since(began) < time.Second)
 	is.True(p.Running())
 }
@@ -65,9 +65,9 @@
 	is.NoErr(p.Start())
 	up(t, p)
 	is.NoErr(p.Terminate())
-	is.True(p.AwaitEnd(5 * time.Second))
+	is.True(p.WaitExit(5 * time.Second))
 	is.NoErr(p.Start())
-	is.True(p.Ended() != nil)
+	is.True(p.WaitCleanExit() != nil)
 }
 
 // A process that ends with a failure after Terminate is told of, also where an earlier start was killed.
@@ -79,5 +79,5 @@
 	is.NoErr(p.Start())
 	up(t, p)
 	is.NoErr(p.Terminate())
-	is.True(p.Ended() != nil)
+	is.True(p.WaitCleanExit() != nil)
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -304,7 +304,7 @@
 	}
 	wait.For(ctx, d)
 	v.disturb(Span{from, time.Now(), freezeSpan})
-	if err := v.process.Wake(); err != nil {
+	if err := v.process.Resume(); err != nil {
 		w.fail("wake of VM %d: %v", v.number, err)
 	}
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -11,9 +11,9 @@
 	// VMs and Zones, and for how long faults are injected.
 	VMs, Zones int
 	Faults     time.Duration
-	// Strong is how many VMs, the first ones, have four times the processor of the others, which hand their
+	// LargerVMs is how many VMs, the first ones, have four times the processor of the others, which hand their
 	// searches to those in their zone. With 0 nobody is told of its processor, and nothing is handed over.
-	Strong int
+	LargerVMs int
 }
 
 // DefaultSize is a dozen processes' worth of work in half a minute.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,7 +17,7 @@
 
 // TestShortRunOfUnequalVMs plays one in which two of three VMs hand their searches to the third.
 func TestShortRunOfUnequalVMs(t *testing.T) {
-	shortRun(t, Options{Seed: 12, Size: Size{VMs: 3, Zones: 1, Faults: 6 * time.Second, Strong: 1}, Net: 72})
+	shortRun(t, Options{Seed: 12, Size: Size{VMs: 3, Zones: 1, Faults: 6 * time.Second, LargerVMs: 1}, Net: 72})
 }
 
 // shortRun plays a seed that keeps all promises.
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -107,7 +107,7 @@
 		e.Err = err.Error()
 		return e
 	}
-	if !v.process.AwaitEnd(graceBound + slack) {
+	if !v.process.WaitExit(graceBound + slack) {
 		e.Err = fmt.Sprintf("still runs %v after SIGTERM; killed", graceBound+slack)
 		_ = v.kill()
 		return e
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -134,9 +134,9 @@
 func (w *world) millicores(vm int) int {
 	const weak, strong = 200, 800
 	switch {
-	case w.o.Size.Strong == 0:
+	case w.o.Size.LargerVMs == 0:
 		return 0
-	case vm < w.o.Size.Strong:
+	case vm < w.o.Size.LargerVMs:
 		return strong
 	}
 	return weak
--- a/scenarios/fleet_test.go
+++ b/scenarios/fleet_test.go
@@ -384,7 +384,7 @@
 		asked = append(asked, d)
 	}
 	for _, d := range asked {
-		problems = errors.Join(problems, d.Ended())
+		problems = errors.Join(problems, d.WaitCleanExit())
 	}
 	if f.relay != nil {
 		f.relay.close()
--- a/scenarios/mischief_test.go
+++ b/scenarios/mischief_test.go
@@ -171,7 +171,7 @@
 	return mishap{
 		name: "freeze " + name, hold: m.between(200*time.Millisecond, 4*time.Second),
 		begin: func() error { return errors.Join(allUntouched(ds), eachIfFree(ds, (*daemon).Freeze)) },
-		end:   func() error { return eachOf(ds, (*daemon).Wake) },
+		end:   func() error { return eachOf(ds, (*daemon).Resume) },
 	}
 }
 
@@ -182,7 +182,7 @@
 		name: "restart " + name, hold: m.between(0, time.Second),
 		begin: func() error { return errors.Join(allUntouched(ds), eachIfFree(ds, (*daemon).Terminate)) },
 		end: func() error {
-			if err := eachOf(ds, (*daemon).Ended); err != nil {
+			if err := eachOf(ds, (*daemon).WaitCleanExit); err != nil {
 				return err
 			}
 			return eachOf(ds, startIfDown)
--- a/scenarios/post_test.go
+++ b/scenarios/post_test.go
@@ -106,5 +106,5 @@
 		return err
 	}
 	time.Sleep(lasts)
-	return each((*daemon).Wake)(f, a)
+	return each((*daemon).Resume)(f, a)
 }
--- a/scenarios/unknown_share_test.go
+++ b/scenarios/unknown_share_test.go
@@ -75,7 +75,7 @@
 // endAndStart waits for the end of a process that was asked to end, and starts it again.
 func endAndStart(names ...string) func(*fleet) error {
 	return byName(func(d *daemon) error {
-		if err := d.Ended(); err != nil {
+		if err := d.WaitCleanExit(); err != nil {
 			return err
 		}
 		return d.Start()
@@ -88,15 +88,15 @@
 	return []unknownCase{
 		{"calm", nothing, nothing, true},
 		{"entry killed", byName((*daemon).Kill, "entry/vm-1"), byName((*daemon).Start, "entry/vm-1"), true},
-		{"entry frozen", byName((*daemon).Freeze, "entry/vm-1"), byName((*daemon).Wake, "entry/vm-1"), true},
+		{"entry frozen", byName((*daemon).Freeze, "entry/vm-1"), byName((*daemon).Resume, "entry/vm-1"), true},
 		{"gather killed", byName((*daemon).Kill, "gather/vm-1"), byName((*daemon).Start, "gather/vm-1"), false},
-		{"gather frozen", byName((*daemon).Freeze, "gather/vm-1"), byName((*daemon).Wake, "gather/vm-1"), true},
+		{"gather frozen", byName((*daemon).Freeze, "gather/vm-1"), byName((*daemon).Resume, "gather/vm-1"), true},
 		{"gather restarted in order", byName((*daemon).Terminate, "gather/vm-1"), endAndStart("gather/vm-1"), true},
 		{"sync killed", byName((*daemon).Kill, "sync/vm-1"), byName((*daemon).Start, "sync/vm-1"), true},
 		{"VM killed", byName((*daemon).Kill, "vm-1"), byName((*daemon).Start, "vm-1"), false},
-		{"VM frozen", byName((*daemon).Freeze, "vm-1"), byName((*daemon).Wake, "vm-1"), true},
+		{"VM frozen", byName((*daemon).Freeze, "vm-1"), byName((*daemon).Resume, "vm-1"), true},
 		{"leaf killed", byName((*daemon).Kill, "leaf/"+oneLeaf), byName((*daemon).Start, "leaf/"+oneLeaf), false},
-		{"leaf frozen", byName((*daemon).Freeze, "leaf/"+oneLeaf), byName((*daemon).Wake, "leaf/"+oneLeaf), true},
+		{"leaf frozen", byName((*daemon).Freeze, "leaf/"+oneLeaf), byName((*daemon).Resume, "leaf/"+oneLeaf), true},
 		{"leaf drains", faultStep(oneLeaf, `{"drain":true}`), faultStep(oneLeaf, `{}`), true},
 		{"leaf sheds", faultStep(oneLeaf, `{"shed":true}`), faultStep(oneLeaf, `{}`), true},
 		{"leaf slower than the deadline", faultStep(oneLeaf, `{"hold_execute":"3s"}`), faultStep(oneLeaf, `{}`), false},
--- a/scenarios/verbs_leaving_test.go
+++ b/scenarios/verbs_leaving_test.go
@@ -225,7 +225,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	woken := f.daemon(process).WokenAt()
+	woken := f.daemon(process).ResumedAt()
 	if woken.IsZero() {
 		return nil, nil, fmt.Errorf("%s wasn't woken", process)
 	}
--- a/scenarios/verbs_test.go
+++ b/scenarios/verbs_test.go
@@ -46,7 +46,7 @@
 	all := map[string]func(*testscript.TestScript, bool, []string){"fleet": verbFleet}
 	for name, v := range map[string]verb{
 		"start": each((*daemon).Start), "crash": each((*daemon).Kill),
-		"freeze": each((*daemon).Freeze), "wake": each((*daemon).Wake),
+		"freeze": each((*daemon).Freeze), "wake": each((*daemon).Resume),
 		"shutdown": verbShutdown, "terminate": each((*daemon).Terminate),
 		"cut": verbCut, "heal": verbHeal, "silence": verbSilence, "sever": verbSever,
 		"fault": verbFault, "snapshots": verbSnapshots, "list": verbList, "replace": verbReplace, "lag": verbLag,
@@ -139,7 +139,7 @@
 	if err := each((*daemon).Terminate)(f, a); err != nil {
 		return err
 	}
-	return each((*daemon).Ended)(f, a)
+	return each((*daemon).WaitCleanExit)(f, a)
 }
 
 // pair resolves the two sides of a cut or silence; the relay must be there.
--- a/scenarios/verbs_traffic_test.go
+++ b/scenarios/verbs_traffic_test.go
@@ -100,7 +100,7 @@
 	if err := await("the end of the traffic", bound, func() error { return allEnded([]*daemon{run.daemon}) }); err != nil {
 		return err
 	}
-	if err := run.daemon.Ended(); err != nil {
+	if err := run.daemon.WaitCleanExit(); err != nil {
 		return err
 	}
 	data, err := os.ReadFile(run.result)
