--- a/internal/soak/again.go
+++ b/internal/soak/again.go
@@ -9,58 +9,58 @@
 	"github.com/burdockplank/burdockplank/internal/wait"
 )
 
-// startAgain crashes leaves and starts them again under their ids, at their places or, swapped, each at that of
+// restartLeaves crashes leaves and starts them again under their ids, at their places or, swapped, each at that of
 // another replica of its service.
-func (w *world) startAgain(ctx context.Context, places []*place, e Event) {
-	p := places[0]
-	service := p.serves()
-	struck := []*place{p}
+func (tb *testbed) restartLeaves(ctx context.Context, placements []*placement, e Event) {
+	p := placements[0]
+	service := p.currentService()
+	affected := []*placement{p}
 	if e.Fault == LeafSwap {
-		struck = append(struck, w.otherReplica(p, service)...)
+		affected = append(affected, tb.otherReplica(p, service)...)
 	}
-	var emptied []*place
+	var vacated []*placement
 	var ids []string
-	for _, s := range struck {
-		leaf := s.empty()
+	for _, s := range affected {
+		leaf := s.takeLeaf()
 		if leaf == nil {
 			continue // gone by another event
 		}
 		leaf.Close()
-		emptied, ids = append(emptied, s), append(ids, leaf.ID)
-		defer w.lapse(ctx, leaf, e)()
+		vacated, ids = append(vacated, s), append(ids, leaf.ID)
+		defer tb.expireEntry(ctx, leaf, e)()
 	}
 	wait.For(ctx, e.For)
 	for i, id := range ids {
-		at := emptied[len(ids)-1-i]
-		if _, err := at.openAs(&w.past, service, id); err != nil {
-			w.fail("%s at %s: %v", e.Fault, at.entry, err)
+		at := vacated[len(ids)-1-i]
+		if _, err := at.startLeafAs(&tb.started, service, id); err != nil {
+			tb.fail("%s at %s: %v", e.Fault, at.entry, err)
 			continue
 		}
-		w.enter(at, "ready")
+		tb.writeEntry(at, "ready")
 	}
 }
 
 // otherReplica returns one other place of the service that holds a leaf.
-func (w *world) otherReplica(p *place, service string) []*place {
-	for _, q := range w.placesOf(service) {
+func (tb *testbed) otherReplica(p *placement, service string) []*placement {
+	for _, q := range tb.placementsOf(service) {
 		if q != p && q.current() != nil {
-			return []*place{q}
+			return []*placement{q}
 		}
 	}
 	return nil
 }
 
-// lapse removes the entry of a crashed leaf where it is away for longer than the store keeps it. It returns what
+// expireEntry removes the entry of a crashed leaf where it is away for longer than the store keeps it. It returns what
 // waits for that.
-func (w *world) lapse(ctx context.Context, leaf *hosted.Leaf, e Event) func() {
-	if e.For <= entryLapse {
+func (tb *testbed) expireEntry(ctx context.Context, leaf *hosted.Leaf, e Event) func() {
+	if e.For <= entryTTL {
 		return func() {}
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if wait.For(ctx, entryLapse) {
-			w.store.Remove(leaf)
+		if wait.For(ctx, entryTTL) {
+			tb.store.Remove(leaf)
 		}
 	}()
 	return func() { <-done }
@@ -85,9 +85,9 @@
 }
 
 // writeForeign writes entries that no leaf wrote, for a service in use.
-func (w *world) writeForeign(e Event) {
-	for name, value := range foreignEntries(w.shardInForce(e), w.trap.Address()) {
-		w.store.Put(hosted.ForeignKey("foreign-"+name), value)
+func (tb *testbed) writeForeign(e Event) {
+	for name, value := range foreignEntries(tb.shardInForce(e), tb.trap.Address()) {
+		tb.store.Put(hosted.ForeignKey("foreign-"+name), value)
 	}
 }
 
@@ -95,12 +95,12 @@
 func checkForeign(h *History, _ *index) []string { return h.Trapped }
 
 // trapped tells what reached the trap.
-func (w *world) trapped() []string {
+func (tb *testbed) trapped() []string {
 	var out []string
-	if n := w.trap.Opened(); n > 0 {
+	if n := tb.trap.Opened(); n > 0 {
 		out = append(out, fmt.Sprintf("%d connections were opened to an address that only foreign entries name", n))
 	}
-	for _, s := range w.trap.Requests() {
+	for _, s := range tb.trap.Requests() {
 		out = append(out, fmt.Sprintf("request %s reached it", s.ID))
 	}
 	return out
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -20,17 +20,17 @@
 	// callers send at once, each with callerPause between its requests: some 300 requests a second.
 	callers     = 10
 	callerPause = 25 * time.Millisecond
-	// callLimit is how long a caller waits, by its own word.
-	callLimit = 2 * time.Second
-	// keepCalls is for how many requests a caller keeps a connection before it takes another VM.
-	keepCalls = 40
+	// callTimeout is how long a caller waits, by its own word.
+	callTimeout = 2 * time.Second
+	// callsPerConnection is for how many requests a caller keeps a connection before it takes another VM.
+	callsPerConnection = 40
 	// notSent begins the error of a request of which the VM can't have read all, gaveUp that of one whose
 	// caller waited a second longer than it had said.
 	notSent, gaveUp = "not sent: ", "gave up: "
 )
 
-// fleet says where callers may go.
-type fleet interface {
+// balancer says where callers may go.
+type balancer interface {
 	// pick returns a VM that counts as ready, its address and which start of its process; ok is false
 	// where there is none.
 	pick(rng *rand.Rand) (vm, start int, address string, ok bool)
@@ -38,9 +38,9 @@
 
 // caller sends requests one after the other over connections that it keeps while they last.
 type caller struct {
-	name  int
-	fleet fleet
-	rng   *rand.Rand
+	number   int
+	balancer balancer
+	rng      *rand.Rand
 
 	conn      net.Conn
 	reader    *bufio.Reader
@@ -48,45 +48,45 @@
 	used      int
 }
 
-// recorder keeps calls. It is safe for concurrent use.
-type recorder struct {
+// callRecorder keeps calls. It is safe for concurrent use.
+type callRecorder struct {
 	mu    sync.Mutex
 	calls []Call
 }
 
-func (r *recorder) add(c Call) {
+func (r *callRecorder) add(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, c)
 }
 
-func (r *recorder) all() []Call {
+func (r *callRecorder) all() []Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Call(nil), r.calls...)
 }
 
 // run sends until ctx ends.
-func (c *caller) run(ctx context.Context, out *recorder) {
-	defer c.hangUp()
+func (c *caller) run(ctx context.Context, out *callRecorder) {
+	defer c.closeConn()
 	for n := 0; wait.For(ctx, callerPause); n++ {
 		if c.connect() {
-			out.add(c.call(fmt.Sprintf("%02x%06x", c.name, n)))
+			out.add(c.call(fmt.Sprintf("%02x%06x", c.number, n)))
 		}
 	}
 }
 
 // connect makes sure of a connection, and takes another VM now and then.
 func (c *caller) connect() bool {
-	if c.conn != nil && c.used < keepCalls {
+	if c.conn != nil && c.used < callsPerConnection {
 		return true
 	}
-	c.hangUp()
-	vm, start, address, ok := c.fleet.pick(c.rng)
+	c.closeConn()
+	vm, start, address, ok := c.balancer.pick(c.rng)
 	if !ok {
 		return false
 	}
-	conn, err := net.DialTimeout("tcp", address, callLimit)
+	conn, err := net.DialTimeout("tcp", address, callTimeout)
 	if err != nil {
 		return false // nothing was sent; the balancer will notice
 	}
@@ -94,7 +94,7 @@
 	return true
 }
 
-func (c *caller) hangUp() {
+func (c *caller) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
@@ -108,7 +108,7 @@
 	keep := c.exchange(&out)
 	out.Ended = time.Now()
 	if !keep {
-		c.hangUp()
+		c.closeConn()
 	}
 	return out
 }
@@ -116,14 +116,14 @@
 // exchange fills in the call and tells whether the connection goes on.
 func (c *caller) exchange(out *Call) (keep bool) {
 	var method, path, body string
-	out.Kind, method, path = c.choose()
+	out.Kind, method, path = c.drawRequest()
 	out.Target = path + out.ID
 	if out.Kind == Order {
 		body = "one of " + out.ID
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(callLimit + time.Second))
-	ask := hosted.Ask{ID: out.ID, Method: method, Host: host, Target: out.Target, Body: body, Wait: callLimit}
-	if err := ask.Write(c.conn); err != nil {
+	_ = c.conn.SetDeadline(time.Now().Add(callTimeout + time.Second))
+	request := hosted.Ask{ID: out.ID, Method: method, Host: host, Target: out.Target, Body: body, Wait: callTimeout}
+	if err := request.Write(c.conn); err != nil {
 		out.Err = notSent + err.Error()
 		return false
 	}
@@ -132,12 +132,12 @@
 		out.Err = readError(err)
 		return false
 	}
-	out.take(a)
+	out.setAnswer(a)
 	return a.Keep
 }
 
-// choose draws the kind of the next request.
-func (c *caller) choose() (kind Kind, method, path string) {
+// drawRequest draws the kind of the next request.
+func (c *caller) drawRequest() (kind Kind, method, path string) {
 	switch c.rng.IntN(10) {
 	case 0, 1:
 		return Order, http.MethodPost, "/o/"
@@ -147,8 +147,8 @@
 	return Search, http.MethodGet, "/s/"
 }
 
-// take notes an answer.
-func (c *Call) take(a *hosted.Answer) {
+// setAnswer notes an answer.
+func (c *Call) setAnswer(a *hosted.Answer) {
 	c.Status, c.Body = a.Status, a.Body
 	switch {
 	case c.Kind == Search:
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -21,22 +21,22 @@
 
 // checks are the promises, in the order of the report.
 var checks = []check{
-	{"own whole true answers", checkOwn},
-	{"nothing unasked runs", checkUnasked},
+	{"own whole true answers", checkAnswers},
+	{"nothing unasked runs", checkUnrequested},
 	{"orders run once at most", checkOnce},
 	{"not run means not run", checkNotRun},
 	{"extra calls keep the budget", checkBudget},
 	{"leaving leaves get no new work", checkDrain},
 	{"configuration in force in time", checkConfig},
-	{"configuration never goes back", checkBack},
-	{"orderly ends cut nothing", checkCut},
-	{"orderly ends end", checkEnds},
+	{"configuration never goes back", checkRollback},
+	{"orderly ends cut nothing", checkUnanswered},
+	{"orderly ends end", checkTermination},
 	{"service recovers", checkRecovery},
 	{"foreign entries name no leaf", checkForeign},
 }
 
-// detailsMost bounds the details of one check in a report.
-const detailsMost = 5
+// maxDetails bounds the details of one check in a report.
+const maxDetails = 5
 
 // Check returns what broke the promises in a history.
 func Check(h *History) []Violation {
@@ -44,11 +44,11 @@
 	var out []Violation
 	for _, c := range checks {
 		details := c.run(h, x)
-		for _, d := range details[:min(detailsMost, len(details))] {
+		for _, d := range details[:min(maxDetails, len(details))] {
 			out = append(out, Violation{c.name, d})
 		}
-		if n := len(details); n > detailsMost {
-			out = append(out, Violation{c.name, fmt.Sprintf("and %d more", n-detailsMost)})
+		if n := len(details); n > maxDetails {
+			out = append(out, Violation{c.name, fmt.Sprintf("and %d more", n-maxDetails)})
 		}
 	}
 	return out
@@ -72,8 +72,8 @@
 	return x
 }
 
-// ran returns how often a leaf began to work on the request.
-func (x *index) ran(id string) int {
+// runCount returns how often a leaf began to work on the request.
+func (x *index) runCount(id string) int {
 	n := 0
 	for _, r := range x.runs[id] {
 		if r.Ran {
@@ -83,8 +83,8 @@
 	return n
 }
 
-// signed returns the run that a signature stands for; nil where no leaf signed so.
-func (x *index) signed(id, stamp string) *Run {
+// signedRun returns the run that a signature stands for; nil where no leaf signed so.
+func (x *index) signedRun(id, stamp string) *Run {
 	for _, r := range x.runs[id] {
 		if r.Ran && r.Leaf+"."+id == stamp {
 			return r
@@ -95,32 +95,32 @@
 
 // checkOwn: a success bears the signatures of leaves that ran this request, and holds just what they
 // answered.
-func checkOwn(h *History, x *index) []string {
+func checkAnswers(h *History, x *index) []string {
 	var out []string
 	for i := range h.Calls {
 		c := &h.Calls[i]
 		if c.Status != 200 {
 			continue
 		}
-		if why := wrongAnswer(h, x, c); why != "" {
+		if why := answerError(h, x, c); why != "" {
 			out = append(out, fmt.Sprintf("%s %s at VM %d: %s", c.Kind, c.ID, c.VM, why))
 		}
 	}
 	return out
 }
 
-// wrongAnswer says what is wrong with a success; empty where nothing is.
-func wrongAnswer(h *History, x *index, c *Call) string {
+// answerError says what is wrong with a success; empty where nothing is.
+func answerError(h *History, x *index, c *Call) string {
 	var services []string
 	for _, stamp := range c.Stamps {
-		r := x.signed(c.ID, stamp)
+		r := x.signedRun(c.ID, stamp)
 		if r == nil {
 			return fmt.Sprintf("no leaf signed %q", stamp)
 		}
 		services = append(services, r.Service)
 	}
 	if c.Kind == Search {
-		return wrongSearch(h, c, services)
+		return searchError(h, c, services)
 	}
 	if len(services) != 1 {
 		return fmt.Sprintf("%d signatures", len(services))
@@ -131,8 +131,8 @@
 	return ""
 }
 
-// wrongSearch says what is wrong with a search whose parts are of the shards.
-func wrongSearch(h *History, c *Call, shards []string) string {
+// searchError says what is wrong with a search whose parts are of the shards.
+func searchError(h *History, c *Call, shards []string) string {
 	slices.Sort(shards)
 	if len(slices.Compact(slices.Clone(shards))) != len(shards) {
 		return fmt.Sprintf("a shard twice: %v", shards)
@@ -150,7 +150,7 @@
 	return ""
 }
 
-func checkUnasked(h *History, x *index) []string {
+func checkUnrequested(h *History, x *index) []string {
 	var out []string
 	for i := range h.Runs {
 		r := &h.Runs[i]
@@ -163,8 +163,8 @@
 }
 
 func checkOnce(h *History, x *index) []string {
-	return each(h, func(c *Call) string {
-		if n := x.ran(c.ID); c.Kind == Order && n > 1 {
+	return checkCalls(h, func(c *Call) string {
+		if n := x.runCount(c.ID); c.Kind == Order && n > 1 {
 			return fmt.Sprintf("order %s ran %d times", c.ID, n)
 		}
 		return ""
@@ -172,16 +172,16 @@
 }
 
 func checkNotRun(h *History, x *index) []string {
-	return each(h, func(c *Call) string {
-		if c.Kind == Order && (c.Status == 503 || c.Status == 429) && x.ran(c.ID) > 0 {
+	return checkCalls(h, func(c *Call) string {
+		if c.Kind == Order && (c.Status == 503 || c.Status == 429) && x.runCount(c.ID) > 0 {
 			return fmt.Sprintf("order %s was answered %d and ran", c.ID, c.Status)
 		}
 		return ""
 	})
 }
 
-// each returns what the function says of the calls.
-func each(h *History, f func(*Call) string) []string {
+// checkCalls returns what the function says of the calls.
+func checkCalls(h *History, f func(*Call) string) []string {
 	var out []string
 	for i := range h.Calls {
 		if s := f(&h.Calls[i]); s != "" {
@@ -197,16 +197,16 @@
 		leaf string
 		born int64
 	}
-	left := make(map[start]time.Time)
+	drained := make(map[start]time.Time)
 	for _, d := range h.Drains {
-		left[start{d.Leaf, d.Born}] = d.At
+		drained[start{d.Leaf, d.Born}] = d.At
 	}
 	var out []string
 	for i := range h.Runs {
 		r := &h.Runs[i]
-		at, leaves := left[start{r.Leaf, r.Born}]
+		at, draining := drained[start{r.Leaf, r.Born}]
 		c := x.calls[r.ID]
-		if !leaves || c == nil || r.At.Before(at.Add(drainBound+slack)) || !h.inTouch(c.VM, at, r.At) {
+		if !draining || c == nil || r.At.Before(at.Add(drainBound+slack)) || !h.undisturbed(c.VM, at, r.At) {
 			continue
 		}
 		out = append(out, fmt.Sprintf("request %s of VM %d reached leaf %s %v after it was marked as leaving", r.ID, c.VM, r.Leaf, r.At.Sub(at).Round(time.Millisecond)))
@@ -216,8 +216,8 @@
 
 // checkCut: an orderly end, and a VM that nothing happens to, leaves no request unanswered that a leaf got.
 // Neither can a VM that stands still answer a caller before it gives up.
-func checkCut(h *History, x *index) []string {
-	return each(h, func(c *Call) string {
+func checkUnanswered(h *History, x *index) []string {
+	return checkCalls(h, func(c *Call) string {
 		switch {
 		case c.Err == "", strings.HasPrefix(c.Err, notSent), len(x.runs[c.ID]) == 0, h.killedWithin(c.VM, c.Sent, c.Ended):
 			return ""
@@ -228,7 +228,7 @@
 	})
 }
 
-func checkEnds(h *History, _ *index) []string {
+func checkTermination(h *History, _ *index) []string {
 	var out []string
 	for _, e := range h.Ends {
 		if e.Err != "" {
--- a/internal/soak/check_budget.go
+++ b/internal/soak/check_budget.go
@@ -44,7 +44,7 @@
 	var out []time.Time
 	for i := range h.Calls {
 		c := &h.Calls[i]
-		if c.Kind == Order && service == orderService || c.Kind != Order && h.mayGoTo(c, service) {
+		if c.Kind == Order && service == orderService || c.Kind != Order && h.mayTarget(c, service) {
 			out = append(out, c.Sent)
 		}
 	}
@@ -52,10 +52,10 @@
 	return out
 }
 
-// mayGoTo tells whether a version that may be in force while the call goes on sends it to the service.
-func (h *History) mayGoTo(c *Call, service string) bool {
+// mayTarget tells whether a version that may be in force while the call goes on sends it to the service.
+func (h *History) mayTarget(c *Call, service string) bool {
 	for i, f := range h.Configs {
-		replaced := i+1 < len(h.Configs) && h.Configs[i+1].At.Before(c.Sent.Add(-configBound-contactTime))
+		replaced := i+1 < len(h.Configs) && h.Configs[i+1].At.Before(c.Sent.Add(-configBound-settleTime))
 		if f.At.After(c.Ended) || replaced {
 			continue
 		}
@@ -75,9 +75,9 @@
 	}
 	for _, from := range extra {
 		n := count(extra, from)
-		asked := max(count(requests, from), count(requests, from.Add(-budgetWindow)), count(requests, from.Add(-budgetWindow/2)))
-		if allowed := budgetRatio*float64(asked) + budgetSlack; float64(n) > allowed {
-			return fmt.Sprintf("service %s got %d extra calls in %v for %d requests, %.0f are allowed", service, n, budgetWindow, asked, allowed)
+		requested := max(count(requests, from), count(requests, from.Add(-budgetWindow)), count(requests, from.Add(-budgetWindow/2)))
+		if allowed := budgetRatio*float64(requested) + budgetSlack; float64(n) > allowed {
+			return fmt.Sprintf("service %s got %d extra calls in %v for %d requests, %.0f are allowed", service, n, budgetWindow, requested, allowed)
 		}
 	}
 	return ""
--- a/internal/soak/check_config.go
+++ b/internal/soak/check_config.go
@@ -19,9 +19,9 @@
 	return 0
 }
 
-// handled returns the version by which a single request was handled: that of the service where it first
+// handledVersion returns the version by which a single request was handled: that of the service where it first
 // ran. It is 0 where no leaf ran it.
-func (h *History) handled(x *index, c *Call) int {
+func (h *History) handledVersion(x *index, c *Call) int {
 	if c.Kind != Single {
 		return 0
 	}
@@ -36,13 +36,13 @@
 // checkConfig: what a VM in touch is sent later than the bound after a version was put in force is not
 // handled as only an older one allows.
 func checkConfig(h *History, x *index) []string {
-	return each(h, func(c *Call) string {
-		got := h.handled(x, c)
+	return checkCalls(h, func(c *Call) string {
+		got := h.handledVersion(x, c)
 		if got == 0 {
 			return ""
 		}
 		for _, f := range h.Configs {
-			if f.Version > got && c.Sent.After(f.At.Add(configBound+slack)) && h.inTouch(c.VM, f.At, c.Sent) {
+			if f.Version > got && c.Sent.After(f.At.Add(configBound+slack)) && h.undisturbed(c.VM, f.At, c.Sent) {
 				return fmt.Sprintf("request %s at VM %d was handled by version %d, %v after version %d", c.ID, c.VM, got, c.Sent.Sub(f.At).Round(time.Millisecond), f.Version)
 			}
 		}
@@ -50,39 +50,39 @@
 	})
 }
 
-// shown is one request as a read of the version that a process goes by.
-type shown struct{ version int }
+// versionRead is one request as a read of the version that a process goes by.
+type versionRead struct{ version int }
 
 // versionModel is a process's version, which only rises.
 var versionModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, _, output any) (bool, any) {
-		got := output.(shown).version
+		got := output.(versionRead).version
 		return got >= state.(int), max(got, state.(int))
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// backTimeout bounds the search for an order of one process's requests.
-const backTimeout = 10 * time.Second
+// rollbackTimeout bounds the search for an order of one process's requests.
+const rollbackTimeout = 10 * time.Second
 
 // checkBack: there is an order of the requests of each start of a process, within the times in which they
 // were under way, in which the version never goes back.
-func checkBack(h *History, x *index) []string {
+func checkRollback(h *History, x *index) []string {
 	type start struct{ vm, number int }
 	reads := make(map[start][]porcupine.Operation)
 	for i := range h.Calls {
 		c := &h.Calls[i]
-		if got := h.handled(x, c); got > 0 {
+		if got := h.handledVersion(x, c); got > 0 {
 			key := start{c.VM, c.Start}
 			reads[key] = append(reads[key], porcupine.Operation{
-				ClientId: len(reads[key]), Call: c.Sent.UnixNano(), Output: shown{got}, Return: c.Ended.Add(rollbackSlack).UnixNano(),
+				ClientId: len(reads[key]), Call: c.Sent.UnixNano(), Output: versionRead{got}, Return: c.Ended.Add(rollbackSlack).UnixNano(),
 			})
 		}
 	}
 	var out []string
 	for key, ops := range reads {
-		if goesBack(ops) && porcupine.CheckOperationsTimeout(versionModel, ops, backTimeout) != porcupine.Ok {
+		if showsRollback(ops) && porcupine.CheckOperationsTimeout(versionModel, ops, rollbackTimeout) != porcupine.Ok {
 			out = append(out, fmt.Sprintf("VM %d, start %d, went back to an older version", key.vm, key.number))
 		}
 	}
@@ -90,9 +90,9 @@
 	return out
 }
 
-// goesBack tells whether any request that began after another had ended shows an older version: only then
+// showsRollback tells whether any request that began after another had ended shows an older version: only then
 // is there an order to look for.
-func goesBack(ops []porcupine.Operation) bool {
+func showsRollback(ops []porcupine.Operation) bool {
 	byEnd := slices.Clone(ops)
 	slices.SortFunc(byEnd, func(a, b porcupine.Operation) int { return int(a.Return - b.Return) })
 	byCall := slices.Clone(ops)
@@ -100,9 +100,9 @@
 	newest, ended := 0, 0
 	for _, op := range byCall {
 		for ; ended < len(byEnd) && byEnd[ended].Return < op.Call; ended++ {
-			newest = max(newest, byEnd[ended].Output.(shown).version)
+			newest = max(newest, byEnd[ended].Output.(versionRead).version)
 		}
-		if op.Output.(shown).version < newest {
+		if op.Output.(versionRead).version < newest {
 			return true
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -17,8 +17,8 @@
 func good() *History {
 	h := &History{
 		Configs: []Config{
-			{Version: 1, At: at(0), Shards: setOf(false), Service: "v0"},
-			{Version: 2, At: at(10), Shards: setOf(false), Service: "v1"},
+			{Version: 1, At: at(0), Shards: shardSet(false), Service: "v0"},
+			{Version: 2, At: at(10), Shards: shardSet(false), Service: "v1"},
 		},
 		Drains: []Drain{{Leaf: "v0-gone", At: at(3)}}, Ends: []End{{VM: 1, Asked: at(40)}},
 		Disturbed: make(map[int][]Span), Killed: make(map[int][]Span), Calm: at(12), Closing: at(40),
@@ -71,8 +71,8 @@
 // TestEachCheckFails breaks each promise in the good history, in each way that its check knows.
 func TestEachCheckFails(t *testing.T) {
 	for name, tt := range map[string]struct {
-		check string
-		spoil func(h *History)
+		check   string
+		violate func(h *History)
 	}{
 		"another's answer":   {"own whole true answers", func(h *History) { h.call("s1").Stamps = []string{"v0-x.s2"} }},
 		"two signatures":     {"own whole true answers", func(h *History) { c := h.call("s1"); c.Stamps = append(c.Stamps, c.Stamps[0]) }},
@@ -108,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			h := good()
-			tt.spoil(h)
+			tt.violate(h)
 			broken := make(map[string]bool)
 			for _, v := range Check(h) {
 				broken[v.Check] = true
@@ -165,9 +165,9 @@
 	for seed := range uint64(20) {
 		for _, e := range NewPlan(seed, DefaultSize()) {
 			seen[e.Fault] = true
-			is.True(e.At <= DefaultSize().Faults && e.For <= faultMost)
+			is.True(e.At <= DefaultSize().Faults && e.For <= maxFaultTime)
 		}
 	}
-	again := map[Fault]bool{LeafRestart: true, LeafSwap: true, StoreForeign: true}
-	is.Equal(len(seen), len(faults)+len(again)+3) // and the changes of the configuration and the loss of all VMs
+	added := map[Fault]bool{LeafRestart: true, LeafSwap: true, StoreForeign: true}
+	is.Equal(len(seen), len(faults)+len(added)+3) // and the changes of the configuration and the loss of all VMs
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -8,7 +8,7 @@
 const (
 	drainBound    = 3 * time.Second
 	configBound   = 3 * time.Second
-	contactTime   = 4 * time.Second
+	settleTime    = 4 * time.Second
 	graceBound    = 6 * time.Second
 	recoveryBound = 12 * time.Second
 	// rollbackSlack is how long after a VM showed a version an older one may still be shown.
@@ -108,10 +108,10 @@
 	Calm, Closing time.Time
 }
 
-// inTouch tells whether the VM was undisturbed for contactTime before t, and until then.
-func (h *History) inTouch(vm int, from, to time.Time) bool {
+// undisturbed tells whether the VM was undisturbed for contactTime before t, and until then.
+func (h *History) undisturbed(vm int, from, to time.Time) bool {
 	for _, s := range h.Disturbed[vm] {
-		if s.From.Before(to) && s.To.After(from.Add(-contactTime)) {
+		if s.From.Before(to) && s.To.After(from.Add(-settleTime)) {
 			return false
 		}
 	}
--- a/internal/soak/leaves.go
+++ b/internal/soak/leaves.go
@@ -21,8 +21,8 @@
 	hangTime = 3 * time.Second
 )
 
-// place is an address at which leaves live, one after the other.
-type place struct {
+// placement is an address at which leaves live, one after the other.
+type placement struct {
 	// listen is where the leaf really is, entry what the store says: a relay in front of it.
 	listen, entry string
 	service, zone string
@@ -31,31 +31,31 @@
 	// What follows is guarded by mu. leaf is nil while the place is empty, number counts the leaves.
 	leaf   *hosted.Leaf
 	number int
-	misbehaviour
+	leafFault
 }
 
-// misbehaviour is what a leaf does wrong, until when, with what part of its requests.
-type misbehaviour struct {
+// leafFault is what a leaf does wrong, until when, with what part of its requests.
+type leafFault struct {
 	fault Fault
 	until time.Time
 	share float64
-	// firm is set where no other may take its place before its time is over.
-	firm bool
+	// pinned is set where no other may take its place before its time is over.
+	pinned bool
 }
 
-// past are the leaves that there were, for what they have seen.
-type past struct {
+// startedLeaves are the leaves that there were, for what they have seen.
+type startedLeaves struct {
 	mu     sync.Mutex
-	leaves []pastLeaf
+	leaves []startedLeaf
 }
 
-type pastLeaf struct {
+type startedLeaf struct {
 	leaf    *hosted.Leaf
 	service string
 }
 
 // runs returns what all leaves have seen.
-func (p *past) runs() []Run {
+func (p *startedLeaves) runs() []Run {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Run
@@ -67,33 +67,33 @@
 	return out
 }
 
-// open starts the next leaf at the place.
-func (p *place) open(all *past, service string) (*hosted.Leaf, error) {
+// startLeaf starts the next leaf at the place.
+func (p *placement) startLeaf(started *startedLeaves, service string) (*hosted.Leaf, error) {
 	p.mu.Lock()
 	p.number++
 	id := fmt.Sprintf("%s-%s-%d", service, strings.ReplaceAll(p.entry, ":", "."), p.number)
 	p.mu.Unlock()
-	return p.openAs(all, service, id)
+	return p.startLeafAs(started, service, id)
 }
 
-// openAs starts a leaf of the id at the place.
-func (p *place) openAs(all *past, service, id string) (*hosted.Leaf, error) {
+// startLeafAs starts a leaf of the id at the place.
+func (p *placement) startLeafAs(started *startedLeaves, service, id string) (*hosted.Leaf, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.service, p.misbehaviour = service, misbehaviour{}
+	p.service, p.leafFault = service, leafFault{}
 	leaf, err := hosted.NewLeafAt(p.listen, id, leafSlots, p.script(service))
 	if err != nil {
 		return nil, err
 	}
 	p.leaf = leaf
-	all.mu.Lock()
-	all.leaves = append(all.leaves, pastLeaf{leaf, service})
-	all.mu.Unlock()
+	started.mu.Lock()
+	started.leaves = append(started.leaves, startedLeaf{leaf, service})
+	started.mu.Unlock()
 	return leaf, nil
 }
 
-// empty takes the leaf from the place; nil where there is none.
-func (p *place) empty() *hosted.Leaf {
+// takeLeaf takes the leaf from the place; nil where there is none.
+func (p *placement) takeLeaf() *hosted.Leaf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	leaf := p.leaf
@@ -101,46 +101,46 @@
 	return leaf
 }
 
-func (p *place) current() *hosted.Leaf {
+func (p *placement) current() *hosted.Leaf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.leaf
 }
 
-// serves returns the service of the place.
-func (p *place) serves() string {
+// currentService returns the service of the place.
+func (p *placement) currentService() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service
 }
 
-func (p *place) misbehave(m misbehaviour) {
+func (p *placement) setFault(m leafFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.firm || time.Now().After(p.until) {
-		p.misbehaviour = m
+	if !p.pinned || time.Now().After(p.until) {
+		p.leafFault = m
 	}
 }
 
 // script answers requests of the service, with the faults of the place.
-func (p *place) script(service string) hosted.Script {
+func (p *placement) script(service string) hosted.Script {
 	return func(_ int, r *http.Request) hosted.Reply {
 		reply := hosted.Reply{Delay: leafWork, Body: []byte(answer(service, hosted.RequestID(r), r.RequestURI))}
 		if strings.HasPrefix(r.RequestURI, "/s/") {
 			reply.Body = []byte(part(service, r.RequestURI))
 		}
 		p.mu.Lock()
-		m := p.misbehaviour
+		m := p.leafFault
 		p.mu.Unlock()
 		if time.Now().Before(m.until) && rand.Float64() < m.share {
-			m.spoil(&reply)
+			m.apply(&reply)
 		}
 		return reply
 	}
 }
 
-// spoil makes a reply as bad as the fault says.
-func (m *misbehaviour) spoil(reply *hosted.Reply) {
+// apply makes a reply as bad as the fault says.
+func (m *leafFault) apply(reply *hosted.Reply) {
 	switch m.fault {
 	case LeafSlow:
 		reply.Delay *= 20
@@ -150,11 +150,11 @@
 		reply.Refuse = true
 	case LeafErrors:
 		reply.Status, reply.Body = http.StatusInternalServerError, []byte("no")
-	case LeafLose:
+	case LeafLoseAnswers:
 		reply.Reset = true
 	case LeafGarble:
 		reply.Truncate = max(1, len(reply.Body)/2)
-	case LeafExtra:
+	case LeafExtraAnswers:
 		reply.Then = hosted.ForeignAnswer()
 	}
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -24,38 +24,38 @@
 
 // The faults.
 const (
-	LeafSlow      Fault = "leaf_slow"
-	LeafHang      Fault = "leaf_hang"
-	LeafRefuse    Fault = "leaf_refuse"
-	LeafStorm     Fault = "leaf_refuse_all"
-	LeafErrors    Fault = "leaf_errors"
-	LeafLose      Fault = "leaf_lose_answers"
-	LeafGarble    Fault = "leaf_garble"
-	LeafExtra     Fault = "leaf_extra_answers"
-	LeafCrash     Fault = "leaf_crash"
-	LeafDrain     Fault = "leaf_drain"
-	LeafReuse     Fault = "leaf_address_reused"
-	LeafRestart   Fault = "leaf_starts_again"
-	LeafSwap      Fault = "leaves_start_again_swapped"
-	StoreForeign  Fault = "store_foreign_entries"
-	StoreBusy     Fault = "store_busy"
-	StoreSilent   Fault = "store_silent"
-	StoreSlow     Fault = "store_slow"
-	StoreLose     Fault = "store_lose_answers"
-	StoreCompact  Fault = "store_compact"
-	LinkStoreCut  Fault = "link_store_cut"
-	LinkLeafCut   Fault = "link_leaf_cut"
-	LinkLeafMute  Fault = "link_leaf_silent"
-	LinkLeafDelay Fault = "link_leaf_delay"
-	LinkConnsMute Fault = "link_conns_silent"
-	VMFreeze      Fault = "vm_freeze"
-	VMKill        Fault = "vm_kill"
-	VMTerminate   Fault = "vm_terminate"
-	VMReload      Fault = "vm_reload"
-	Rolling       Fault = "vm_rolling"
-	PowerOff      Fault = "vm_kill_all"
-	ConfigChange  Fault = "config_change"
-	ConfigReshard Fault = "config_reshard"
+	LeafSlow         Fault = "leaf_slow"
+	LeafHang         Fault = "leaf_hang"
+	LeafRefuse       Fault = "leaf_refuse"
+	LeafRefuseAll    Fault = "leaf_refuse_all"
+	LeafErrors       Fault = "leaf_errors"
+	LeafLoseAnswers  Fault = "leaf_lose_answers"
+	LeafGarble       Fault = "leaf_garble"
+	LeafExtraAnswers Fault = "leaf_extra_answers"
+	LeafCrash        Fault = "leaf_crash"
+	LeafDrain        Fault = "leaf_drain"
+	LeafAddressReuse Fault = "leaf_address_reused"
+	LeafRestart      Fault = "leaf_starts_again"
+	LeafSwap         Fault = "leaves_start_again_swapped"
+	StoreForeign     Fault = "store_foreign_entries"
+	StoreBusy        Fault = "store_busy"
+	StoreSilent      Fault = "store_silent"
+	StoreSlow        Fault = "store_slow"
+	StoreLoseAnswers Fault = "store_lose_answers"
+	StoreCompact     Fault = "store_compact"
+	LinkStoreCut     Fault = "link_store_cut"
+	LinkLeafCut      Fault = "link_leaf_cut"
+	LinkLeafSilent   Fault = "link_leaf_silent"
+	LinkLeafDelay    Fault = "link_leaf_delay"
+	LinkConnsSilent  Fault = "link_conns_silent"
+	VMFreeze         Fault = "vm_freeze"
+	VMKill           Fault = "vm_kill"
+	VMTerminate      Fault = "vm_terminate"
+	VMReload         Fault = "vm_reload"
+	VMRolling        Fault = "vm_rolling"
+	VMKillAll        Fault = "vm_kill_all"
+	ConfigChange     Fault = "config_change"
+	ConfigReshard    Fault = "config_reshard"
 )
 
 // faults are those that a plan draws from, by weight.
@@ -63,11 +63,11 @@
 	fault  Fault
 	weight int
 }{
-	{LeafSlow, 3}, {LeafHang, 2}, {LeafRefuse, 3}, {LeafStorm, 2}, {LeafErrors, 2}, {LeafLose, 3}, {LeafGarble, 3}, {LeafExtra, 3},
-	{LeafCrash, 3}, {LeafDrain, 5}, {LeafReuse, 3},
-	{StoreBusy, 1}, {StoreSilent, 1}, {StoreSlow, 1}, {StoreLose, 1}, {StoreCompact, 2},
-	{LinkStoreCut, 3}, {LinkLeafCut, 2}, {LinkLeafMute, 2}, {LinkLeafDelay, 2}, {LinkConnsMute, 2},
-	{VMFreeze, 3}, {VMKill, 3}, {VMTerminate, 4}, {VMReload, 2}, {Rolling, 1},
+	{LeafSlow, 3}, {LeafHang, 2}, {LeafRefuse, 3}, {LeafRefuseAll, 2}, {LeafErrors, 2}, {LeafLoseAnswers, 3}, {LeafGarble, 3}, {LeafExtraAnswers, 3},
+	{LeafCrash, 3}, {LeafDrain, 5}, {LeafAddressReuse, 3},
+	{StoreBusy, 1}, {StoreSilent, 1}, {StoreSlow, 1}, {StoreLoseAnswers, 1}, {StoreCompact, 2},
+	{LinkStoreCut, 3}, {LinkLeafCut, 2}, {LinkLeafSilent, 2}, {LinkLeafDelay, 2}, {LinkConnsSilent, 2},
+	{VMFreeze, 3}, {VMKill, 3}, {VMTerminate, 4}, {VMReload, 2}, {VMRolling, 1},
 }
 
 // Event is a fault at a time from the start of the faults.
@@ -87,49 +87,49 @@
 const (
 	// Times between faults and between changes of the configuration are drawn up to twice these.
 	faultGap, configGap = 350 * time.Millisecond, 900 * time.Millisecond
-	// faultMost bounds how long a fault lasts.
-	faultMost = 3 * time.Second
+	// maxFaultTime bounds how long a fault lasts.
+	maxFaultTime = 3 * time.Second
 	// powerOffOdds: one run in so many ends its faults with the loss of all VMs.
-	powerOffOdds = 4
+	killAllOdds = 4
 )
 
 // NewPlan returns the events of a seed. The same seed and size give the same plan.
 func NewPlan(seed uint64, size Size) []Event {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var plan []Event
-	for at := drawn(rng, faultGap); at < size.Faults; at += drawn(rng, faultGap) {
-		plan = append(plan, Event{At: at, For: min(drawn(rng, faultMost/2), size.Faults-at), Fault: drawFault(rng), Share: rng.Float64() / 2, Pick: rng.Uint64()})
+	for at := drawDuration(rng, faultGap); at < size.Faults; at += drawDuration(rng, faultGap) {
+		plan = append(plan, Event{At: at, For: min(drawDuration(rng, maxFaultTime/2), size.Faults-at), Fault: drawFault(rng), Share: rng.Float64() / 2, Pick: rng.Uint64()})
 	}
-	plan = append(plan, laterFaults(seed, size)...)
-	for at := drawn(rng, configGap); at < size.Faults; at += drawn(rng, configGap) {
+	plan = append(plan, addedFaults(seed, size)...)
+	for at := drawDuration(rng, configGap); at < size.Faults; at += drawDuration(rng, configGap) {
 		f := ConfigChange
 		if rng.IntN(5) == 0 {
 			f = ConfigReshard
 		}
 		plan = append(plan, Event{At: at, Fault: f})
 	}
-	if rng.IntN(powerOffOdds) == 0 {
-		plan = append(plan, Event{At: size.Faults, For: time.Second, Fault: PowerOff})
+	if rng.IntN(killAllOdds) == 0 {
+		plan = append(plan, Event{At: size.Faults, For: time.Second, Fault: VMKillAll})
 	}
 	return plan
 }
 
-// laterGap is the mean time between faults of the sorts that were added after seeds had been kept as tests: they
+// addedFaultGap is the mean time between faults of the sorts that were added after seeds had been kept as tests: they
 // are drawn apart, so that the other events of a seed stay the same.
-const laterGap = 2 * time.Second
+const addedFaultGap = 2 * time.Second
 
-func laterFaults(seed uint64, size Size) []Event {
+func addedFaults(seed uint64, size Size) []Event {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	sorts := []Fault{LeafRestart, LeafRestart, LeafSwap, StoreForeign}
 	var out []Event
-	for at := drawn(rng, laterGap); at < size.Faults; at += drawn(rng, laterGap) {
-		out = append(out, Event{At: at, For: drawn(rng, faultMost/4), Fault: sorts[rng.IntN(len(sorts))], Share: rng.Float64() / 4, Pick: rng.Uint64()})
+	for at := drawDuration(rng, addedFaultGap); at < size.Faults; at += drawDuration(rng, addedFaultGap) {
+		out = append(out, Event{At: at, For: drawDuration(rng, maxFaultTime/4), Fault: sorts[rng.IntN(len(sorts))], Share: rng.Float64() / 4, Pick: rng.Uint64()})
 	}
 	return out
 }
 
-// drawn is between a tenth of the mean and nearly twice it.
-func drawn(rng *rand.Rand, mean time.Duration) time.Duration {
+// drawDuration is between a tenth of the mean and nearly twice it.
+func drawDuration(rng *rand.Rand, mean time.Duration) time.Duration {
 	return mean/10 + time.Duration(rng.Float64()*float64(2*mean-mean/5))
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -30,14 +30,14 @@
 // Report is what a run came to.
 type Report struct {
 	Seed       uint64        `json:"seed"`
-	Took       time.Duration `json:"took_ns"`
+	Elapsed    time.Duration `json:"took_ns"`
 	Violations []Violation   `json:"violations"`
 	// Uninjected are faults that could not be injected; they make no verdict.
 	Uninjected []string       `json:"uninjected"`
 	Events     []string       `json:"events"`
 	Calls      map[string]int `json:"calls"`
-	// Asked are all calls, Served those that got a success.
-	Asked     int    `json:"asked"`
+	// Sent are all calls, Served those that got a success.
+	Sent      int    `json:"asked"`
 	Served    int    `json:"served"`
 	Runs      int    `json:"runs"`
 	Versions  int    `json:"versions"`
@@ -49,29 +49,29 @@
 
 // Play plays one seed. The error says that it could not be played; broken promises are in the report.
 func Play(ctx context.Context, o Options) (*Report, error) {
-	began := time.Now()
+	start := time.Now()
 	dir := filepath.Join(o.Out, fmt.Sprintf("seed-%d", o.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, eris.Wrap(err, "soak: directory of the run")
 	}
-	w, err := newWorld(o, dir)
+	tb, err := newTestbed(o, dir)
 	if err != nil {
 		return nil, eris.Wrap(err, "soak: set up")
 	}
 	plan := NewPlan(o.Seed, o.Size)
-	h, err := w.run(ctx, plan)
+	h, err := tb.run(ctx, plan)
 	if err != nil {
 		return nil, eris.Wrap(err, "soak: play")
 	}
-	r := newReport(o, h, plan, w.errs, dir)
-	r.Took = time.Since(began)
+	r := newReport(o, h, plan, tb.errs, dir)
+	r.Elapsed = time.Since(start)
 	return r, r.save(h, o.Keep)
 }
 
 func newReport(o Options, h *History, plan []Event, uninjected []string, dir string) *Report {
 	r := &Report{
 		Seed: o.Seed, Violations: Check(h), Uninjected: uninjected, Calls: make(map[string]int), Runs: len(h.Runs),
-		Versions: len(h.Configs), Asked: len(h.Calls), Directory: dir,
+		Versions: len(h.Configs), Sent: len(h.Calls), Directory: dir,
 	}
 	for _, e := range plan {
 		r.Events = append(r.Events, e.String())
@@ -120,7 +120,7 @@
 		verdict = "FAILED"
 	}
 	_, _ = fmt.Fprintf(w, "seed %d %s: %d events, %d versions, %d of %d requests served, %d calls to leaves, %.0f s\n",
-		r.Seed, verdict, len(r.Events), r.Versions, r.Served, r.Asked, r.Runs, r.Took.Seconds())
+		r.Seed, verdict, len(r.Events), r.Versions, r.Served, r.Sent, r.Runs, r.Elapsed.Seconds())
 	for _, v := range r.Violations {
 		_, _ = fmt.Fprintf(w, "  broken: %s: %s\n", v.Check, v.Detail)
 	}
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -18,9 +18,9 @@
 
 const (
 	callersPort, readyPort, controlPort = 7001, 7002, 7003
-	// readyPeriod is how often the balancer asks, missesOut how many misses in a row take a VM out.
-	readyPeriod = 250 * time.Millisecond
-	missesOut   = 2
+	// probePeriod is how often the balancer asks, missesOut how many misses in a row take a VM out.
+	probePeriod   = 250 * time.Millisecond
+	missThreshold = 2
 )
 
 // vm is one VM: its process and what the balancer thinks of it.
@@ -38,18 +38,18 @@
 	starts    int
 	disturbed []Span
 	killed    []Span
-	// busy is true while an event has the process in its hands.
-	busy bool
+	// reserved is true while an event has the process in its hands.
+	reserved bool
 }
 
-// take reserves the process for one event; false where another has it.
-func (v *vm) take() bool {
+// reserve reserves the process for one event; false where another has it.
+func (v *vm) reserve() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.busy || !v.process.Running() {
+	if v.reserved || !v.process.Running() {
 		return false
 	}
-	v.busy = true
+	v.reserved = true
 	return true
 }
 
@@ -57,7 +57,7 @@
 func (v *vm) release() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.busy = false
+	v.reserved = false
 }
 
 // memoryBytes is the memory of a VM.
@@ -83,8 +83,8 @@
 	return v.process.Start()
 }
 
-// disturb notes a time in which the VM was disturbed.
-func (v *vm) disturb(s Span) {
+// addDisturbance notes a time in which the VM was disturbed.
+func (v *vm) addDisturbance(s Span) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.disturbed = append(v.disturbed, s)
@@ -126,8 +126,8 @@
 	return fmt.Sprintf("ended with %s", state)
 }
 
-// ask asks for readiness as the balancer does.
-func (v *vm) ask(client *http.Client) {
+// probe asks for readiness as the balancer does.
+func (v *vm) probe(client *http.Client) {
 	ok := hosted.Ready(client, v.settings.Ready)
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -135,15 +135,15 @@
 		v.ready, v.served, v.misses = true, true, 0
 		return
 	}
-	if v.misses++; v.misses >= missesOut {
+	if v.misses++; v.misses >= missThreshold {
 		v.ready = false
 	}
 }
 
 // pick implements fleet.
-func (w *world) pick(rng *rand.Rand) (number, start int, address string, ok bool) {
+func (tb *testbed) pick(rng *rand.Rand) (number, start int, address string, ok bool) {
 	var ready []*vm
-	for _, v := range w.vms {
+	for _, v := range tb.vms {
 		v.mu.Lock()
 		if v.ready {
 			ready = append(ready, v)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -24,20 +24,20 @@
 	// leafConnections is how many connections a leaf takes, host what callers ask for.
 	leafConnections = 60
 	host            = "h"
-	// singles are the services that single requests go to, in turn from version to version.
-	singles = 5
-	// shardsNeeded is the least share of a search's shards.
-	shardsNeeded = 0.5
+	// singleServices are the services that single requests go to, in turn from version to version.
+	singleServices = 5
+	// minShardShare is the least share of a search's shards.
+	minShardShare = 0.5
 )
 
-// world is everything outside the program: store, leaves, links, VMs and their balancer.
-type world struct {
-	o      Options
-	dir    string
-	store  *hosted.Store
-	places []*place
-	past   past
-	relay  *relay.Relay
+// testbed is everything outside the program: store, leaves, links, VMs and their balancer.
+type testbed struct {
+	o          Options
+	dir        string
+	store      *hosted.Store
+	placements []*placement
+	started    startedLeaves
+	relay      *relay.Relay
 	// trap listens where only foreign entries point to.
 	trap *hosted.Leaf
 	vms  []*vm
@@ -48,22 +48,22 @@
 	configs []Config
 	drains  []Drain
 	ends    []End
-	// gave holds the services of which a place went to another.
-	gave map[string]bool
+	// reassigned holds the services of which a place went to another.
+	reassigned map[string]bool
 	// errs are faults that could not be injected.
 	errs []string
 }
 
 // address returns a loopback address of the run's own net.
-func (w *world) address(part, host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", w.o.Net, part, host)
+func (tb *testbed) address(part, host int) string {
+	return fmt.Sprintf("127.%d.%d.%d", tb.o.Net, part, host)
 }
 
 // hostPort joins an IP number and a port.
 func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// setOf are the shards of the search before or after a reshard.
-func setOf(second bool) []string {
+// shardSet are the shards of the search before or after a reshard.
+func shardSet(second bool) []string {
 	if second {
 		return []string{"b0", "b1", "b2", "b3", "b4"}
 	}
@@ -72,99 +72,99 @@
 
 // services are all that there are.
 func services() []string {
-	out := append(setOf(false), setOf(true)...)
-	for i := range singles {
-		out = append(out, single(i))
+	out := append(shardSet(false), shardSet(true)...)
+	for i := range singleServices {
+		out = append(out, singleService(i))
 	}
 	return append(out, orderService)
 }
 
-func single(i int) string { return fmt.Sprintf("v%d", i%singles) }
+func singleService(i int) string { return fmt.Sprintf("v%d", i%singleServices) }
 
 // zone names an availability zone.
 func zone(i int) string { return fmt.Sprintf("az-%d", i+1) }
 
-// newWorld opens everything; no VM runs yet.
-func newWorld(o Options, dir string) (*world, error) {
-	w := &world{o: o, dir: dir, store: hosted.NewStore(), gave: make(map[string]bool)}
-	forwards := []relay.Forward{{Listen: hostPort(w.address(3, 1), entryPort), Target: w.store.Address(), Networks: []relay.Network{relay.TCP}}}
+// newTestbed opens everything; no VM runs yet.
+func newTestbed(o Options, dir string) (*testbed, error) {
+	tb := &testbed{o: o, dir: dir, store: hosted.NewStore(), reassigned: make(map[string]bool)}
+	forwards := []relay.Forward{{Listen: hostPort(tb.address(3, 1), entryPort), Target: tb.store.Address(), Networks: []relay.Network{relay.TCP}}}
 	number := 1
 	for _, service := range services() {
 		for i := range replicas {
-			p := &place{listen: hostPort(w.address(4, number), entryPort), entry: hostPort(w.address(2, number), entryPort), zone: zone(i % o.Size.Zones)}
+			p := &placement{listen: hostPort(tb.address(4, number), entryPort), entry: hostPort(tb.address(2, number), entryPort), zone: zone(i % o.Size.Zones)}
 			number++
-			if _, err := p.open(&w.past, service); err != nil {
+			if _, err := p.startLeaf(&tb.started, service); err != nil {
 				return nil, err
 			}
-			w.places = append(w.places, p)
+			tb.placements = append(tb.placements, p)
 			forwards = append(forwards, relay.Forward{Listen: p.entry, Target: p.listen, Networks: []relay.Network{relay.TCP}})
-			w.enter(p, "ready")
+			tb.writeEntry(p, "ready")
 		}
 	}
 	var err error
-	if w.trap, err = hosted.NewLeafAt(hostPort(w.address(5, 1), entryPort), "trap", leafSlots, func(int, *http.Request) hosted.Reply { return hosted.Reply{} }); err != nil {
+	if tb.trap, err = hosted.NewLeafAt(hostPort(tb.address(5, 1), entryPort), "trap", leafSlots, func(int, *http.Request) hosted.Reply { return hosted.Reply{} }); err != nil {
 		return nil, err
 	}
-	if w.relay, err = relay.New(relay.Settings{Control: w.address(3, 1) + ":0", Forwards: forwards}); err != nil {
+	if tb.relay, err = relay.New(relay.Settings{Control: tb.address(3, 1) + ":0", Forwards: forwards}); err != nil {
 		return nil, err
 	}
-	w.configure(false)
-	return w, w.makeVMs()
+	tb.publishConfig(false)
+	return tb, tb.addVMs()
 }
 
-func (w *world) makeVMs() error {
+func (tb *testbed) addVMs() error {
 	var seeds []string
-	for i := range w.o.Size.VMs {
-		seeds = append(seeds, hostPort(w.address(1, i+1), controlPort))
+	for i := range tb.o.Size.VMs {
+		seeds = append(seeds, hostPort(tb.address(1, i+1), controlPort))
 	}
-	for i := range w.o.Size.VMs {
-		v, err := newVM(i, w.o.Program, w.dir, &deployment.Settings{
-			VM: fmt.Sprintf("vm-%d", i), Zone: zone(i % w.o.Size.Zones), IP: w.address(1, i+1), Seeds: seeds,
-			Store: hostPort(w.address(3, 1), entryPort), Millicores: w.millicores(i),
+	for i := range tb.o.Size.VMs {
+		v, err := newVM(i, tb.o.Program, tb.dir, &deployment.Settings{
+			VM: fmt.Sprintf("vm-%d", i), Zone: zone(i % tb.o.Size.Zones), IP: tb.address(1, i+1), Seeds: seeds,
+			Store: hostPort(tb.address(3, 1), entryPort), Millicores: tb.millicores(i),
 		})
 		if err != nil {
 			return err
 		}
-		w.vms = append(w.vms, v)
+		tb.vms = append(tb.vms, v)
 	}
 	return nil
 }
 
 // millicores is what the VM is told of its processor.
-func (w *world) millicores(vm int) int {
-	const weak, strong = 200, 800
+func (tb *testbed) millicores(vm int) int {
+	const smaller, larger = 200, 800
 	switch {
-	case w.o.Size.LargerVMs == 0:
+	case tb.o.Size.LargerVMs == 0:
 		return 0
-	case vm < w.o.Size.LargerVMs:
-		return strong
+	case vm < tb.o.Size.LargerVMs:
+		return larger
 	}
-	return weak
+	return smaller
 }
 
-// enter writes the entry of the place's leaf.
-func (w *world) enter(p *place, state string) {
+// writeEntry writes the entry of the place's leaf.
+func (tb *testbed) writeEntry(p *placement, state string) {
 	if leaf := p.current(); leaf != nil {
-		w.store.Enter(leaf, p.service, p.zone, state, p.entry)
+		tb.store.Enter(leaf, p.service, p.zone, state, p.entry)
 	}
 }
 
-// configure puts the next version in force: single requests go to the next service, searches to the other
+// publishConfig puts the next version in force: single requests go to the next service, searches to the other
 // set of shards where that is asked for.
-func (w *world) configure(reshard bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	next := Config{Version: len(w.configs) + 1, Shards: setOf(false), Service: single(len(w.configs))}
-	if n := len(w.configs); n > 0 {
-		next.Shards = setOf((w.configs[n-1].Shards[0] == setOf(true)[0]) != reshard)
+func (tb *testbed) publishConfig(reshard bool) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	next := Config{Version: len(tb.configs) + 1, Shards: shardSet(false), Service: singleService(len(tb.configs))}
+	if n := len(tb.configs); n > 0 {
+		next.Shards = shardSet((tb.configs[n-1].Shards[0] == shardSet(true)[0]) != reshard)
 	}
 	search, single, order := route("s"), route("v"), route("o")
-	search.Shards, search.Top, search.LeastPart = next.Shards, topRecords, shardsNeeded
+	search.Shards, search.Top, search.LeastPart = next.Shards, topRecords, minShardShare
 	single.Service = next.Service
 	order.Service, order.Idempotent = orderService, false
 	next.At = time.Now()
-	w.configs = append(w.configs, next)
-	w.store.Configure(hosted.Config{
+	tb.configs = append(tb.configs, next)
+	tb.store.Configure(hosted.Config{
 		Version: next.Version, Routes: []hosted.Route{search, single, order}, Services: services(), Connections: leafConnections,
 	})
 }
@@ -178,101 +178,101 @@
 }
 
 // run plays the plan and returns what was seen.
-func (w *world) run(ctx context.Context, plan []Event) (*History, error) {
+func (tb *testbed) run(ctx context.Context, plan []Event) (*History, error) {
 	relayCtx, stopRelay := context.WithCancel(context.WithoutCancel(ctx))
 	var links sync.WaitGroup
-	links.Go(func() { _ = w.relay.Run(relayCtx) })
+	links.Go(func() { _ = tb.relay.Run(relayCtx) })
 	defer links.Wait()
 	defer stopRelay()
-	defer w.close()
-	for _, v := range w.vms {
+	defer tb.close()
+	for _, v := range tb.vms {
 		if err := v.start(); err != nil {
 			return nil, err
 		}
 	}
-	var calls recorder
+	var calls callRecorder
 	callersCtx, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
 	var senders sync.WaitGroup
-	senders.Go(func() { w.balance(callersCtx) })
+	senders.Go(func() { tb.balance(callersCtx) })
 	for i := range callers {
-		c := &caller{name: i, fleet: w, rng: rand.New(rand.NewPCG(w.o.Seed, uint64(i)+1))}
+		c := &caller{number: i, balancer: tb, rng: rand.New(rand.NewPCG(tb.o.Seed, uint64(i)+1))}
 		senders.Go(func() { c.run(callersCtx, &calls) })
 	}
-	wait.For(ctx, leadTime)
-	w.play(ctx, plan)
+	wait.For(ctx, startupTime)
+	tb.runPlan(ctx, plan)
 	calm := time.Now()
-	wait.For(ctx, recoveryBound+judgedTime)
+	wait.For(ctx, recoveryBound+recoveryCheckTime)
 	closing := time.Now()
-	w.stopAll()
+	tb.stopAll()
 	stopCallers()
 	senders.Wait()
-	h := w.history(calls.all())
+	h := tb.history(calls.all())
 	h.Calm, h.Closing = calm, closing
 	return h, ctx.Err()
 }
 
 const (
-	// leadTime is what a fresh fleet has before faults begin, judgedTime how long recovery is looked at.
-	leadTime, judgedTime = 3 * time.Second, 2 * time.Second
+	// startupTime is what a fresh fleet has before faults begin, judgedTime how long recovery is looked at.
+	startupTime, recoveryCheckTime = 3 * time.Second, 2 * time.Second
 )
 
 // balance asks the VMs for readiness until ctx ends.
-func (w *world) balance(ctx context.Context) {
-	client := &http.Client{Timeout: readyPeriod, Transport: &http.Transport{DisableKeepAlives: true}}
-	for wait.For(ctx, readyPeriod) {
-		var asked sync.WaitGroup
-		for _, v := range w.vms {
-			asked.Go(func() { v.ask(client) })
+func (tb *testbed) balance(ctx context.Context) {
+	client := &http.Client{Timeout: probePeriod, Transport: &http.Transport{DisableKeepAlives: true}}
+	for wait.For(ctx, probePeriod) {
+		var probes sync.WaitGroup
+		for _, v := range tb.vms {
+			probes.Go(func() { v.probe(client) })
 		}
-		asked.Wait()
+		probes.Wait()
 	}
 }
 
 // stopAll ends all VMs in order, beside the callers.
-func (w *world) stopAll() {
+func (tb *testbed) stopAll() {
 	var ended sync.WaitGroup
-	for _, v := range w.vms {
+	for _, v := range tb.vms {
 		if v.process.Running() {
-			ended.Go(func() { w.stop(v) })
+			ended.Go(func() { tb.stop(v) })
 		}
 	}
 	ended.Wait()
 }
 
 // stop ends a VM in order and keeps how that went.
-func (w *world) stop(v *vm) {
+func (tb *testbed) stop(v *vm) {
 	e := v.stop()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ends = append(w.ends, e)
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.ends = append(tb.ends, e)
 }
 
 // close ends what still runs.
-func (w *world) close() {
-	for _, v := range w.vms {
+func (tb *testbed) close() {
+	for _, v := range tb.vms {
 		if v.process.Running() {
 			_ = v.kill()
 		}
 	}
-	for _, p := range w.places {
-		if leaf := p.empty(); leaf != nil {
+	for _, p := range tb.placements {
+		if leaf := p.takeLeaf(); leaf != nil {
 			leaf.Close()
 		}
 	}
-	w.trap.Close()
-	w.store.Close()
+	tb.trap.Close()
+	tb.store.Close()
 }
 
-func (w *world) history(calls []Call) *History {
-	h := &History{Calls: calls, Runs: w.past.runs(), Disturbed: make(map[int][]Span), Killed: make(map[int][]Span)}
-	for _, v := range w.vms {
+func (tb *testbed) history(calls []Call) *History {
+	h := &History{Calls: calls, Runs: tb.started.runs(), Disturbed: make(map[int][]Span), Killed: make(map[int][]Span)}
+	for _, v := range tb.vms {
 		v.mu.Lock()
 		h.Disturbed[v.number], h.Killed[v.number] = v.disturbed, v.killed
 		v.mu.Unlock()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	h.Configs, h.Drains, h.Ends, h.Trapped = w.configs, w.drains, w.ends, w.trapped()
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	h.Configs, h.Drains, h.Ends, h.Trapped = tb.configs, tb.drains, tb.ends, tb.trapped()
 	return h
 }
