--- a/internal/child/child.go
+++ b/internal/child/child.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// endBound is how long a process may take to end after SIGTERM.
-	endBound = 30 * time.Second
-	// stopBound is how long the threads of a process may take to stand still, stopPoll how often they are
+	// exitTimeout is how long a process may take to end after SIGTERM.
+	exitTimeout = 30 * time.Second
+	// stopTimeout is how long the threads of a process may take to stand still, stopPoll how often they are
 	// looked at.
-	stopBound, stopPoll = 10 * time.Second, 5 * time.Millisecond
+	stopTimeout, stopPollInterval = 10 * time.Second, 5 * time.Millisecond
 )
 
 // Process is one program that may be started again and again.
@@ -31,12 +31,12 @@
 	mu sync.Mutex
 	// Guarded by mu. newest is nil before the first start; asked is the one that was asked to end last, nil
 	// for none.
-	newest, asked *start
+	newest, terminated *start
 	// frozen is true between freeze and wake.
 	frozen bool
 	// starts counts the starts so far; woken is just before the newest wake.
-	starts int
-	woken  time.Time
+	starts    int
+	resumedAt time.Time
 }
 
 // start is one run of the program.
@@ -48,12 +48,12 @@
 	killed bool
 }
 
-// within waits until it has ended, at most for the given time, and tells whether it has.
-func (s *start) within(most time.Duration) bool {
+// waitExit waits until it has ended, at most for the given time, and tells whether it has.
+func (s *start) waitExit(timeout time.Duration) bool {
 	select {
 	case <-s.done:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return false
 	}
 }
@@ -72,11 +72,11 @@
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runs()
+	return p.runningLocked()
 }
 
-// runs is running for those who hold mu.
-func (p *Process) runs() bool {
+// runningLocked is running for those who hold mu.
+func (p *Process) runningLocked() bool {
 	if p.newest == nil {
 		return false
 	}
@@ -102,7 +102,7 @@
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.runs() {
+	if p.runningLocked() {
 		return fmt.Errorf("%s is already running", p.name)
 	}
 	log, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
@@ -129,7 +129,7 @@
 func (p *Process) Signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.runs() {
+	if !p.runningLocked() {
 		return fmt.Errorf("%s isn't running", p.name)
 	}
 	p.frozen = s == syscall.SIGSTOP || p.frozen && s != syscall.SIGCONT
@@ -157,16 +157,16 @@
 		return err
 	}
 	var err error
-	for end := time.Now().Add(stopBound); time.Now().Before(end); time.Sleep(stopPoll) {
-		if err = p.stopped(); err == nil {
+	for end := time.Now().Add(stopTimeout); time.Now().Before(end); time.Sleep(stopPollInterval) {
+		if err = p.checkStopped(); err == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s doesn't stop within %s: %w", p.name, stopBound, err)
+	return fmt.Errorf("%s doesn't stop within %s: %w", p.name, stopTimeout, err)
 }
 
-// stopped returns an error while a thread of the process isn't stopped.
-func (p *Process) stopped() error {
+// checkStopped returns an error while a thread of the process isn't stopped.
+func (p *Process) checkStopped() error {
 	p.mu.Lock()
 	pid := p.newest.cmd.Process.Pid
 	p.mu.Unlock()
@@ -190,7 +190,7 @@
 // Resume lets it go on.
 func (p *Process) Resume() error {
 	p.mu.Lock()
-	p.woken = time.Now()
+	p.resumedAt = time.Now()
 	p.mu.Unlock()
 	return p.Signal(syscall.SIGCONT)
 }
@@ -199,7 +199,7 @@
 func (p *Process) ResumedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.woken
+	return p.resumedAt
 }
 
 // Kill ends the process without notice.
@@ -224,26 +224,26 @@
 		}
 	}
 	p.mu.Lock()
-	p.asked = p.newest
+	p.terminated = p.newest
 	p.mu.Unlock()
 	return p.Signal(syscall.SIGTERM)
 }
 
 // WaitExit waits until the newest start has ended, at most for the given time, and tells whether it has.
-func (p *Process) WaitExit(most time.Duration) bool {
+func (p *Process) WaitExit(timeout time.Duration) bool {
 	p.mu.Lock()
 	s := p.newest
 	p.mu.Unlock()
-	return s.within(most)
+	return s.waitExit(timeout)
 }
 
 // WaitCleanExit waits until the start that Terminate asked to end has ended, and wants exit code 0 unless Kill ended it;
 // where none was asked it is the newest. The process may have been started again meanwhile.
 func (p *Process) WaitCleanExit() error {
-	s := p.ending()
-	if !s.within(endBound) {
+	s := p.terminatedStart()
+	if !s.waitExit(exitTimeout) {
 		_ = p.Kill()
-		return fmt.Errorf("%s didn't end within %s of SIGTERM; killed", p.name, endBound)
+		return fmt.Errorf("%s didn't end within %s of SIGTERM; killed", p.name, exitTimeout)
 	}
 	p.mu.Lock()
 	killed := s.killed
@@ -254,12 +254,12 @@
 	return nil
 }
 
-// ending returns the start that Ended is about.
-func (p *Process) ending() *start {
+// terminatedStart returns the start that Ended is about.
+func (p *Process) terminatedStart() *start {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.asked != nil {
-		return p.asked
+	if p.terminated != nil {
+		return p.terminated
 	}
 	return p.newest
 }
