--- a/internal/load/compare/compare.go
+++ b/internal/load/compare/compare.go
@@ -22,7 +22,7 @@
 	partCase       = "case"
 	partBack       = "back"
 	afterPhase     = "after"
-	suffix         = ".json"
+	resultSuffix   = ".json"
 )
 
 // Run is one case under one policy in one repetition.
@@ -32,8 +32,8 @@
 	Policy     string `json:"policy"`
 	// During is the load during the case, Back the load after its fault had ended; nil where there
 	// was none.
-	During *load.Result `json:"during"`
-	Back   *load.Result `json:"back,omitempty"`
+	During     *load.Result `json:"during"`
+	AfterFault *load.Result `json:"back,omitempty"`
 }
 
 // Bench is all runs, in the order of repetition, case and policy.
@@ -43,7 +43,7 @@
 
 // Read reads the results of a directory, files named REPETITION,CASE,POLICY.PART.json.
 func Read(dir string) (*Bench, error) {
-	files, err := filepath.Glob(filepath.Join(dir, "*"+suffix))
+	files, err := filepath.Glob(filepath.Join(dir, "*"+resultSuffix))
 	if err != nil {
 		return nil, eris.Wrap(err, "compare: list")
 	}
@@ -68,7 +68,7 @@
 }
 
 func (b *Bench) read(file string) error {
-	name := strings.TrimSuffix(filepath.Base(file), suffix)
+	name := strings.TrimSuffix(filepath.Base(file), resultSuffix)
 	stem, part := name[:max(0, strings.LastIndex(name, "."))], name[strings.LastIndex(name, ".")+1:]
 	fields := strings.Split(stem, ",")
 	if len(fields) != 3 || part != partCase && part != partBack {
@@ -84,7 +84,7 @@
 	}
 	run := b.run(fields[0], fields[1], fields[2])
 	if part == partBack {
-		run.Back = &r
+		run.AfterFault = &r
 	} else {
 		run.During = &r
 	}
--- a/internal/load/compare/compare_test.go
+++ b/internal/load/compare/compare_test.go
@@ -41,18 +41,18 @@
 	is.NoErr(err)
 	r := b.find("2", "straggler", "adaptive")
 	k := r.During.Kinds[0]
-	toCalm, ok := b.toCalm(r, r.During, partCase, k)
+	toCalm, ok := b.ratioToCalm(r, r.During, partCase, k)
 	is.True(ok)
 	is.Equal(toCalm, 2.0)
-	toBaseline, ok := b.toBaseline(r, k)
+	toBaseline, ok := b.ratioToBaseline(r, k)
 	is.True(ok)
 	is.Equal(toBaseline, 0.25)
-	after, ok := b.toCalm(r, r.Back, afterPhase, k)
+	after, ok := b.ratioToCalm(r, r.AfterFault, afterPhase, k)
 	is.True(ok)
 	is.Equal(after, 1.0)
-	_, ok = b.toCalm(b.find("2", "straggler", "baseline"), nil, partCase, k)
+	_, ok = b.ratioToCalm(b.find("2", "straggler", "baseline"), nil, partCase, k)
 	is.True(!ok) // no calm case of that policy
-	is.Equal(endsOf(k.Outcomes, "not_run"), uint64(5))
+	is.Equal(countOutcome(k.Outcomes, "not_run"), uint64(5))
 	var table strings.Builder
 	is.NoErr(b.WriteTable(&table, "teachers"))
 	is.True(strings.Contains(table.String(), "2.00"))
--- a/internal/load/compare/table.go
+++ b/internal/load/compare/table.go
@@ -11,7 +11,7 @@
 )
 
 // spread is the median of the repetitions with the least and the most.
-type spread struct{ least, median, most float64 }
+type spread struct{ min, median, max float64 }
 
 func spreadOf(values []float64) spread {
 	if len(values) == 0 {
@@ -23,10 +23,10 @@
 
 // String shows the median, and the spread where there is one.
 func (s spread) String() string {
-	if s.least == s.most {
+	if s.min == s.max {
 		return fmt.Sprintf("%.2f", s.median)
 	}
-	return fmt.Sprintf("%.2f [%.2f-%.2f]", s.median, s.least, s.most)
+	return fmt.Sprintf("%.2f [%.2f-%.2f]", s.median, s.min, s.max)
 }
 
 // row is a case under a policy over its repetitions.
@@ -87,22 +87,22 @@
 		})
 	}
 	p99 := func(k load.KindResult) float64 { return k.Answered.P99 }
-	ends := func(prefix string) spread {
-		return of(func(k load.KindResult) float64 { return float64(endsOf(k.Outcomes, prefix)) })
+	outcomes := func(prefix string) spread {
+		return of(func(k load.KindResult) float64 { return float64(countOutcome(k.Outcomes, prefix)) })
 	}
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1f\t%.1f\t%.1f\t%s\t%s\t%.4f\t%.4f\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%s\t\n",
 		r.name, r.policy, k.Phase, k.Kind,
 		of(func(k load.KindResult) float64 { return k.Answered.P50 }).median, of(p99).median,
 		of(func(k load.KindResult) float64 { return k.Answered.P999 }).median,
-		r.over(func(run *Run) (float64, bool) { return b.toCalm(run, run.During, k.Phase, k) }),
-		r.over(func(run *Run) (float64, bool) { return b.toBaseline(run, k) }),
+		r.over(func(run *Run) (float64, bool) { return b.ratioToCalm(run, run.During, k.Phase, k) }),
+		r.over(func(run *Run) (float64, bool) { return b.ratioToBaseline(run, k) }),
 		of(func(k load.KindResult) float64 { return k.CoverageMean }).median,
 		of(func(k load.KindResult) float64 { return k.WholeShare }).median,
 		of(func(k load.KindResult) float64 { return k.Goodput }),
-		ends("not_run").median, ends("failed").median, ends("unknown").median,
+		outcomes("not_run").median, outcomes("failed").median, outcomes("unknown").median,
 		of(func(k load.KindResult) float64 { return float64(k.Dropped) }).median,
 		of(func(k load.KindResult) float64 { return k.Refused.P99 }).median,
-		r.over(func(run *Run) (float64, bool) { return b.toCalm(run, run.Back, afterPhase, k) }))
+		r.over(func(run *Run) (float64, bool) { return b.ratioToCalm(run, run.AfterFault, afterPhase, k) }))
 }
 
 func writeLoad(w io.Writer, r row) {
@@ -128,8 +128,8 @@
 		cpu("gather", func(c load.CPUResult) float64 { return c.MicrosPerLeafCall }))
 }
 
-// toCalm is the p99 by that of the calm case of the same policy and repetition.
-func (b *Bench) toCalm(run *Run, during *load.Result, phase string, k load.KindResult) (float64, bool) {
+// ratioToCalm is the p99 by that of the calm case of the same policy and repetition.
+func (b *Bench) ratioToCalm(run *Run, during *load.Result, phase string, k load.KindResult) (float64, bool) {
 	calm := b.find(run.Repetition, calmCase, run.Policy)
 	if calm == nil || during == nil {
 		return 0, false
@@ -139,8 +139,8 @@
 	return quotient(of.Answered.P99, to.Answered.P99), okOf && okTo
 }
 
-// toBaseline is the p99 by that of the same case and repetition under the baseline policy.
-func (b *Bench) toBaseline(run *Run, k load.KindResult) (float64, bool) {
+// ratioToBaseline is the p99 by that of the same case and repetition under the baseline policy.
+func (b *Bench) ratioToBaseline(run *Run, k load.KindResult) (float64, bool) {
 	base := b.find(run.Repetition, run.Case, baselinePolicy)
 	if base == nil {
 		return 0, false
@@ -170,8 +170,8 @@
 	return a / b
 }
 
-// endsOf counts the ends of an outcome, which are named OUTCOME or OUTCOME/REASON.
-func endsOf(outcomes map[string]uint64, prefix string) uint64 {
+// countOutcome counts the ends of an outcome, which are named OUTCOME or OUTCOME/REASON.
+func countOutcome(outcomes map[string]uint64, prefix string) uint64 {
 	var n uint64
 	for name, count := range outcomes {
 		if name == prefix || strings.HasPrefix(name, prefix+"/") {
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -64,7 +64,7 @@
 func (h *HTTPCounters) Read(ctx context.Context) (Counts, error) {
 	c := Counts{CPUSeconds: make(map[string]float64)}
 	for _, l := range h.leaves {
-		n, err := h.leaf(ctx, l)
+		n, err := h.readLeaf(ctx, l)
 		if err != nil {
 			return Counts{}, eris.Wrapf(err, "load: counts of leaf %s", l.ID)
 		}
@@ -107,7 +107,7 @@
 	ConnectionsMax float64 `json:"connections_max"`
 }
 
-func (h *HTTPCounters) leaf(ctx context.Context, l LeafSettings) (leafCounts, error) {
+func (h *HTTPCounters) readLeaf(ctx context.Context, l LeafSettings) (leafCounts, error) {
 	res, err := h.get(ctx, "http://"+l.Control+"/log")
 	if err != nil {
 		return leafCounts{}, err
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -61,7 +61,7 @@
 }
 
 // Sent notes one send, a resend included; refusals are timed from here.
-func (r *Recorder) Sent(a Arrival, reply Reply, took time.Duration) {
+func (r *Recorder) Sent(a Arrival, reply Reply, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tallies[a.Phase][a.Mix]
@@ -76,12 +76,12 @@
 		t.replayed++
 	}
 	if reply.Kind == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
-		record(t.refused, took)
+		record(t.refused, elapsed)
 	}
 }
 
 // Ended notes the final reply to a request, took counted from its intended start.
-func (r *Recorder) Ended(a Arrival, reply Reply, took time.Duration) {
+func (r *Recorder) Ended(a Arrival, reply Reply, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tallies[a.Phase][a.Mix]
@@ -89,7 +89,7 @@
 	t.outcomes[outcomeName(reply)]++
 	switch reply.Kind {
 	case pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE, pb.OutcomeKind_OUTCOME_KIND_ANSWERED_PARTIAL:
-		record(t.answered, took)
+		record(t.answered, elapsed)
 		t.coverage += reply.Coverage
 		t.shards += uint64(reply.ShardsTotal)
 		if reply.Kind == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE {
@@ -97,7 +97,7 @@
 		}
 	case pb.OutcomeKind_OUTCOME_KIND_NOT_RUN:
 	default:
-		record(t.lost, took)
+		record(t.lost, elapsed)
 	}
 }
 
--- a/internal/load/rotation.go
+++ b/internal/load/rotation.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// probeEvery is how often an entry's readiness is asked for, probeTimeout bounds one question.
-	probeEvery   = 50 * time.Millisecond
-	probeTimeout = time.Second
+	// probeInterval is how often an entry's readiness is asked for, probeTimeout bounds one question.
+	probeInterval = 50 * time.Millisecond
+	probeTimeout  = time.Second
 )
 
 // rotation plays the platform's balancer: it leaves out entries that aren't ready, but only some
@@ -25,8 +25,8 @@
 	ready func(ctx context.Context, operator string) bool
 
 	mu sync.Mutex
-	// out tells which entries get no requests; guarded by mu.
-	out []bool
+	// excluded tells which entries get no requests; guarded by mu.
+	excluded []bool
 }
 
 // newRotation returns a rotation over all entries. Without operator listeners in the settings
@@ -34,7 +34,7 @@
 func newRotation(s *RunSettings) *rotation {
 	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	return &rotation{
-		operators: s.Operators, lag: s.BalancerLag.D(), out: make([]bool, len(s.Entries)),
+		operators: s.Operators, lag: s.BalancerLag.D(), excluded: make([]bool, len(s.Entries)),
 		ready: func(ctx context.Context, operator string) bool { return probe(ctx, client, operator) },
 	}
 }
@@ -65,29 +65,29 @@
 func (r *rotation) watch(ctx context.Context, entry int) {
 	// changed is when the entry was first seen to differ from what the rotation says.
 	var changed time.Time
-	for wait.For(ctx, probeEvery) {
-		out := !r.ready(ctx, r.operators[entry])
+	for wait.For(ctx, probeInterval) {
+		excluded := !r.ready(ctx, r.operators[entry])
 		switch {
-		case out == r.isOut(entry):
+		case excluded == r.isExcluded(entry):
 			changed = time.Time{}
 		case changed.IsZero():
 			changed = time.Now()
 		case time.Since(changed) >= r.lag:
-			r.set(entry, out)
+			r.setExcluded(entry, excluded)
 		}
 	}
 }
 
-func (r *rotation) isOut(entry int) bool {
+func (r *rotation) isExcluded(entry int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.out[entry]
+	return r.excluded[entry]
 }
 
-func (r *rotation) set(entry int, out bool) {
+func (r *rotation) setExcluded(entry int, excluded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out[entry] = out
+	r.excluded[entry] = excluded
 }
 
 // pick returns a random entry of those in rotation, or of all where none is.
@@ -95,13 +95,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var in []int
-	for i, out := range r.out {
-		if !out {
+	for i, excluded := range r.excluded {
+		if !excluded {
 			in = append(in, i)
 		}
 	}
 	if len(in) == 0 {
-		return rand.IntN(len(r.out))
+		return rand.IntN(len(r.excluded))
 	}
 	return in[rand.IntN(len(in))]
 }
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -78,8 +78,8 @@
 	for resends := 0; ; resends++ {
 		reply := r.sender.Send(context.WithoutCancel(ctx), r.rotation.pick(), req)
 		r.recorder.Sent(a, reply, time.Since(from))
-		pause, again := r.resendAfter(reply, resends)
-		if !again || !wait.For(ctx, pause) {
+		pause, resend := r.resendAfter(reply, resends)
+		if !resend || !wait.For(ctx, pause) {
 			r.recorder.Ended(a, reply, time.Since(intended))
 			return
 		}
@@ -94,15 +94,15 @@
 	}
 	switch r.settings.Load.Resend {
 	case ResendAtOnce:
-		return resendPause, !neverBetter(reply.Reason)
+		return resendPause, !isPermanent(reply.Reason)
 	case ResendRetryAfter:
 		return reply.RetryAfter, reply.RetryAfter > 0
 	}
 	return 0, false
 }
 
-// neverBetter tells whether the same request can only end the same way.
-func neverBetter(reason pb.Reason) bool {
+// isPermanent tells whether the same request can only end the same way.
+func isPermanent(reason pb.Reason) bool {
 	switch reason {
 	case pb.Reason_REASON_INVALID_REQUEST, pb.Reason_REASON_UNAUTHENTICATED, pb.Reason_REASON_UNKNOWN_SERVICE,
 		pb.Reason_REASON_TOO_LARGE, pb.Reason_REASON_DEADLINE_INVALID, pb.Reason_REASON_TICKET_INVALID,
--- a/internal/load/runner_test.go
+++ b/internal/load/runner_test.go
@@ -33,7 +33,7 @@
 timeout = "1s"
 `
 
-func parsed(t *testing.T, text string) *Settings {
+func parseSettings(t *testing.T, text string) *Settings {
 	t.Helper()
 	s := DefaultSettings()
 	if err := settings.Parse("load.toml", []byte(text), &s); err != nil {
@@ -47,10 +47,10 @@
 
 func (f sendFunc) Send(ctx context.Context, _ int, r *Request) Reply { return f(ctx, r) }
 
-// noCounters counts a fixed number of leaf calls between two reads.
-type noCounters struct{ reads uint64 }
+// fixedCounters counts a fixed number of leaf calls between two reads.
+type fixedCounters struct{ reads uint64 }
 
-func (n *noCounters) Read(context.Context) (Counts, error) {
+func (n *fixedCounters) Read(context.Context) (Counts, error) {
 	n.reads++
 	return Counts{Searches: n.reads * 1050}, nil
 }
@@ -59,7 +59,7 @@
 
 // A server that stalls must not hide the delay of the requests that should have been sent in the
 // stall: they are sent on time and their latencies show it.
-func TestStallIsSeenByEveryRequestInIt(t *testing.T) {
+func TestStallDelaysAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		start := time.Now()
@@ -69,7 +69,7 @@
 			}
 			return whole
 		})
-		r, err := NewRunner(parsed(t, testSettings), stall, &noCounters{}).Run(t.Context())
+		r, err := NewRunner(parseSettings(t, testSettings), stall, &fixedCounters{}).Run(t.Context())
 		is.NoErr(err)
 		k := r.Kinds[0]
 		is.True(k.Requests > 900 && k.Requests < 1100)
@@ -92,7 +92,7 @@
 		replies  []Reply
 		sends    int
 		answered bool
-		took     time.Duration
+		elapsed  time.Duration
 	}{
 		"none takes the first":         {ResendNone, []Reply{withRetry}, 1, false, 0},
 		"at once until answered":       {ResendAtOnce, []Reply{refusal, refusal, whole}, 3, true, 2 * resendPause},
@@ -105,22 +105,22 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := parsed(t, testSettings)
+				s := parseSettings(t, testSettings)
 				s.Load.Resend, s.Load.MaxRequests = tc.resend, 1
 				sends := 0
 				sender := sendFunc(func(context.Context, *Request) Reply {
 					sends++
 					return tc.replies[sends-1]
 				})
-				r, err := NewRunner(s, sender, &noCounters{}).Run(t.Context())
+				r, err := NewRunner(s, sender, &fixedCounters{}).Run(t.Context())
 				is.NoErr(err)
 				k := r.Kinds[0]
 				is.Equal(sends, tc.sends)
 				is.Equal(k.Sends, uint64(tc.sends))
 				is.Equal(k.Requests, uint64(1))
 				is.Equal(k.Answered.Count == 1, tc.answered)
-				if tc.took > 0 && tc.answered {
-					is.True(k.Answered.Max >= tc.took.Seconds()*1000) // counted from the intended start
+				if tc.elapsed > 0 && tc.answered {
+					is.True(k.Answered.Max >= tc.elapsed.Seconds()*1000) // counted from the intended start
 				}
 			})
 		})
@@ -130,7 +130,7 @@
 func TestInFlightIsBoundedAndDropsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := parsed(t, testSettings)
+		s := parseSettings(t, testSettings)
 		s.Load.MaxInFlight = 5
 		var mu sync.Mutex
 		inFlight, highest := 0, 0
@@ -145,7 +145,7 @@
 			mu.Unlock()
 			return whole
 		})
-		r, err := NewRunner(s, slow, &noCounters{}).Run(t.Context())
+		r, err := NewRunner(s, slow, &fixedCounters{}).Run(t.Context())
 		is.NoErr(err)
 		is.Equal(highest, 5)
 		is.True(r.Kinds[0].Dropped > 900)
@@ -171,24 +171,24 @@
 			r.run(ctx)
 		}()
 		draining.Store(true)
-		time.Sleep(time.Second - probeEvery)
+		time.Sleep(time.Second - probeInterval)
 		synctest.Wait()
-		is.True(!r.isOut(1))
-		time.Sleep(4 * probeEvery)
+		is.True(!r.isExcluded(1))
+		time.Sleep(4 * probeInterval)
 		synctest.Wait()
-		is.True(r.isOut(1))
+		is.True(r.isExcluded(1))
 		is.Equal(r.pick(), 0)
 		draining.Store(false)
-		time.Sleep(time.Second + 4*probeEvery)
+		time.Sleep(time.Second + 4*probeInterval)
 		synctest.Wait()
-		is.True(!r.isOut(1))
+		is.True(!r.isExcluded(1))
 		cancel()
 		<-done
 	})
 }
 
 // A run that is ended early sends no more, and what is in flight still gets its reply.
-func TestEndedRunKeepsWhatIsInFlight(t *testing.T) {
+func TestCancelledRunAwaitsRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -200,7 +200,7 @@
 			}
 			return whole
 		})
-		r, err := NewRunner(parsed(t, testSettings), slow, &noCounters{}).Run(ctx)
+		r, err := NewRunner(parseSettings(t, testSettings), slow, &fixedCounters{}).Run(ctx)
 		is.NoErr(err)
 		is.True(r.Kinds[0].Requests > 400 && r.Kinds[0].Requests < 600) // half of the run
 		is.Equal(r.Kinds[0].Answered.Count, r.Kinds[0].Requests)
