--- a/cmd/burdock-soak/main.go
+++ b/cmd/burdock-soak/main.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	exitBroken    = 1
+	exitViolation = 1
 	exitNotPlayed = 3
 )
 
@@ -40,9 +40,9 @@
 
 // Validate implements kong's check.
 func (c *common) Validate() error {
-	const mostVMs, mostNet = 250, 254
-	if c.VMs < 1 || c.VMs > mostVMs || c.Zones < 1 || c.Zones > c.VMs || c.Strong < 0 || c.Strong > c.VMs || c.Net < 1 || c.Net > mostNet || c.Faults <= 0 {
-		return fmt.Errorf("want 1 to %d VMs, 1 zone and strong VM a VM at most, a net of 1 to %d and a time of faults", mostVMs, mostNet)
+	const maxVMs, maxNet = 250, 254
+	if c.VMs < 1 || c.VMs > maxVMs || c.Zones < 1 || c.Zones > c.VMs || c.Strong < 0 || c.Strong > c.VMs || c.Net < 1 || c.Net > maxNet || c.Faults <= 0 {
+		return fmt.Errorf("want 1 to %d VMs, 1 zone and strong VM a VM at most, a net of 1 to %d and a time of faults", maxVMs, maxNet)
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 		r.WriteText(os.Stdout)
 	}
 	if r.Failed() {
-		return exitBroken
+		return exitViolation
 	}
 	return 0
 }
