--- a/internal/soak/again.go
+++ b/internal/soak/again.go
@@ -9,8 +9,8 @@
 	"github.com/burdockplank/burdockplank/internal/wait"
 )
 
-// restartLeaves crashes leaves and starts them again under their ids, at their places or, swapped, each at that of
-// another replica of its service.
+// restartLeaves crashes the leaf of the first placement and restarts it under the same id at the same placement. For
+// LeafSwap it also crashes another replica of the service, and each of the two restarts at the other's placement.
 func (tb *testbed) restartLeaves(ctx context.Context, placements []*placement, e Event) {
 	p := placements[0]
 	service := p.currentService()
@@ -23,7 +23,7 @@
 	for _, s := range affected {
 		leaf := s.takeLeaf()
 		if leaf == nil {
-			continue // gone by another event
+			continue // removed by another event
 		}
 		leaf.Close()
 		vacated, ids = append(vacated, s), append(ids, leaf.ID)
@@ -40,7 +40,7 @@
 	}
 }
 
-// otherReplica returns one other place of the service that holds a leaf.
+// otherReplica returns one other placement of the service that has a leaf, or nil.
 func (tb *testbed) otherReplica(p *placement, service string) []*placement {
 	for _, q := range tb.placementsOf(service) {
 		if q != p && q.current() != nil {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// expireEntry removes the entry of a crashed leaf where it is away for longer than the store keeps it. It returns what
-// waits for that.
+// expireEntry removes the entry of a crashed leaf after entryTTL if the leaf stays down longer than that. The returned
+// function waits for the removal.
 func (tb *testbed) expireEntry(ctx context.Context, leaf *hosted.Leaf, e Event) func() {
 	if e.For <= entryTTL {
 		return func() {}
@@ -66,7 +66,8 @@
 	return func() { <-done }
 }
 
-// foreignEntries are entries of another writer: none names a leaf to use, though each names the trap.
+// foreignEntries returns store entries, by name, that a foreign writer could leave. None describes a usable leaf, but
+// all except the undecodable one contain the trap's address.
 func foreignEntries(service, address string) map[string]string {
 	good := `"version":"v1","warmup_remaining_ms":0,"sequence":1`
 	entry := func(fields string) string {
@@ -84,17 +85,17 @@
 	}
 }
 
-// writeForeign writes entries that no leaf wrote, for a service in use.
+// writeForeign writes entries that no leaf wrote, for a shard that searches use.
 func (tb *testbed) writeForeign(e Event) {
 	for name, value := range foreignEntries(tb.shardInForce(e), tb.trap.Address()) {
 		tb.store.Put(hosted.ForeignKey("foreign-"+name), value)
 	}
 }
 
-// checkForeign: nothing is opened or sent to what no leaf's entry names.
+// checkForeign reports connections and requests to an address that no leaf's entry names.
 func checkForeign(h *History, _ *index) []string { return h.Trapped }
 
-// trapped tells what reached the trap.
+// trapped describes the connections and requests that reached the trap.
 func (tb *testbed) trapped() []string {
 	var out []string
 	if n := tb.trap.Opened(); n > 0 {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// callers send at once, each with callerPause between its requests: some 300 requests a second.
+	// callers is the number of concurrent callers. Each pauses for callerPause between its requests, which gives
+	// some 300 requests per second in total.
 	callers     = 10
 	callerPause = 25 * time.Millisecond
-	// callTimeout is how long a caller waits, by its own word.
+	// callTimeout is the timeout that a caller sends with its request.
 	callTimeout = 2 * time.Second
-	// callsPerConnection is for how many requests a caller keeps a connection before it takes another VM.
+	// callsPerConnection is the number of requests after which a caller closes its connection and picks a VM again.
 	callsPerConnection = 40
-	// notSent begins the error of a request of which the VM can't have read all, gaveUp that of one whose
-	// caller waited a second longer than it had said.
+	// notSent prefixes the error of a request that the VM can't have read completely. gaveUp prefixes the error
+	// of a request whose caller waited one second beyond callTimeout.
 	notSent, gaveUp = "not sent: ", "gave up: "
 )
 
-// balancer says where callers may go.
+// balancer picks the VM for a caller's next connection.
 type balancer interface {
-	// pick returns a VM that counts as ready, its address and which start of its process; ok is false
-	// where there is none.
+	// pick returns the number of a VM that counts as ready, the start number of its process and its address; ok
+	// is false if no VM is ready.
 	pick(rng *rand.Rand) (vm, start int, address string, ok bool)
 }
 
-// caller sends requests one after the other over connections that it keeps while they last.
+// caller sends requests one after another over a persistent connection.
 type caller struct {
 	number   int
 	balancer balancer
@@ -48,7 +49,7 @@
 	used      int
 }
 
-// callRecorder keeps calls. It is safe for concurrent use.
+// callRecorder collects calls. It is safe for concurrent use.
 type callRecorder struct {
 	mu    sync.Mutex
 	calls []Call
@@ -66,7 +67,7 @@
 	return append([]Call(nil), r.calls...)
 }
 
-// run sends until ctx ends.
+// run sends requests until ctx ends.
 func (c *caller) run(ctx context.Context, out *callRecorder) {
 	defer c.closeConn()
 	for n := 0; wait.For(ctx, callerPause); n++ {
@@ -76,7 +77,8 @@
 	}
 }
 
-// connect makes sure of a connection, and takes another VM now and then.
+// connect reports whether the caller has a connection. It opens one to a newly picked VM if there is none or if
+// the current one has carried callsPerConnection requests.
 func (c *caller) connect() bool {
 	if c.conn != nil && c.used < callsPerConnection {
 		return true
@@ -88,7 +90,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", address, callTimeout)
 	if err != nil {
-		return false // nothing was sent; the balancer will notice
+		return false // nothing was sent; the balancer's probes will exclude the VM
 	}
 	c.conn, c.reader, c.vm, c.start, c.used = conn, bufio.NewReader(conn), vm, start, 0
 	return true
@@ -101,7 +103,7 @@
 	}
 }
 
-// call sends one request and reads its answer. The connection is kept where the VM keeps it.
+// call sends one request and reads its answer. The connection stays open if the VM keeps it open.
 func (c *caller) call(id string) Call {
 	out := Call{ID: id, VM: c.vm, Start: c.start, Sent: time.Now()}
 	c.used++
@@ -113,7 +115,7 @@
 	return out
 }
 
-// exchange fills in the call and tells whether the connection goes on.
+// exchange sends the request, fills in the call and reports whether the connection stays usable.
 func (c *caller) exchange(out *Call) (keep bool) {
 	var method, path, body string
 	out.Kind, method, path = c.drawRequest()
@@ -136,7 +138,7 @@
 	return a.Keep
 }
 
-// drawRequest draws the kind of the next request.
+// drawRequest draws the kind of the next request and returns its method and path prefix.
 func (c *caller) drawRequest() (kind Kind, method, path string) {
 	switch c.rng.IntN(10) {
 	case 0, 1:
@@ -147,7 +149,8 @@
 	return Search, http.MethodGet, "/s/"
 }
 
-// setAnswer notes an answer.
+// setAnswer copies the answer into the call. A success that carries another request's ID gets a stamp that no
+// leaf signed, so that checkAnswers reports it.
 func (c *Call) setAnswer(a *hosted.Answer) {
 	c.Status, c.Body = a.Status, a.Body
 	switch {
@@ -160,7 +163,7 @@
 	}
 }
 
-// readError says why no whole answer was read.
+// readError describes why no complete answer was read. A timeout gets the prefix gaveUp.
 func readError(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return gaveUp + err.Error()
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Violation is a promise that was broken.
+// Violation is a guarantee that a run broke.
 type Violation struct {
 	Check  string `json:"check"`
 	Detail string `json:"detail"`
 }
 
-// check is one promise; it returns what broke it.
+// check verifies one guarantee. run returns one description per violation.
 type check struct {
 	name string
 	run  func(h *History, x *index) []string
 }
 
-// checks are the promises, in the order of the report.
+// checks lists the guarantees in the order of the report.
 var checks = []check{
 	{"own whole true answers", checkAnswers},
 	{"nothing unasked runs", checkUnrequested},
@@ -35,10 +35,10 @@
 	{"foreign entries name no leaf", checkForeign},
 }
 
-// maxDetails bounds the details of one check in a report.
+// maxDetails limits the violations of one check that a report lists.
 const maxDetails = 5
 
-// Check returns what broke the promises in a history.
+// Check returns the violations in a history.
 func Check(h *History) []Violation {
 	x := newIndex(h)
 	var out []Violation
@@ -54,7 +54,7 @@
 	return out
 }
 
-// index finds the calls and runs of an id.
+// index finds the call and the runs of a request ID.
 type index struct {
 	calls map[string]*Call
 	runs  map[string][]*Run
@@ -72,7 +72,7 @@
 	return x
 }
 
-// runCount returns how often a leaf began to work on the request.
+// runCount returns how often a leaf started to work on the request.
 func (x *index) runCount(id string) int {
 	n := 0
 	for _, r := range x.runs[id] {
@@ -83,7 +83,7 @@
 	return n
 }
 
-// signedRun returns the run that a signature stands for; nil where no leaf signed so.
+// signedRun returns the run that a signature identifies, or nil if no leaf produced that signature.
 func (x *index) signedRun(id, stamp string) *Run {
 	for _, r := range x.runs[id] {
 		if r.Ran && r.Leaf+"."+id == stamp {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// checkOwn: a success bears the signatures of leaves that ran this request, and holds just what they
-// answered.
+// checkAnswers reports successes that lack the signatures of leaves that ran this request, or whose body is
+// anything other than what those leaves answered.
 func checkAnswers(h *History, x *index) []string {
 	var out []string
 	for i := range h.Calls {
@@ -109,7 +109,7 @@
 	return out
 }
 
-// answerError says what is wrong with a success; empty where nothing is.
+// answerError describes what is wrong with a success; it returns an empty string if nothing is.
 func answerError(h *History, x *index, c *Call) string {
 	var services []string
 	for _, stamp := range c.Stamps {
@@ -131,7 +131,8 @@
 	return ""
 }
 
-// searchError says what is wrong with a search whose parts are of the shards.
+// searchError describes what is wrong with a successful search whose parts come from the given shards; it returns
+// an empty string if nothing is.
 func searchError(h *History, c *Call, shards []string) string {
 	slices.Sort(shards)
 	if len(slices.Compact(slices.Clone(shards))) != len(shards) {
@@ -150,6 +151,7 @@
 	return ""
 }
 
+// checkUnrequested reports leaf runs of requests that no caller sent, or that were sent with another target.
 func checkUnrequested(h *History, x *index) []string {
 	var out []string
 	for i := range h.Runs {
@@ -162,6 +164,7 @@
 	return out
 }
 
+// checkOnce reports orders that ran more than once.
 func checkOnce(h *History, x *index) []string {
 	return checkCalls(h, func(c *Call) string {
 		if n := x.runCount(c.ID); c.Kind == Order && n > 1 {
@@ -171,6 +174,7 @@
 	})
 }
 
+// checkNotRun reports orders that were refused with status 503 or 429 although a leaf ran them.
 func checkNotRun(h *History, x *index) []string {
 	return checkCalls(h, func(c *Call) string {
 		if c.Kind == Order && (c.Status == 503 || c.Status == 429) && x.runCount(c.ID) > 0 {
@@ -180,7 +184,7 @@
 	})
 }
 
-// checkCalls returns what the function says of the calls.
+// checkCalls applies f to each call and returns the non-empty results.
 func checkCalls(h *History, f func(*Call) string) []string {
 	var out []string
 	for i := range h.Calls {
@@ -191,7 +195,8 @@
 	return out
 }
 
-// checkDrain: nothing that was sent and taken by a VM in touch reaches a leaf past the bound.
+// checkDrain reports requests that reached a draining leaf later than drainBound after it was marked, if the VM was
+// undisturbed for settleTime before the mark and until the request arrived.
 func checkDrain(h *History, x *index) []string {
 	type start struct {
 		leaf string
@@ -214,8 +219,9 @@
 	return out
 }
 
-// checkCut: an orderly end, and a VM that nothing happens to, leaves no request unanswered that a leaf got.
-// Neither can a VM that stands still answer a caller before it gives up.
+// checkUnanswered reports requests that reached a leaf but got no answer. Two cases are allowed: the VM was killed
+// during the call, or the VM was frozen and so could not answer before the caller gave up. A graceful shutdown is not
+// an excuse. Requests that were not sent completely are ignored. Requests that were not sent completely are ignored.
 func checkUnanswered(h *History, x *index) []string {
 	return checkCalls(h, func(c *Call) string {
 		switch {
@@ -228,6 +234,7 @@
 	})
 }
 
+// checkTermination reports graceful shutdowns that failed.
 func checkTermination(h *History, _ *index) []string {
 	var out []string
 	for _, e := range h.Ends {
@@ -238,9 +245,12 @@
 	return out
 }
 
-// recoveredShare is the least share of requests served once recovery is due. Leaves fail none of them then.
+// recoveredShare is the minimum share of requests that must succeed once recovery is due. Leaves inject no failures
+// at that time.
 const recoveredShare = 0.95
 
+// checkRecovery reports a share of successes below recoveredShare between recoveryBound after the last fault and
+// the end of the run.
 func checkRecovery(h *History, _ *index) []string {
 	sent, served := 0, 0
 	for i := range h.Calls {
--- a/internal/soak/check_budget.go
+++ b/internal/soak/check_budget.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// checkBudget: in any window a service gets no more arrivals beyond the first of each request than the
-// budget allows. Requests for it count in that window, the one before it, or the one half a window before,
-// whichever has most.
+// checkBudget reports services that got more extra calls in a window than the retry budget allows. Each arrival of
+// a request after its first one at the service is an extra call. The budget follows from the requests for the
+// service in that window, in the one before it, or in the one half a window earlier, whichever has most.
 func checkBudget(h *History, x *index) []string {
 	extra := make(map[string][]time.Time)
 	for _, runs := range x.runs {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// byService returns the times of arrival of a request at each service, the first ones first.
+// byService returns a request's arrival times by service, each list in ascending order.
 func byService(runs []*Run) map[string][]time.Time {
 	out := make(map[string][]time.Time)
 	for _, r := range runs {
@@ -39,7 +39,8 @@
 	return out
 }
 
-// requestsFor returns when requests were sent that a configuration around that time sends to the service.
+// requestsFor returns, in ascending order, the send times of the requests that a configuration of that time may
+// route to the service.
 func requestsFor(h *History, service string) []time.Time {
 	var out []time.Time
 	for i := range h.Calls {
@@ -52,7 +53,7 @@
 	return out
 }
 
-// mayTarget tells whether a version that may be in force while the call goes on sends it to the service.
+// mayTarget reports whether a configuration that may have been in force during the call routes it to the service.
 func (h *History) mayTarget(c *Call, service string) bool {
 	for i, f := range h.Configs {
 		replaced := i+1 < len(h.Configs) && h.Configs[i+1].At.Before(c.Sent.Add(-configBound-settleTime))
@@ -66,7 +67,8 @@
 	return false
 }
 
-// overBudget returns the first window in which extra calls exceed the budget, in words; empty for none.
+// overBudget describes the first window in which extra calls exceed the budget; it returns an empty string if there
+// is none.
 func overBudget(service string, extra, requests []time.Time) string {
 	count := func(list []time.Time, from time.Time) int {
 		lo, _ := slices.BinarySearchFunc(list, from, time.Time.Compare)
--- a/internal/soak/check_config.go
+++ b/internal/soak/check_config.go
@@ -8,8 +8,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// versionOf returns the newest version that may have been known when the call ended and that sends single
-// requests to the service; 0 for none.
+// versionOf returns the newest version that was in force by the time known and routes single requests to the
+// service, or 0 if there is none.
 func (h *History) versionOf(service string, known time.Time) int {
 	for i := len(h.Configs) - 1; i >= 0; i-- {
 		if f := h.Configs[i]; f.Service == service && !f.At.After(known) {
@@ -19,8 +19,8 @@
 	return 0
 }
 
-// handledVersion returns the version by which a single request was handled: that of the service where it first
-// ran. It is 0 where no leaf ran it.
+// handledVersion returns the configuration version by which a single request was handled, which the service of its
+// first run identifies. It returns 0 if no leaf ran the request, or if the call is of another kind.
 func (h *History) handledVersion(x *index, c *Call) int {
 	if c.Kind != Single {
 		return 0
@@ -33,8 +33,8 @@
 	return 0
 }
 
-// checkConfig: what a VM in touch is sent later than the bound after a version was put in force is not
-// handled as only an older one allows.
+// checkConfig reports requests that were sent later than configBound after a version came into force but were
+// handled by an older one, at a VM that was undisturbed from settleTime before the change until the request was sent.
 func checkConfig(h *History, x *index) []string {
 	return checkCalls(h, func(c *Call) string {
 		got := h.handledVersion(x, c)
@@ -50,10 +50,10 @@
 	})
 }
 
-// versionRead is one request as a read of the version that a process goes by.
+// versionRead models one request as a read of the configuration version that a process uses.
 type versionRead struct{ version int }
 
-// versionModel is a process's version, which only rises.
+// versionModel models the configuration version of a process, which never decreases.
 var versionModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, _, output any) (bool, any) {
@@ -63,11 +63,12 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// rollbackTimeout bounds the search for an order of one process's requests.
+// rollbackTimeout limits the linearizability check of one process's requests.
 const rollbackTimeout = 10 * time.Second
 
-// checkBack: there is an order of the requests of each start of a process, within the times in which they
-// were under way, in which the version never goes back.
+// checkRollback reports process starts that returned to an older configuration version: no linearization of their
+// requests exists in which the version never decreases. A request counts as in flight until rollbackSlack after its
+// end.
 func checkRollback(h *History, x *index) []string {
 	type start struct{ vm, number int }
 	reads := make(map[start][]porcupine.Operation)
@@ -83,15 +84,15 @@
 	var out []string
 	for key, ops := range reads {
 		if showsRollback(ops) && porcupine.CheckOperationsTimeout(versionModel, ops, rollbackTimeout) != porcupine.Ok {
-			out = append(out, fmt.Sprintf("VM %d, start %d, went back to an older version", key.vm, key.number))
+			out = append(out, fmt.Sprintf("VM %d, start %d, returned to an older configuration version", key.vm, key.number))
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// showsRollback tells whether any request that began after another had ended shows an older version: only then
-// is there an order to look for.
+// showsRollback reports whether any request that started after another had ended shows an older version. Only then
+// is the linearizability check needed.
 func showsRollback(ops []porcupine.Operation) bool {
 	byEnd := slices.Clone(ops)
 	slices.SortFunc(byEnd, func(a, b porcupine.Operation) int { return int(a.Return - b.Return) })
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -7,13 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// at is a time of the histories below, in seconds from their begin.
+// at returns the time the given number of seconds after the start of a history.
 func at(seconds float64) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// good is a small history in which every promise is kept: a single request, an order, a search that lacks a
-// shard, and a change of the configuration.
+// good returns a small history without violations: three single requests, an order, a search that lacks a shard, and a
+// change of the configuration.
 func good() *History {
 	h := &History{
 		Configs: []Config{
@@ -38,10 +38,12 @@
 	return h
 }
 
+// single adds a successful single request that the service handled, sent at the given time in seconds.
 func (h *History) single(id, service string, seconds float64) {
 	h.served(Call{ID: id, Kind: Single, Target: "/v/" + id, Sent: at(seconds)}, service)
 }
 
+// order adds a successful order, sent at the given time in seconds.
 func (h *History) order(id string, seconds float64) {
 	h.served(Call{ID: id, Kind: Order, Target: "/o/" + id, Sent: at(seconds)}, orderService)
 }
@@ -54,7 +56,7 @@
 	h.Runs = append(h.Runs, Run{ID: c.ID, Leaf: service + "-x", Service: service, Target: c.Target, At: c.Sent.Add(5 * time.Millisecond), Ran: true})
 }
 
-// call returns the call of an id.
+// call returns the call with the given ID, or nil.
 func (h *History) call(id string) *Call {
 	for i := range h.Calls {
 		if h.Calls[i].ID == id {
@@ -68,42 +70,42 @@
 	is.New(t).Equal(Check(good()), nil)
 }
 
-// TestEachCheckFails breaks each promise in the good history, in each way that its check knows.
+// TestEachCheckFails breaks each guarantee in the good history, in every way that its check detects.
 func TestEachCheckFails(t *testing.T) {
 	for name, tt := range map[string]struct {
 		check   string
 		violate func(h *History)
 	}{
-		"another's answer":   {"own whole true answers", func(h *History) { h.call("s1").Stamps = []string{"v0-x.s2"} }},
-		"two signatures":     {"own whole true answers", func(h *History) { c := h.call("s1"); c.Stamps = append(c.Stamps, c.Stamps[0]) }},
-		"a cut body":         {"own whole true answers", func(h *History) { c := h.call("s1"); c.Body = c.Body[:3] }},
-		"untrue coverage":    {"own whole true answers", func(h *History) { h.call("q1").Missing = 0 }},
-		"a shard twice":      {"own whole true answers", func(h *History) { c := h.call("q1"); c.Stamps[0] = c.Stamps[1] }},
-		"records missing":    {"own whole true answers", func(h *History) { c := h.call("q1"); c.Body = merge([]string{"a0"}, c.Target) }},
-		"shards of two sets": {"own whole true answers", func(h *History) { h.Runs[len(h.Runs)-1].Service = "b1" }},
-		"an unknown id":      {"nothing unasked runs", func(h *History) { h.Runs = append(h.Runs, Run{ID: "z", Leaf: "v0-x", Ran: true}) }},
-		"a changed target":   {"nothing unasked runs", func(h *History) { h.Runs[0].Target = "/v/other" }},
-		"an order twice": {"orders run once at most", func(h *History) {
+		"answer of another request": {"own whole true answers", func(h *History) { h.call("s1").Stamps = []string{"v0-x.s2"} }},
+		"two signatures":            {"own whole true answers", func(h *History) { c := h.call("s1"); c.Stamps = append(c.Stamps, c.Stamps[0]) }},
+		"truncated body":            {"own whole true answers", func(h *History) { c := h.call("s1"); c.Body = c.Body[:3] }},
+		"wrong coverage":            {"own whole true answers", func(h *History) { h.call("q1").Missing = 0 }},
+		"shard covered twice":       {"own whole true answers", func(h *History) { c := h.call("q1"); c.Stamps[0] = c.Stamps[1] }},
+		"records missing":           {"own whole true answers", func(h *History) { c := h.call("q1"); c.Body = merge([]string{"a0"}, c.Target) }},
+		"shards of two sets":        {"own whole true answers", func(h *History) { h.Runs[len(h.Runs)-1].Service = "b1" }},
+		"unknown request ID":        {"nothing unasked runs", func(h *History) { h.Runs = append(h.Runs, Run{ID: "z", Leaf: "v0-x", Ran: true}) }},
+		"changed target":            {"nothing unasked runs", func(h *History) { h.Runs[0].Target = "/v/other" }},
+		"order run twice": {"orders run once at most", func(h *History) {
 			h.Runs = append(h.Runs, Run{ID: "o1", Leaf: "orders-y", Service: orderService, Target: "/o/o1", At: at(5.5), Ran: true})
 		}},
-		"not run, and ran": {"not run means not run", func(h *History) { h.call("o1").Status = 503 }},
-		"calls without end": {"extra calls keep the budget", func(h *History) {
+		"order run but answered as not run": {"not run means not run", func(h *History) { h.call("o1").Status = 503 }},
+		"extra calls beyond the budget": {"extra calls keep the budget", func(h *History) {
 			for i := range budgetSlack + 2 {
 				h.Runs = append(h.Runs, Run{ID: "s1", Leaf: "v0-y", Service: "v0", Target: "/v/s1", At: at(2.1 + float64(i)/10)})
 			}
 		}},
-		"work for a leaf that left": {"leaving leaves get no new work", func(h *History) {
+		"request to a drained leaf": {"leaving leaves get no new work", func(h *History) {
 			h.Runs = append(h.Runs, Run{ID: "s3", Leaf: "v0-gone", Service: "v1", Target: "/v/s3", At: at(30)})
 		}},
-		"an old version":  {"configuration in force in time", func(h *History) { h.single("late", "v0", 13.6) }},
-		"a version again": {"configuration never goes back", func(h *History) { h.single("back", "v1", 11); h.single("again", "v0", 11.5) }},
-		"a cut": {"orderly ends cut nothing", func(h *History) {
+		"old version past the bound": {"configuration in force in time", func(h *History) { h.single("late", "v0", 13.6) }},
+		"return to an older version": {"configuration never goes back", func(h *History) { h.single("back", "v1", 11); h.single("again", "v0", 11.5) }},
+		"request without an answer": {"orderly ends cut nothing", func(h *History) {
 			h.Runs = append(h.Runs, Run{ID: "c", Leaf: orderService + "-x", Service: orderService, Target: "/o/c", At: at(20), Ran: true})
 			h.Calls = append(h.Calls, Call{ID: "c", Kind: Order, Target: "/o/c", Sent: at(20), Ended: at(20.1), Err: "EOF"})
 		}},
-		"a foreign entry used": {"foreign entries name no leaf", func(h *History) { h.Trapped = []string{"request s1 reached it"} }},
-		"no end":               {"orderly ends end", func(h *History) { h.Ends[0].Err = "still runs" }},
-		"no recovery":          {"service recovers", func(h *History) { c := h.call("s3"); c.Status, c.Stamps = 503, nil }},
+		"foreign entry used": {"foreign entries name no leaf", func(h *History) { h.Trapped = []string{"request s1 reached it"} }},
+		"process still runs": {"orderly ends end", func(h *History) { h.Ends[0].Err = "still runs" }},
+		"no recovery":        {"service recovers", func(h *History) { c := h.call("s3"); c.Status, c.Stamps = 503, nil }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -118,33 +120,33 @@
 	}
 }
 
-// TestAllowedCases are histories that look like a broken promise and are none.
+// TestAllowedCases checks histories that resemble a violation but are allowed.
 func TestAllowedCases(t *testing.T) {
 	unanswered := func(h *History, why string) {
 		h.Runs = append(h.Runs, Run{ID: "c", Leaf: orderService + "-x", Service: orderService, Target: "/o/c", At: at(20), Ran: true})
 		h.Calls = append(h.Calls, Call{ID: "c", Kind: Order, Target: "/o/c", Sent: at(20), Ended: at(23), Err: why})
 	}
 	for name, change := range map[string]func(h *History){
-		"a VM killed at work": func(h *History) { unanswered(h, "EOF"); h.Killed[0] = []Span{{at(21), at(21), "killed"}} },
-		"a caller that a frozen VM keeps": func(h *History) {
+		"VM killed during a call": func(h *History) { unanswered(h, "EOF"); h.Killed[0] = []Span{{at(21), at(21), "killed"}} },
+		"caller gives up on a frozen VM": func(h *History) {
 			unanswered(h, gaveUp+"timeout")
 			h.Disturbed[0] = []Span{{at(21), at(24), freezeSpan}}
 		},
-		"an old version at a VM cut off":  func(h *History) { h.single("late", "v0", 13.6); h.Disturbed[0] = []Span{{at(11), at(12), "cut"}} },
-		"an old version while it comes":   func(h *History) { h.single("new", "v1", 10.5); h.single("old", "v0", 10.6) },
-		"an old version at another VM":    func(h *History) { h.single("new", "v1", 11); h.single("old", "v0", 11.5); h.call("old").VM = 2 },
-		"an old version at another start": func(h *History) { h.single("new", "v1", 11); h.single("old", "v0", 11.5); h.call("old").Start = 2 },
-		"a drain heard of late, cut off": func(h *History) {
+		"old version at a disconnected VM": func(h *History) { h.single("late", "v0", 13.6); h.Disturbed[0] = []Span{{at(11), at(12), "cut"}} },
+		"old version within the bound":     func(h *History) { h.single("new", "v1", 10.5); h.single("old", "v0", 10.6) },
+		"old version at another VM":        func(h *History) { h.single("new", "v1", 11); h.single("old", "v0", 11.5); h.call("old").VM = 2 },
+		"old version at another start":     func(h *History) { h.single("new", "v1", 11); h.single("old", "v0", 11.5); h.call("old").Start = 2 },
+		"late drain at a disconnected VM": func(h *History) {
 			h.Runs = append(h.Runs, Run{ID: "s3", Leaf: "v0-gone", Service: "v1", At: at(6.7)})
 			h.Disturbed[0] = []Span{{at(4), at(5), "cut"}}
 		},
-		"a leaf that left and started again": func(h *History) {
+		"drained leaf started again": func(h *History) {
 			h.Runs = append(h.Runs, Run{ID: "s3", Leaf: "v0-gone", Born: 7, Service: "v1", Target: "/v/s3", At: at(30)})
 		},
-		"a refusal without a run": func(h *History) {
+		"refusal without a run": func(h *History) {
 			h.Calls = append(h.Calls, Call{ID: "r", Kind: Order, Status: 503, Sent: at(7), Ended: at(7)})
 		},
-		"a request before recovery is due": func(h *History) {
+		"request before recovery is due": func(h *History) {
 			h.Calls = append(h.Calls, Call{ID: "r", Kind: Single, Status: 503, Sent: at(20), Ended: at(20)})
 		},
 	} {
@@ -169,5 +171,5 @@
 		}
 	}
 	added := map[Fault]bool{LeafRestart: true, LeafSwap: true, StoreForeign: true}
-	is.Equal(len(seen), len(faults)+len(added)+3) // and the changes of the configuration and the loss of all VMs
+	is.Equal(len(seen), len(faults)+len(added)+3) // plus the two kinds of configuration change and the kill of all VMs
 }
--- a/internal/soak/content.go
+++ b/internal/soak/content.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// recordBytes is the length of a record of a search's part.
+	// recordBytes is the length of one record in a part.
 	recordBytes = 16
-	// partRecords is how many records a shard has for a search, topRecords how many the search returns.
+	// partRecords is the number of records that a shard returns for a search, topRecords the number that the
+	// merged search returns.
 	partRecords, topRecords = 4, 5
 )
 
-// part is what each leaf of the shard answers to a search of the target.
+// part returns the answer of every leaf of the shard to a search with the target.
 func part(shard, target string) string {
 	var b strings.Builder
 	for i := range partRecords {
@@ -24,7 +25,8 @@
 	return b.String()
 }
 
-// merge is what a search of the target returns that covers the shards.
+// merge returns the expected body of a search with the target that covers the shards: the topRecords highest records
+// in descending order.
 func merge(shards []string, target string) string {
 	var records []string
 	for _, s := range shards {
@@ -39,5 +41,5 @@
 	return strings.Join(records[:min(topRecords, len(records))], "")
 }
 
-// answer is what a leaf of the service answers to the request of that id.
+// answer returns the answer of a leaf of the service to the request with the ID.
 func answer(service, id, target string) string { return service + " " + id + " " + target }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -1,114 +1,119 @@
-// Package soak runs the program of the users' platform as several processes under seeded faults, with
-// stand-ins of store and leaves, and checks its promises from what callers and leaves see.
+// Package soak runs the program of the users' platform as several processes under seeded faults, with stand-ins for
+// the store and the leaves. It checks the program's guarantees against what callers and leaves observe.
 package soak
 
 import "time"
 
-// The bounds that the promises name; the VMs get the same in their settings.
+// The bounds of the guarantees. The settings of the VMs use the same values for those that they have.
 const (
-	drainBound    = 3 * time.Second
-	configBound   = 3 * time.Second
+	drainBound  = 3 * time.Second
+	configBound = 3 * time.Second
+	// settleTime is how long a VM must be undisturbed before a bound applies to it.
+	// settleTime is how long a VM must be undisturbed before a bound applies to it.
 	settleTime    = 4 * time.Second
 	graceBound    = 6 * time.Second
 	recoveryBound = 12 * time.Second
-	// rollbackSlack is how long after a VM showed a version an older one may still be shown.
+	// rollbackSlack is how long a VM may still show an older version after it showed a newer one.
 	rollbackSlack = 250 * time.Millisecond
 	budgetWindow  = 10 * time.Second
 	budgetRatio   = 0.2
 	budgetSlack   = 30
-	// slack is what a busy machine may add to a bound: its clocks and those of the judged are one, but a
-	// process may wait for its turn.
+	// slack is added to bounds for scheduling delays on a busy machine. The checker and the processes share one
+	// clock, so no clock skew is included.
 	slack = 500 * time.Millisecond
 )
 
-// Kind is the sort of a call.
+// Kind is the kind of a call.
 type Kind string
 
 // The kinds of calls.
 const (
-	// Search asks all shards of a set.
+	// Search queries all shards of a set.
 	Search Kind = "search"
-	// Single asks the service that the configuration names at the time; it may be repeated.
+	// Single calls the service that the current configuration names. It is idempotent.
 	Single Kind = "single"
-	// Order may run once at most.
+	// Order must run at most once.
 	Order Kind = "order"
 )
 
-// Call is a request as its caller saw it.
+// Call is a request as its caller observed it.
 type Call struct {
 	ID     string
 	Kind   Kind
 	Target string
-	// VM that it was sent to, by number, and which start of its process.
+	// VM is the number of the VM that the request was sent to, Start the start number of its process.
 	VM, Start   int
 	Sent, Ended time.Time
-	// Status is 0 where no whole answer came; Err says why.
+	// Status is 0 if no complete answer arrived; Err then says why.
 	Status int
 	Err    string
-	// Stamps are the signatures of the leaf, or of the parts of a search; Missing its shards left out.
+	// Stamps are the signatures of the leaf, or of the parts of a search. Missing is the number of shards that a
+	// search left out.
 	Stamps  []string
 	Missing int
 	Body    string
 }
 
-// Run is a request as a leaf saw it.
+// Run is a request as a leaf observed it.
 type Run struct {
 	ID, Leaf, Service, Target string
-	// Born is when the leaf started, in Unix milliseconds: it may start again under its id.
+	// Born is the start time of the leaf in Unix milliseconds. It distinguishes restarts under the same ID.
 	Born int64
 	At   time.Time
-	// Ran is false where the leaf refused it.
+	// Ran is false if the leaf refused the request.
 	Ran bool
 }
 
-// Config is a version of the configuration as the operator put it in force.
+// Config is a version of the configuration, with the time at which the operator put it in force.
 type Config struct {
 	Version int
 	At      time.Time
-	// Shards of the search, and the Service of single requests.
+	// Shards are the shards of searches, Service is the service of single requests.
 	Shards  []string
 	Service string
 }
 
-// Drain is a leaf that was marked as leaving.
+// Drain is the marking of a leaf as draining.
 type Drain struct {
 	Leaf string
 	Born int64
 	At   time.Time
 }
 
-// Span is a time in which something was disturbed.
+// Span is a period in which a VM was disturbed.
 type Span struct {
 	From, To time.Time
 	What     string
 }
 
-// End is an orderly end of a VM's process that was asked for.
+// End is a requested graceful shutdown of a VM's process.
 type End struct {
 	VM, Start int
 	Asked     time.Time
-	// Err says how it went wrong; empty where it ended in time with exit code 0.
+	// Err describes the failure. It is empty if the process ended in time with exit code 0, or by SIGTERM before it
+	// had ever counted as ready.
 	Err string
 }
 
-// History is all that was seen in a run.
+// History is everything that was observed in a run. It is saved as JSON under the names of its fields.
 type History struct {
 	Calls   []Call
 	Runs    []Run
 	Configs []Config
 	Drains  []Drain
 	Ends    []End
-	// Trapped is what reached the address that foreign entries name.
+	// Trapped describes what reached the address that only foreign entries name.
 	Trapped []string
-	// Disturbed holds by VM when it was killed, stopped, frozen or cut off, or the store was disturbed.
+	// Disturbed holds, by VM, the periods in which it was killed, stopped, frozen or cut off, or in which the
+	// store was disturbed.
 	Disturbed map[int][]Span
-	// Killed holds by VM when its process ended without notice.
+	// Killed holds, by VM, when its process was killed without notice.
 	Killed map[int][]Span
-	// Calm is when the last fault was over, Closing when the end of the run began.
+	// Calm is when the last fault ended, Closing when the shutdown of the run began.
 	Calm, Closing time.Time
 }
 
-// undisturbed tells whether the VM was undisturbed for contactTime before t, and until then.
+// undisturbed reports whether the VM was undisturbed from settleTime before from until to.
 func (h *History) undisturbed(vm int, from, to time.Time) bool {
 	for _, s := range h.Disturbed[vm] {
 		if s.From.Before(to) && s.To.After(from.Add(-settleTime)) {
@@ -118,7 +123,7 @@
 	return true
 }
 
-// killedWithin tells whether the VM's process ended without notice at some time between.
+// killedWithin reports whether the VM's process was killed between from and to, with slack on both sides.
 func (h *History) killedWithin(vm int, from, to time.Time) bool {
 	for _, s := range h.Killed[vm] {
 		if !s.From.Before(from.Add(-slack)) && !s.From.After(to.Add(slack)) {
@@ -128,7 +133,7 @@
 	return false
 }
 
-// frozenWithin tells whether the VM stood still at some time between.
+// frozenWithin reports whether the VM was frozen at some time between from and to.
 func (h *History) frozenWithin(vm int, from, to time.Time) bool {
 	for _, s := range h.Disturbed[vm] {
 		if s.What == freezeSpan && s.From.Before(to) && s.To.After(from) {
@@ -138,5 +143,5 @@
 	return false
 }
 
-// freezeSpan is what a span is called in which a VM stood still.
+// freezeSpan marks the spans in which a VM was frozen.
 const freezeSpan = "freeze"
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -15,10 +15,10 @@
 	"github.com/burdockplank/burdockplank/internal/wait"
 )
 
-// linkDelay is what a delayed link adds each way.
+// linkDelay is the delay that a delayed link adds in each direction.
 const linkDelay = 30 * time.Millisecond
 
-// runPlan injects the events at their times and returns once the last is over.
+// runPlan injects the events at their times and returns once the last one has ended.
 func (tb *testbed) runPlan(ctx context.Context, plan []Event) {
 	start := time.Now()
 	var open sync.WaitGroup
@@ -32,7 +32,7 @@
 	open.Wait()
 }
 
-// inject plays one event to its end.
+// inject injects one event and returns at its end.
 func (tb *testbed) inject(ctx context.Context, e Event) {
 	switch e.Fault {
 	case LeafSlow, LeafHang, LeafRefuse, LeafErrors, LeafLoseAnswers, LeafGarble, LeafExtraAnswers:
@@ -63,20 +63,21 @@
 }
 
 const (
-	// refuseAllShare is the part of requests that all leaves of a shard refuse in a storm, which lasts stormLeast
-	// at least: with two repeats of each the budget is all that keeps the rest from the leaves.
+	// refuseAllShare is the share of requests that all leaves of a shard refuse during LeafRefuseAll, which lasts
+	// at least minRefuseAllTime. Each refused request may be retried twice, so only the retry budget limits the
+	// extra calls to the leaves.
 	refuseAllShare   = 0.9
 	minRefuseAllTime = 2 * time.Second
 )
 
-// shardInForce draws one of the shards that searches go to now.
+// shardInForce draws one of the shards that searches currently use.
 func (tb *testbed) shardInForce(e Event) string {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	return sample(tb.configs[len(tb.configs)-1].Shards, e)[0]
 }
 
-// sample draws the event's share of the things, one at least.
+// sample draws half the event's share of all, at least one. The draw depends only on e.Pick.
 func sample[T any](all []T, e Event) []T {
 	rng := rand.New(rand.NewPCG(e.Pick, 1))
 	out := slices.Clone(all)
@@ -84,14 +85,14 @@
 	return out[:max(1, int(e.Share*float64(len(out))/2))]
 }
 
-// replace ends leaves, one a service at a time, and puts others in their places.
+// replace ends leaves and starts others at their placements. It replaces at most one leaf per service.
 func (tb *testbed) replace(ctx context.Context, placements []*placement, e Event) {
 	replaced := make(map[string]bool)
 	var open sync.WaitGroup
 	for _, p := range placements {
 		service := p.currentService()
 		if replaced[service] || p.current() == nil || e.Fault == LeafAddressReuse && !tb.reserveReassignment(service) {
-			continue // another replica of it goes already, or went for good
+			continue // another replica is being replaced, or this placement is empty, or one was already reassigned
 		}
 		replaced[service] = true
 		open.Go(func() { tb.replaceOne(ctx, p, service, e) })
@@ -99,8 +100,8 @@
 	open.Wait()
 }
 
-// reserveReassignment tells whether a place of the service may go to another, and notes that it does: one of its replicas
-// at most, so that none is left without a leaf.
+// reserveReassignment reports whether a placement of the service may be reassigned to another service, and reserves
+// it if so. At most one replica of a service is reassigned, so that no service is left without a leaf.
 func (tb *testbed) reserveReassignment(service string) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -111,7 +112,7 @@
 	return true
 }
 
-// placementsOf returns the places of a service.
+// placementsOf returns the placements of a service.
 func (tb *testbed) placementsOf(service string) []*placement {
 	var out []*placement
 	for _, p := range tb.placements {
@@ -128,7 +129,7 @@
 	}
 	leaf := p.takeLeaf()
 	if leaf == nil {
-		return // gone by another event
+		return // removed by another event
 	}
 	leaf.Close()
 	if e.Fault != LeafDrain {
@@ -149,12 +150,12 @@
 }
 
 const (
-	// entryTTL is how long the store keeps the entry of a leaf that crashed; reuseAfter is how long an
-	// address rests before another leaf takes it.
+	// entryTTL is how long the store keeps the entry of a crashed leaf. addressReuseDelay is how long an address
+	// stays unused before a leaf of another service takes it.
 	entryTTL, addressReuseDelay = 800 * time.Millisecond, 2 * time.Second
 )
 
-// drain marks a place's leaf as leaving and waits until nothing may come to it any more.
+// drain marks a placement's leaf as draining and waits until no more requests may reach it.
 func (tb *testbed) drain(ctx context.Context, p *placement) {
 	leaf := p.current()
 	if leaf == nil {
@@ -167,7 +168,7 @@
 	wait.For(ctx, drainBound+2*slack)
 }
 
-// disturbStore makes the store misbehave; all VMs are out of touch meanwhile.
+// disturbStore injects a store fault. All VMs count as disturbed for its duration.
 func (tb *testbed) disturbStore(ctx context.Context, e Event) {
 	s := Span{time.Now(), time.Now().Add(e.For), string(e.Fault)}
 	for _, v := range tb.vms {
@@ -190,7 +191,7 @@
 	tb.store.SetFault(hosted.Fault{})
 }
 
-// disturbLinks puts rules on the links of VMs.
+// disturbLinks sets relay rules on the links of the VMs for the duration of the event.
 func (tb *testbed) disturbLinks(ctx context.Context, vms []*vm, e Event) {
 	var rules []relay.Rule
 	for _, v := range vms {
@@ -233,7 +234,7 @@
 	tb.relay.SetRules(tb.rules)
 }
 
-// disturbVMs freezes, ends or reloads processes.
+// disturbVMs freezes, kills, terminates or reloads VM processes.
 func (tb *testbed) disturbVMs(ctx context.Context, e Event) {
 	switch e.Fault {
 	case VMRolling:
@@ -265,7 +266,8 @@
 	}
 }
 
-// restart ends a VM in the given way and starts it again; nothing where another event has it down.
+// restart ends a VM with the given function and starts it again. It does nothing if another event has reserved the VM
+// or its process isn't running.
 func (tb *testbed) restart(ctx context.Context, v *vm, end func(*vm)) {
 	if !v.reserve() {
 		return
@@ -305,11 +307,11 @@
 	wait.For(ctx, d)
 	v.addDisturbance(Span{from, time.Now(), freezeSpan})
 	if err := v.process.Resume(); err != nil {
-		tb.fail("wake of VM %d: %v", v.number, err)
+		tb.fail("resume of VM %d: %v", v.number, err)
 	}
 }
 
-// fail keeps a fault that could not be injected.
+// fail records a fault that could not be injected.
 func (tb *testbed) fail(format string, args ...any) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
--- a/internal/soak/leaves.go
+++ b/internal/soak/leaves.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	// leafSlots are the requests that a leaf works on at once, leafWork is how long one takes.
+	// leafSlots is the number of requests that a leaf processes concurrently, leafWork the processing time of one.
 	leafSlots = 8
 	leafWork  = 4 * time.Millisecond
-	// orderService runs orders.
+	// orderService is the service that runs orders.
 	orderService = "orders"
-	// hangTime is longer than any caller waits.
+	// hangTime is longer than the timeout that any caller sends.
 	hangTime = 3 * time.Second
 )
 
-// placement is an address at which leaves live, one after the other.
+// placement is an address that serves one leaf at a time.
 type placement struct {
-	// listen is where the leaf really is, entry what the store says: a relay in front of it.
+	// listen is the leaf's own address. entry is the address in the store, at which a relay forwards to listen.
 	listen, entry string
 	service, zone string
 
 	mu sync.Mutex
-	// What follows is guarded by mu. leaf is nil while the place is empty, number counts the leaves.
+	// The fields below are guarded by mu. leaf is nil while the placement is empty; number counts
+	// the leaves that startLeaf started.
 	leaf   *hosted.Leaf
 	number int
 	leafFault
 }
 
-// leafFault is what a leaf does wrong, until when, with what part of its requests.
+// leafFault is a fault that a leaf shows until the given time, for the given share of its requests.
 type leafFault struct {
 	fault Fault
 	until time.Time
 	share float64
-	// pinned is set where no other may take its place before its time is over.
+	// pinned prevents another fault from replacing this one before until.
 	pinned bool
 }
 
-// startedLeaves are the leaves that there were, for what they have seen.
+// startedLeaves holds all leaves that were started, running or not, for the requests that they observed.
 type startedLeaves struct {
 	mu     sync.Mutex
 	leaves []startedLeaf
@@ -54,7 +55,7 @@
 	service string
 }
 
-// runs returns what all leaves have seen.
+// runs returns the requests that all leaves observed.
 func (p *startedLeaves) runs() []Run {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +68,7 @@
 	return out
 }
 
-// startLeaf starts the next leaf at the place.
+// startLeaf starts a leaf of the service at the placement, under a new ID.
 func (p *placement) startLeaf(started *startedLeaves, service string) (*hosted.Leaf, error) {
 	p.mu.Lock()
 	p.number++
@@ -76,7 +77,7 @@
 	return p.startLeafAs(started, service, id)
 }
 
-// startLeafAs starts a leaf of the id at the place.
+// startLeafAs starts a leaf with the given ID at the placement and clears the placement's fault.
 func (p *placement) startLeafAs(started *startedLeaves, service, id string) (*hosted.Leaf, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +93,7 @@
 	return leaf, nil
 }
 
-// takeLeaf takes the leaf from the place; nil where there is none.
+// takeLeaf removes the leaf from the placement and returns it, or nil if there is none.
 func (p *placement) takeLeaf() *hosted.Leaf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,19 +102,23 @@
 	return leaf
 }
 
+// current returns the running leaf of the placement, or nil if there is none.
+// current returns the running leaf of the placement, or nil if there is none.
 func (p *placement) current() *hosted.Leaf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.leaf
 }
 
-// currentService returns the service of the place.
+// currentService returns the service of the placement.
 func (p *placement) currentService() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service
 }
 
+// setFault replaces the placement's fault unless the current one is pinned and has not expired.
+// setFault replaces the placement's fault unless the current one is pinned and has not expired.
 func (p *placement) setFault(m leafFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +127,7 @@
 	}
 }
 
-// script answers requests of the service, with the faults of the place.
+// script returns the answers of a leaf of the service, including the placement's current fault.
 func (p *placement) script(service string) hosted.Script {
 	return func(_ int, r *http.Request) hosted.Reply {
 		reply := hosted.Reply{Delay: leafWork, Body: []byte(answer(service, hosted.RequestID(r), r.RequestURI))}
@@ -139,7 +144,7 @@
 	}
 }
 
-// apply makes a reply as bad as the fault says.
+// apply changes the reply as the fault requires.
 func (m *leafFault) apply(reply *hosted.Reply) {
 	switch m.fault {
 	case LeafSlow:
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Size of a run.
+// Size is the size of a run.
 type Size struct {
-	// VMs and Zones, and for how long faults are injected.
+	// VMs and Zones are the numbers of VMs and availability zones. Faults is how long faults are injected.
 	VMs, Zones int
 	Faults     time.Duration
-	// LargerVMs is how many VMs, the first ones, have four times the processor of the others, which hand their
-	// searches to those in their zone. With 0 nobody is told of its processor, and nothing is handed over.
+	// LargerVMs is the number of VMs, counted from the first, that have four times the CPU of the others. The smaller
+	// VMs hand their searches over to the larger ones in their zone. With 0 the settings give no CPU size, and no
+	// search is handed over.
 	LargerVMs int
 }
 
-// DefaultSize is a dozen processes' worth of work in half a minute.
+// DefaultSize returns the default size. A run of it does a dozen processes' worth of work in half a minute.
 func DefaultSize() Size { return Size{VMs: 6, Zones: 3, Faults: 14 * time.Second} }
 
-// Fault names a sort of fault.
+// Fault is a kind of fault.
 type Fault string
 
 // The faults.
@@ -58,7 +59,7 @@
 	ConfigReshard    Fault = "config_reshard"
 )
 
-// faults are those that a plan draws from, by weight.
+// faults lists the faults that a plan draws from, with their weights.
 var faults = []struct {
 	fault  Fault
 	weight int
@@ -70,26 +71,27 @@
 	{VMFreeze, 3}, {VMKill, 3}, {VMTerminate, 4}, {VMReload, 2}, {VMRolling, 1},
 }
 
-// Event is a fault at a time from the start of the faults.
+// Event is one fault. At counts from the start of fault injection; For is its duration.
 type Event struct {
 	At, For time.Duration
 	Fault   Fault
-	// Share of the things that it may strike, and Pick, which of them are struck first.
+	// Share sets how many of the possible targets the event affects; Pick seeds their selection.
 	Share float64
 	Pick  uint64
 }
 
-// String says the event in a line of a report.
+// String formats the event as a line of a report.
 func (e Event) String() string {
 	return fmt.Sprintf("%6.2fs %-20s for %.2fs share %.2f", e.At.Seconds(), e.Fault, e.For.Seconds(), e.Share)
 }
 
 const (
-	// Times between faults and between changes of the configuration are drawn up to twice these.
+	// faultGap and configGap are the mean times between faults and between configuration changes. Drawn times are
+	// up to twice the mean.
 	faultGap, configGap = 350 * time.Millisecond, 900 * time.Millisecond
 	// maxFaultTime bounds how long a fault lasts.
 	maxFaultTime = 3 * time.Second
-	// powerOffOdds: one run in so many ends its faults with the loss of all VMs.
+	// killAllOdds is N where one run in N ends its faults by killing all VMs.
 	killAllOdds = 4
 )
 
@@ -114,8 +116,8 @@
 	return plan
 }
 
-// addedFaultGap is the mean time between faults of the sorts that were added after seeds had been kept as tests: they
-// are drawn apart, so that the other events of a seed stay the same.
+// addedFaultGap is the mean time between faults of the kinds that were added after seeds had been kept as tests. They
+// are drawn from a separate random source, so that the other events of a seed stay the same.
 const addedFaultGap = 2 * time.Second
 
 func addedFaults(seed uint64, size Size) []Event {
@@ -128,7 +130,7 @@
 	return out
 }
 
-// drawDuration is between a tenth of the mean and nearly twice it.
+// drawDuration returns a random duration between a tenth of the mean and nearly twice the mean.
 func drawDuration(rng *rand.Rand, mean time.Duration) time.Duration {
 	return mean/10 + time.Duration(rng.Float64()*float64(2*mean-mean/5))
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -13,30 +13,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Seed uint64
 	Size Size
 	// Program is the path of burdock-node.
 	Program string
-	// Net is the second number of the loopback addresses 127.NET.x.y; runs beside each other need their own.
+	// Net is the second octet of the loopback addresses 127.NET.x.y. Concurrent runs need different values.
 	Net int
-	// Out is the directory in which a run leaves its report and, where it failed, its logs.
+	// Out is the directory in which a run creates its own directory. That keeps the report, the history and the
+	// logs if the run failed or Keep is set.
 	Out string
-	// Keep keeps the logs of a run without violations, too.
+	// Keep also keeps the files of a run without violations.
 	Keep bool
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64        `json:"seed"`
 	Elapsed    time.Duration `json:"took_ns"`
 	Violations []Violation   `json:"violations"`
-	// Uninjected are faults that could not be injected; they make no verdict.
+	// Uninjected lists the faults that could not be injected. They do not fail the run.
 	Uninjected []string       `json:"uninjected"`
 	Events     []string       `json:"events"`
 	Calls      map[string]int `json:"calls"`
-	// Sent are all calls, Served those that got a success.
+	// Sent is the number of requests that callers sent, Served the number that succeeded.
 	Sent      int    `json:"asked"`
 	Served    int    `json:"served"`
 	Runs      int    `json:"runs"`
@@ -44,15 +45,16 @@
 	Directory string `json:"directory"`
 }
 
-// Failed tells whether a promise was broken.
+// Failed reports whether a guarantee was broken.
 func (r *Report) Failed() bool { return len(r.Violations) > 0 }
 
-// Play plays one seed. The error says that it could not be played; broken promises are in the report.
+// Play runs the plan of one seed. It returns an error if the run could not be carried out or saved; violations are in
+// the report.
 func Play(ctx context.Context, o Options) (*Report, error) {
 	start := time.Now()
 	dir := filepath.Join(o.Out, fmt.Sprintf("seed-%d", o.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, eris.Wrap(err, "soak: directory of the run")
+		return nil, eris.Wrap(err, "soak: create directory of the run")
 	}
 	tb, err := newTestbed(o, dir)
 	if err != nil {
@@ -61,7 +63,7 @@
 	plan := NewPlan(o.Seed, o.Size)
 	h, err := tb.run(ctx, plan)
 	if err != nil {
-		return nil, eris.Wrap(err, "soak: play")
+		return nil, eris.Wrap(err, "soak: run plan")
 	}
 	r := newReport(o, h, plan, tb.errs, dir)
 	r.Elapsed = time.Since(start)
@@ -90,11 +92,12 @@
 	return r
 }
 
-// save writes the report and what was seen, and drops the logs of a run that nothing is wrong with.
+// save writes the report and the history. It deletes the directory of a run without violations instead, unless keep is
+// set.
 func (r *Report) save(h *History, keep bool) error {
 	if !r.Failed() && !keep {
 		if err := os.RemoveAll(r.Directory); err != nil {
-			return eris.Wrap(err, "soak: drop logs")
+			return eris.Wrap(err, "soak: delete logs")
 		}
 		r.Directory = ""
 		return nil
@@ -113,7 +116,7 @@
 	return eris.Wrapf(os.WriteFile(file, text, 0o600), "soak: write %s", file)
 }
 
-// WriteText tells the report in words.
+// WriteText writes the report as text.
 func (r *Report) WriteText(w io.Writer) {
 	verdict := "passed"
 	if r.Failed() {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,17 +10,17 @@
 	"github.com/matryer/is"
 )
 
-// TestShortRun plays one small seed with real processes: 3 VMs, 6 s of faults, and the recovery after them.
+// TestShortRun runs one small seed with real processes: 3 VMs, 6 s of faults, and the recovery after them.
 func TestShortRun(t *testing.T) {
 	shortRun(t, Options{Seed: 11, Size: Size{VMs: 3, Zones: 3, Faults: 6 * time.Second}, Net: 71})
 }
 
-// TestShortRunOfUnequalVMs plays one in which two of three VMs hand their searches to the third.
+// TestShortRunOfUnequalVMs runs one in which two of three VMs hand their searches over to the third.
 func TestShortRunOfUnequalVMs(t *testing.T) {
 	shortRun(t, Options{Seed: 12, Size: Size{VMs: 3, Zones: 1, Faults: 6 * time.Second, LargerVMs: 1}, Net: 72})
 }
 
-// shortRun plays a seed that keeps all promises.
+// shortRun builds burdock-node, runs the seed and requires a report without violations.
 func shortRun(t *testing.T, o Options) {
 	t.Parallel()
 	if testing.Short() {
@@ -44,22 +44,23 @@
 	is.True(r.Calls["search 200"] > 100 && r.Calls["order 200"] > 100)
 }
 
-// A process that SIGTERM ends before it has its handler ended in order, unless it had served.
+// A process that SIGTERM ends before its handler is installed counts as a graceful shutdown, unless it had served
+// requests.
 func TestEndOfAProcess(t *testing.T) {
 	for name, tt := range map[string]struct {
 		script string
 		served bool
 		wrong  bool
 	}{
-		"in order":                  {"exit 0", true, false},
-		"with a failure":            {"exit 1", false, true},
-		"by the signal, not served": {"kill -TERM $$", false, false},
-		"by the signal, served":     {"kill -TERM $$", true, true},
-		"by another signal":         {"kill -KILL $$", false, true},
+		"exit code 0":         {"exit 0", true, false},
+		"exit code 1":         {"exit 1", false, true},
+		"SIGTERM, not served": {"kill -TERM $$", false, false},
+		"SIGTERM, served":     {"kill -TERM $$", true, true},
+		"another signal":      {"kill -KILL $$", false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.Command("sh", "-c", tt.script)
-			_ = cmd.Run() // how it ends is what is looked at
+			_ = cmd.Run() // the test checks the process state instead
 			is.New(t).Equal(endError(cmd.ProcessState, tt.served) != "", tt.wrong)
 		})
 	}
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -18,31 +18,32 @@
 
 const (
 	callersPort, readyPort, controlPort = 7001, 7002, 7003
-	// probePeriod is how often the balancer asks, missesOut how many misses in a row take a VM out.
+	// probePeriod is the interval and the timeout of the balancer's readiness probes. missThreshold is the number
+	// of consecutive failed probes after which a VM no longer counts as ready.
 	probePeriod   = 250 * time.Millisecond
 	missThreshold = 2
 )
 
-// vm is one VM: its process and what the balancer thinks of it.
+// vm is one VM: its process and its state at the balancer.
 type vm struct {
 	number   int
 	settings *deployment.Settings
 	process  *child.Process
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu.
 	ready bool
-	// served is true once the newest start has counted as ready.
+	// served is true once the latest start of the process has counted as ready.
 	served    bool
 	misses    int
 	starts    int
 	disturbed []Span
 	killed    []Span
-	// reserved is true while an event has the process in its hands.
+	// reserved is true while an event controls the process.
 	reserved bool
 }
 
-// reserve reserves the process for one event; false where another has it.
+// reserve reserves the process for one event. It returns false if another event has reserved it or it isn't running.
 func (v *vm) reserve() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -53,7 +54,7 @@
 	return true
 }
 
-// release ends what take began.
+// release ends the reservation that reserve made.
 func (v *vm) release() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -63,7 +64,8 @@
 // memoryBytes is the memory of a VM.
 const memoryBytes = 192 << 20
 
-// newVM writes the settings of a VM, completed by what all have in common.
+// newVM completes the settings with the values that all VMs share, writes them to a file and returns the VM. Its
+// process isn't started.
 func newVM(number int, program, dir string, s *deployment.Settings) (*vm, error) {
 	s.Callers, s.Ready, s.Peers = hostPort(s.IP, callersPort), hostPort(s.IP, readyPort), hostPort(s.IP, controlPort)
 	s.MemoryBytes, s.Grace, s.ConfigBound = memoryBytes, graceBound, configBound
@@ -83,14 +85,14 @@
 	return v.process.Start()
 }
 
-// addDisturbance notes a time in which the VM was disturbed.
+// addDisturbance records a period in which the VM was disturbed.
 func (v *vm) addDisturbance(s Span) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.disturbed = append(v.disturbed, s)
 }
 
-// kill ends the process without notice.
+// kill ends the process with SIGKILL and records the time.
 func (v *vm) kill() error {
 	v.mu.Lock()
 	v.killed = append(v.killed, Span{time.Now(), time.Now(), "killed"})
@@ -98,7 +100,7 @@
 	return v.process.Kill()
 }
 
-// stop ends the process in order and says how that went.
+// stop terminates the process gracefully and returns how that went.
 func (v *vm) stop() End {
 	v.mu.Lock()
 	e, served := End{VM: v.number, Start: v.starts, Asked: time.Now()}, v.served
@@ -116,8 +118,8 @@
 	return e
 }
 
-// endError says what is wrong with how a process ended after SIGTERM; empty for nothing. The signal may end
-// one that has yet to take signals, and so has served nobody.
+// endError describes what is wrong with how a process ended after SIGTERM; it returns an empty string if nothing is.
+// SIGTERM may end a process that has not installed its signal handler yet and so has served no request.
 func endError(state *os.ProcessState, served bool) string {
 	status, ok := state.Sys().(syscall.WaitStatus)
 	if state.ExitCode() == 0 || ok && !served && status.Signaled() && status.Signal() == syscall.SIGTERM {
@@ -126,7 +128,7 @@
 	return fmt.Sprintf("ended with %s", state)
 }
 
-// probe asks for readiness as the balancer does.
+// probe sends one readiness probe and updates the VM's state at the balancer.
 func (v *vm) probe(client *http.Client) {
 	ok := hosted.Ready(client, v.settings.Ready)
 	v.mu.Lock()
@@ -140,7 +142,7 @@
 	}
 }
 
-// pick implements fleet.
+// pick implements balancer. It picks among the ready VMs at random.
 func (tb *testbed) pick(rng *rand.Rand) (number, start int, address string, ok bool) {
 	var ready []*vm
 	for _, v := range tb.vms {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// entryPort is that of the relays' listeners in front of store and leaves.
+	// entryPort is the port of the relay's listeners in front of the store and the leaves, and of the leaves.
 	entryPort = 7000
-	// replicas of each shard and of each other service, one a zone.
+	// replicas is the number of replicas of each shard and of each other service. They are spread over the zones.
 	replicas = 3
-	// leafConnections is how many connections a leaf takes, host what callers ask for.
+	// leafConnections is the connection limit of a leaf. host is the Host header of the callers' requests.
 	leafConnections = 60
 	host            = "h"
-	// singleServices are the services that single requests go to, in turn from version to version.
+	// singleServices is the number of services for single requests. Each configuration version routes them to the
+	// next one.
 	singleServices = 5
-	// minShardShare is the least share of a search's shards.
+	// minShardShare is the minimum share of its shards that a search must cover.
 	minShardShare = 0.5
 )
 
-// testbed is everything outside the program: store, leaves, links, VMs and their balancer.
+// testbed is the environment of the program: store, leaves, links, VMs and their balancer.
 type testbed struct {
 	o          Options
 	dir        string
@@ -38,31 +39,31 @@
 	placements []*placement
 	started    startedLeaves
 	relay      *relay.Relay
-	// trap listens where only foreign entries point to.
+	// trap listens at an address that only foreign entries name.
 	trap *hosted.Leaf
 	vms  []*vm
 
 	mu sync.Mutex
-	// What follows is guarded by mu: rules of the links in force, and what the operator did.
+	// The fields below are guarded by mu: the relay rules in force, and the operator's actions.
 	rules   []relay.Rule
 	configs []Config
 	drains  []Drain
 	ends    []End
-	// reassigned holds the services of which a place went to another.
+	// reassigned holds the services that lost a placement to another service.
 	reassigned map[string]bool
-	// errs are faults that could not be injected.
+	// errs lists the faults that could not be injected.
 	errs []string
 }
 
-// address returns a loopback address of the run's own net.
+// address returns a loopback address of the run's own range 127.NET.
 func (tb *testbed) address(part, host int) string {
 	return fmt.Sprintf("127.%d.%d.%d", tb.o.Net, part, host)
 }
 
-// hostPort joins an IP number and a port.
+// hostPort joins an IP address and a port.
 func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// shardSet are the shards of the search before or after a reshard.
+// shardSet returns the first or the second of the two shard sets that a reshard alternates between.
 func shardSet(second bool) []string {
 	if second {
 		return []string{"b0", "b1", "b2", "b3", "b4"}
@@ -70,7 +71,7 @@
 	return []string{"a0", "a1", "a2", "a3"}
 }
 
-// services are all that there are.
+// services returns all services, shards included.
 func services() []string {
 	out := append(shardSet(false), shardSet(true)...)
 	for i := range singleServices {
@@ -79,12 +80,14 @@
 	return append(out, orderService)
 }
 
+// singleService returns the name of the i-th service for single requests, modulo their number.
+// singleService returns the name of the i-th service for single requests, modulo their number.
 func singleService(i int) string { return fmt.Sprintf("v%d", i%singleServices) }
 
-// zone names an availability zone.
+// zone returns the name of the i-th availability zone.
 func zone(i int) string { return fmt.Sprintf("az-%d", i+1) }
 
-// newTestbed opens everything; no VM runs yet.
+// newTestbed starts the store and the leaves, sets up the relay and publishes the first configuration. No VM is started.
 func newTestbed(o Options, dir string) (*testbed, error) {
 	tb := &testbed{o: o, dir: dir, store: hosted.NewStore(), reassigned: make(map[string]bool)}
 	forwards := []relay.Forward{{Listen: hostPort(tb.address(3, 1), entryPort), Target: tb.store.Address(), Networks: []relay.Network{relay.TCP}}}
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// millicores is what the VM is told of its processor.
+// millicores returns the CPU size for the settings of a VM, 0 for none.
 func (tb *testbed) millicores(vm int) int {
 	const smaller, larger = 200, 800
 	switch {
@@ -142,15 +145,15 @@
 	return smaller
 }
 
-// writeEntry writes the entry of the place's leaf.
+// writeEntry writes the store entry of the placement's leaf with the given state. It does nothing if there is no leaf.
 func (tb *testbed) writeEntry(p *placement, state string) {
 	if leaf := p.current(); leaf != nil {
 		tb.store.Enter(leaf, p.service, p.zone, state, p.entry)
 	}
 }
 
-// publishConfig puts the next version in force: single requests go to the next service, searches to the other
-// set of shards where that is asked for.
+// publishConfig puts the next configuration version in force. Single requests go to the next service. With reshard,
+// searches go to the other shard set.
 func (tb *testbed) publishConfig(reshard bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -169,7 +172,7 @@
 	})
 }
 
-// route is what the routes have in common.
+// route returns a route with the values that all routes share.
 func route(name string) hosted.Route {
 	return hosted.Route{
 		Name: name, Host: host, Prefix: "/" + name + "/", Idempotent: true, Timeout: 1500 * time.Millisecond,
@@ -177,7 +180,7 @@
 	}
 }
 
-// run plays the plan and returns what was seen.
+// run starts the VMs and the callers, injects the plan, waits for recovery, stops everything and returns the history.
 func (tb *testbed) run(ctx context.Context, plan []Event) (*History, error) {
 	relayCtx, stopRelay := context.WithCancel(context.WithoutCancel(ctx))
 	var links sync.WaitGroup
@@ -213,11 +216,12 @@
 }
 
 const (
-	// startupTime is what a fresh fleet has before faults begin, judgedTime how long recovery is looked at.
+	// startupTime is the time between the start of the VMs and the first faults. recoveryCheckTime is how long
+	// requests are checked for recovery.
 	startupTime, recoveryCheckTime = 3 * time.Second, 2 * time.Second
 )
 
-// balance asks the VMs for readiness until ctx ends.
+// balance probes the VMs for readiness until ctx ends.
 func (tb *testbed) balance(ctx context.Context) {
 	client := &http.Client{Timeout: probePeriod, Transport: &http.Transport{DisableKeepAlives: true}}
 	for wait.For(ctx, probePeriod) {
@@ -229,7 +233,7 @@
 	}
 }
 
-// stopAll ends all VMs in order, beside the callers.
+// stopAll terminates all VMs gracefully and concurrently, while the callers still send.
 func (tb *testbed) stopAll() {
 	var ended sync.WaitGroup
 	for _, v := range tb.vms {
@@ -240,7 +244,7 @@
 	ended.Wait()
 }
 
-// stop ends a VM in order and keeps how that went.
+// stop terminates a VM gracefully and records how that went.
 func (tb *testbed) stop(v *vm) {
 	e := v.stop()
 	tb.mu.Lock()
@@ -248,7 +252,7 @@
 	tb.ends = append(tb.ends, e)
 }
 
-// close ends what still runs.
+// close kills the VMs that still run and closes the leaves and the store.
 func (tb *testbed) close() {
 	for _, v := range tb.vms {
 		if v.process.Running() {
