--- a/internal/child/child.go
+++ b/internal/child/child.go
@@ -1,5 +1,5 @@
-// Package child starts programs for tests and the soak, and freezes, wakes and ends them. It acts only on
-// the processes that it started, by their ids.
+// Package child starts programs for tests and the soak, and freezes, resumes and ends them. It acts only on the
+// processes that it started, by their process IDs.
 package child
 
 import (
@@ -14,27 +14,27 @@
 )
 
 const (
-	// exitTimeout is how long a process may take to end after SIGTERM.
+	// exitTimeout is how long a process may take to exit after SIGTERM.
 	exitTimeout = 30 * time.Second
-	// stopTimeout is how long the threads of a process may take to stand still, stopPoll how often they are
-	// looked at.
+	// stopTimeout is how long the threads of a process may take to stop after SIGSTOP, stopPollInterval how often
+	// their state is read.
 	stopTimeout, stopPollInterval = 10 * time.Second, 5 * time.Millisecond
 )
 
-// Process is one program that may be started again and again.
+// Process is a program that may be started repeatedly, one start at a time. It is safe for concurrent use.
 type Process struct {
 	name string
 	args []string
-	// logFile takes standard error of every start.
+	// logFile receives standard output and standard error of every start.
 	logFile string
 
 	mu sync.Mutex
-	// Guarded by mu. newest is nil before the first start; asked is the one that was asked to end last, nil
-	// for none.
+	// The fields below are guarded by mu. newest is nil before the first start. terminated is the start that
+	// Terminate last sent SIGTERM to, nil for none.
 	newest, terminated *start
-	// frozen is true between freeze and wake.
+	// frozen is true between Freeze and Resume.
 	frozen bool
-	// starts counts the starts so far; woken is just before the newest wake.
+	// starts counts the starts so far. resumedAt is the time just before the latest Resume.
 	starts    int
 	resumedAt time.Time
 }
@@ -42,13 +42,13 @@
 // start is one run of the program.
 type start struct {
 	cmd *exec.Cmd
-	// done is closed when it has ended; cmd.ProcessState is set then.
+	// done is closed when the program has exited; cmd.ProcessState is set then.
 	done chan struct{}
-	// killed tells whether Kill ended it. It is guarded by the process's mu.
+	// killed is true if Kill ended the program. It is guarded by Process.mu.
 	killed bool
 }
 
-// waitExit waits until it has ended, at most for the given time, and tells whether it has.
+// waitExit waits until the program has exited or the timeout has passed, and reports whether it has exited.
 func (s *start) waitExit(timeout time.Duration) bool {
 	select {
 	case <-s.done:
@@ -58,24 +58,24 @@
 	}
 }
 
-// New returns a process that isn't started. Its first argument is the path of the program; what it writes
-// goes to a file in logDir.
+// New returns a process that isn't started. The first of args is the path of the program. Its output goes to a file in
+// logDir.
 func New(name, logDir string, args ...string) *Process {
 	file := strings.ReplaceAll(name, "/", "_") + ".log"
 	return &Process{name: name, args: args, logFile: filepath.Join(logDir, file)}
 }
 
-// Name returns the name that it was made with.
+// Name returns the name that was passed to New.
 func (p *Process) Name() string { return p.name }
 
-// Running tells whether the newest start has not ended.
+// Running reports whether the newest start has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runningLocked()
 }
 
-// runningLocked is running for those who hold mu.
+// runningLocked is Running for callers that hold mu.
 func (p *Process) runningLocked() bool {
 	if p.newest == nil {
 		return false
@@ -88,7 +88,7 @@
 	}
 }
 
-// Done returns a channel that is closed when the newest start has ended; nil before the first.
+// Done returns a channel that is closed when the newest start has exited, or nil before the first start.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +98,7 @@
 	return p.newest.done
 }
 
-// Start starts the program; its output is added to the log file.
+// Start starts the program and appends its output to the log file. It returns an error if the program is running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,13 +119,13 @@
 	p.newest, p.frozen = s, false
 	p.starts++
 	go func() {
-		_ = cmd.Wait() // the exit code stands in the process's state
+		_ = cmd.Wait() // the exit code is in cmd.ProcessState
 		close(s.done)
 	}()
 	return nil
 }
 
-// Signal sends a signal to the newest start.
+// Signal sends a signal to the newest start. It returns an error if that isn't running.
 func (p *Process) Signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +136,7 @@
 	return p.newest.cmd.Process.Signal(s)
 }
 
-// Frozen tells whether it stands still.
+// Frozen reports whether the process was stopped by SIGSTOP and not continued since.
 func (p *Process) Frozen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,8 +150,9 @@
 	return p.starts
 }
 
-// Freeze stops the process where it is, as a paused VM does; Wake lets it go on. On a busy machine
-// threads may run on for a while after the signal, so it returns once all have stopped.
+// Freeze stops the process with SIGSTOP, which simulates a paused VM; Resume continues it. On a busy machine threads
+// may keep running for a while after the signal, so Freeze returns once all threads have stopped, or an error after
+// stopTimeout.
 func (p *Process) Freeze() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -162,7 +163,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s doesn't stop within %s: %w", p.name, stopTimeout, err)
+	return fmt.Errorf("%s didn't stop within %s of SIGSTOP: %w", p.name, stopTimeout, err)
 }
 
 // checkStopped returns an error while a thread of the process isn't stopped.
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// Resume lets it go on.
+// Resume continues a frozen process with SIGCONT.
 func (p *Process) Resume() error {
 	p.mu.Lock()
 	p.resumedAt = time.Now()
@@ -195,14 +196,14 @@
 	return p.Signal(syscall.SIGCONT)
 }
 
-// ResumedAt returns the time just before the newest wake, zero for none.
+// ResumedAt returns the time just before the latest Resume, or the zero time if there was none.
 func (p *Process) ResumedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.resumedAt
 }
 
-// Kill ends the process without notice.
+// Kill ends the process with SIGKILL and waits until it has exited.
 func (p *Process) Kill() error {
 	p.mu.Lock()
 	if p.newest != nil {
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// Terminate asks the process to end in order, without waiting.
+// Terminate sends SIGTERM to the process, after resuming it if it is frozen, and doesn't wait for its exit.
 func (p *Process) Terminate() error {
 	if p.Frozen() {
 		if err := p.Resume(); err != nil {
@@ -229,7 +230,7 @@
 	return p.Signal(syscall.SIGTERM)
 }
 
-// WaitExit waits until the newest start has ended, at most for the given time, and tells whether it has.
+// WaitExit waits until the newest start has exited or the timeout has passed, and reports whether it has exited.
 func (p *Process) WaitExit(timeout time.Duration) bool {
 	p.mu.Lock()
 	s := p.newest
@@ -237,13 +238,14 @@
 	return s.waitExit(timeout)
 }
 
-// WaitCleanExit waits until the start that Terminate asked to end has ended, and wants exit code 0 unless Kill ended it;
-// where none was asked it is the newest. The process may have been started again meanwhile.
+// WaitCleanExit waits until the start that Terminate last signaled has exited, or the newest start if there was none. The
+// process may have been started again meanwhile. It returns an error if the exit code isn't 0 and Kill didn't end the
+// start. After exitTimeout it kills the newest start and returns an error.
 func (p *Process) WaitCleanExit() error {
 	s := p.terminatedStart()
 	if !s.waitExit(exitTimeout) {
 		_ = p.Kill()
-		return fmt.Errorf("%s didn't end within %s of SIGTERM; killed", p.name, exitTimeout)
+		return fmt.Errorf("%s didn't exit within %s of SIGTERM; killed", p.name, exitTimeout)
 	}
 	p.mu.Lock()
 	killed := s.killed
@@ -254,7 +256,7 @@
 	return nil
 }
 
-// terminatedStart returns the start that Ended is about.
+// terminatedStart returns the start that WaitCleanExit waits for.
 func (p *Process) terminatedStart() *start {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -264,14 +266,14 @@
 	return p.newest
 }
 
-// ExitState is of the newest start, which must have ended.
+// ExitState returns the exit state of the newest start, which must have exited.
 func (p *Process) ExitState() *os.ProcessState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.newest.cmd.ProcessState
 }
 
-// LogTail returns the last lines of the log.
+// LogTail returns the last 20 lines of the log, or the text of the error if the log can't be read.
 func (p *Process) LogTail() string {
 	const lines = 20
 	data, err := os.ReadFile(p.logFile)
--- a/internal/child/child_test.go
+++ b/internal/child/child_test.go
@@ -7,13 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// newSIGTERMIgnorer is a program that takes longer to end than any test waits, as one does that drains.
+// newSIGTERMIgnorer returns a program that ignores SIGTERM. To the tests it looks like one that drains longer than they
+// wait.
 func newSIGTERMIgnorer(t *testing.T) *Process {
 	p := New("slow", t.TempDir(), "/bin/sh", "-c", "trap '' TERM; echo up; while :; do sleep 0.05; done")
-	t.Cleanup(func() { _ = p.Kill() }) // it may have ended
+	t.Cleanup(func() { _ = p.Kill() }) // it may have exited
 	return p
 }
 
+// awaitOutput waits until the program has written to its log, so that its signal handler is installed.
 func awaitOutput(t *testing.T, p *Process) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); p.LogTail() == ""; time.Sleep(5 * time.Millisecond) {
@@ -23,8 +25,8 @@
 	}
 }
 
-// A process that is killed while it ends in order, and started again, has ended: who asked it to end must not
-// wait for the new start.
+// The terminated start is killed during its graceful shutdown, and the process is started again. WaitCleanExit must
+// return for the old start and not wait for the new one.
 func TestWaitCleanExitAfterKillAndRestart(t *testing.T) {
 	is := is.New(t)
 	p := newSIGTERMIgnorer(t)
@@ -39,12 +41,12 @@
 	is.True(p.Running())
 }
 
-// A process that two have asked to end, and that one of them has started again, has ended: the other must not wait
-// for the new start, which nobody asked to end.
+// Two callers terminate the process, and one of them starts it again. The other caller's WaitCleanExit must not wait
+// for the new start, which nobody terminated.
 func TestWaitCleanExitAfterRestartByAnother(t *testing.T) {
 	is := is.New(t)
 	p := New("orderly", t.TempDir(), "/bin/sh", "-c", "trap 'exit 0' TERM; echo up; while :; do sleep 0.05; done")
-	t.Cleanup(func() { _ = p.Kill() }) // it may have ended
+	t.Cleanup(func() { _ = p.Kill() }) // it may have exited
 	is.NoErr(p.Start())
 	awaitOutput(t, p)
 	is.NoErr(p.Terminate())
@@ -57,11 +59,11 @@
 	is.True(p.Running())
 }
 
-// What the start that was asked to end failed with is told of, also where the process runs again.
+// WaitCleanExit reports the failure of the terminated start even if the process has been started again.
 func TestWaitCleanExitReportsFailureAfterRestart(t *testing.T) {
 	is := is.New(t)
 	p := New("failing", t.TempDir(), "/bin/sh", "-c", "trap 'exit 3' TERM; echo up; while :; do sleep 0.05; done")
-	t.Cleanup(func() { _ = p.Kill() }) // it may have ended
+	t.Cleanup(func() { _ = p.Kill() }) // it may have exited
 	is.NoErr(p.Start())
 	awaitOutput(t, p)
 	is.NoErr(p.Terminate())
@@ -70,7 +72,7 @@
 	is.True(p.WaitCleanExit() != nil)
 }
 
-// A process that ends with a failure after Terminate is told of, also where an earlier start was killed.
+// WaitCleanExit reports a failure after Terminate even if an earlier start was killed.
 func TestWaitCleanExitReportsFailureAfterKilledStart(t *testing.T) {
 	is := is.New(t)
 	p := New("failing", t.TempDir(), "/bin/sh", "-c", "trap 'exit 3' TERM; echo up; while :; do sleep 0.05; done")
