--- a/internal/load/compare/compare.go
+++ b/internal/load/compare/compare.go
@@ -1,6 +1,6 @@
-// Package compare brings the results of a bench together: each case as a ratio to the calm case and
-// to the baseline policy of the same repetition, with the spread over the repetitions. Absolute times
-// depend on the machine and on what else runs there.
+// Package compare combines the results of a benchmark. It shows each case as a ratio to the calm case
+// and to the baseline policy of the same repetition, with the spread over the repetitions. Absolute
+// times depend on the machine and on what else runs there.
 package compare
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/burdockplank/burdockplank/internal/load"
 )
 
-// The names that a bench gives its results.
+// The names that a benchmark uses for its results.
 const (
 	calmCase       = "calm"
 	baselinePolicy = "baseline"
@@ -30,18 +30,19 @@
 	Repetition string `json:"repetition"`
 	Case       string `json:"case"`
 	Policy     string `json:"policy"`
-	// During is the load during the case, Back the load after its fault had ended; nil where there
-	// was none.
+	// During is the result during the case, AfterFault the result after its fault had ended. Each is
+	// nil if there is none.
 	During     *load.Result `json:"during"`
 	AfterFault *load.Result `json:"back,omitempty"`
 }
 
-// Bench is all runs, in the order of repetition, case and policy.
+// Bench holds all runs of a benchmark, in the order in which their results were written.
 type Bench struct {
 	Runs []*Run `json:"runs"`
 }
 
-// Read reads the results of a directory, files named REPETITION,CASE,POLICY.PART.json.
+// Read reads the results in a directory, from files named REPETITION,CASE,POLICY.PART.json. PART is
+// case or back. It returns an error for any other JSON file.
 func Read(dir string) (*Bench, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*"+resultSuffix))
 	if err != nil {
@@ -57,7 +58,7 @@
 	return b, nil
 }
 
-// compareFiles orders by the time of writing, which is the order of the cases.
+// compareFiles orders files by modification time, which is the order of the cases.
 func compareFiles(a, b string) int {
 	ia, errA := os.Stat(a)
 	ib, errB := os.Stat(b)
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// run returns the run of the names, made where it isn't there.
+// run returns the run with the names, and adds it if there is none.
 func (b *Bench) run(repetition, name, policy string) *Run {
 	if r := b.find(repetition, name, policy); r != nil {
 		return r
@@ -101,6 +102,7 @@
 	return r
 }
 
+// find returns the run with the names, or nil.
 func (b *Bench) find(repetition, name, policy string) *Run {
 	for _, r := range b.Runs {
 		if r.Repetition == repetition && r.Case == name && r.Policy == policy {
--- a/internal/load/compare/compare_test.go
+++ b/internal/load/compare/compare_test.go
@@ -12,7 +12,7 @@
 	"github.com/burdockplank/burdockplank/internal/load"
 )
 
-// write writes the result of a run whose only kind has the p99.
+// write writes the result of a run with a single kind, which has the given p99.
 func write(t *testing.T, dir, name, phase string, p99 float64) {
 	t.Helper()
 	r := load.Result{Kinds: []load.KindResult{{
--- a/internal/load/compare/table.go
+++ b/internal/load/compare/table.go
@@ -10,7 +10,7 @@
 	"github.com/burdockplank/burdockplank/internal/load"
 )
 
-// spread is the median of the repetitions with the least and the most.
+// spread is the minimum, median and maximum over the repetitions.
 type spread struct{ min, median, max float64 }
 
 func spreadOf(values []float64) spread {
@@ -21,7 +21,7 @@
 	return spread{values[0], values[len(values)/2], values[len(values)-1]}
 }
 
-// String shows the median, and the spread where there is one.
+// String formats the median, and the minimum and maximum if they differ.
 func (s spread) String() string {
 	if s.min == s.max {
 		return fmt.Sprintf("%.2f", s.median)
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%.2f [%.2f-%.2f]", s.median, s.min, s.max)
 }
 
-// row is a case under a policy over its repetitions.
+// row holds the repetitions of a case under a policy.
 type row struct {
 	name, policy string
 	runs         []*Run
@@ -48,7 +48,7 @@
 	return rows
 }
 
-// over returns the spread of a value over the repetitions that have it.
+// over returns the spread of a value over the repetitions that have the value.
 func (r row) over(value func(*Run) (float64, bool)) spread {
 	var values []float64
 	for _, run := range r.runs {
@@ -59,12 +59,12 @@
 	return spreadOf(values)
 }
 
-// WriteTable writes two small tables for people: the target service by kind, and the load by case.
+// WriteTable writes two tables for people: the target service by kind, and the load by case.
 func (b *Bench) WriteTable(w io.Writer, target string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "case\tpolicy\tphase\tkind\tp50 ms\tp99\tp99.9\tp99/calm\tp99/baseline\tcoverage\twhole\tgoodput/s\trefused\tfailed\tunknown\tdropped\trefusal p99 ms\tafter p99/calm\t")
 	for _, r := range b.rows() {
-		written := make(map[string]bool) // a case may send a kind twice, such as with one text; the first is shown
+		written := make(map[string]bool) // a case may send a kind twice, such as with a fixed text; the table shows the first
 		for _, k := range r.runs[0].During.Kinds {
 			if name := k.Phase + "/" + k.Kind; k.Service == target && !written[name] {
 				written[name] = true
@@ -128,7 +128,7 @@
 		cpu("gather", func(c load.CPUResult) float64 { return c.MicrosPerLeafCall }))
 }
 
-// ratioToCalm is the p99 by that of the calm case of the same policy and repetition.
+// ratioToCalm returns the p99 divided by that of the calm case of the same policy and repetition.
 func (b *Bench) ratioToCalm(run *Run, during *load.Result, phase string, k load.KindResult) (float64, bool) {
 	calm := b.find(run.Repetition, calmCase, run.Policy)
 	if calm == nil || during == nil {
@@ -139,7 +139,8 @@
 	return quotient(of.Answered.P99, to.Answered.P99), okOf && okTo
 }
 
-// ratioToBaseline is the p99 by that of the same case and repetition under the baseline policy.
+// ratioToBaseline returns the p99 divided by that of the same case and repetition under the baseline
+// policy.
 func (b *Bench) ratioToBaseline(run *Run, k load.KindResult) (float64, bool) {
 	base := b.find(run.Repetition, run.Case, baselinePolicy)
 	if base == nil {
@@ -150,7 +151,7 @@
 	return quotient(of.Answered.P99, to.Answered.P99), okOf && okTo
 }
 
-// find returns the result of a kind in a phase; the first where the kind was in the mix twice.
+// find returns the result of a kind in a phase, the first one if the mix has the kind twice.
 func find(r *load.Result, phase, service, kind string) (load.KindResult, bool) {
 	if r == nil {
 		return load.KindResult{}, false
@@ -163,6 +164,7 @@
 	return load.KindResult{}, false
 }
 
+// quotient returns a/b, or 0 if b is 0.
 func quotient(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -170,7 +172,7 @@
 	return a / b
 }
 
-// countOutcome counts the ends of an outcome, which are named OUTCOME or OUTCOME/REASON.
+// countOutcome sums the counts of an outcome over its reasons. Names are OUTCOME or OUTCOME/REASON.
 func countOutcome(outcomes map[string]uint64, prefix string) uint64 {
 	var n uint64
 	for name, count := range outcomes {
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// counterTimeout bounds the read of one counter.
+	// counterTimeout is the timeout of one HTTP request for counts.
 	counterTimeout = 10 * time.Second
 	cpuMetric      = "process_cpu_seconds_total"
 )
 
-// Counts is what leaves and processes have counted since their start.
+// Counts are the counts of leaves and processes since their start.
 type Counts struct {
-	// Searches and Executions are started at all leaves.
+	// Searches and Executions are the totals over all leaves.
 	Searches, Executions uint64
-	// CPUSeconds is the processor time by process name.
+	// CPUSeconds is the CPU time in seconds by process name.
 	CPUSeconds map[string]float64
-	// InFlightShare and ConnectionsShare are the highest of all leaves since their logs were cleared:
-	// calls at once, queued ones too, by slots, and connections by the limit.
+	// InFlightShare and ConnectionsShare are the highest values of any leaf since its log was cleared.
+	// InFlightShare is the concurrent calls, including queued ones, divided by the leaf's slots.
+	// ConnectionsShare is the connections divided by the leaf's limit.
 	InFlightShare, ConnectionsShare float64
 }
 
-// sub returns what was counted since earlier.
+// sub returns the increase of the counts since earlier. The shares are maxima and stay as they are.
 func (c Counts) sub(earlier Counts) Counts {
 	d := Counts{
 		Searches:      c.Searches - earlier.Searches,
@@ -48,14 +49,14 @@
 	Read(ctx context.Context) (Counts, error)
 }
 
-// HTTPCounters reads leaf stand-ins' logs and processes' metrics.
+// HTTPCounters reads the logs of leaf stand-ins and the metrics of processes over HTTP.
 type HTTPCounters struct {
 	leaves    []LeafSettings
 	processes []ProcessSettings
 	client    *http.Client
 }
 
-// NewHTTPCounters returns counters for the leaves and processes of checked settings.
+// NewHTTPCounters returns counters for the leaves and processes of validated settings.
 func NewHTTPCounters(s *Settings) *HTTPCounters {
 	return &HTTPCounters{leaves: s.Leaves, processes: s.Processes, client: &http.Client{Timeout: counterTimeout}}
 }
@@ -99,7 +100,7 @@
 	return res, nil
 }
 
-// leafCounts is what is read of a leaf stand-in's log.
+// leafCounts are the counts in a leaf stand-in's log.
 type leafCounts struct {
 	Searches       uint64  `json:"searches"`
 	Executions     uint64  `json:"executions"`
@@ -138,5 +139,5 @@
 	if err := lines.Err(); err != nil {
 		return 0, eris.Wrap(err, "read")
 	}
-	return 0, eris.Errorf("no %s", cpuMetric)
+	return 0, eris.Errorf("no metric %s", cpuMetric)
 }
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -18,10 +18,10 @@
 	histogramDivisor = time.Microsecond
 )
 
-// tally is what was recorded for one kind in one phase.
+// tally holds the counts and latencies of one kind in one phase.
 type tally struct {
-	// answered counts from the intended start to the final answer, refused from each send to its
-	// refusal, lost from the intended start to a failed or unknown end.
+	// answered measures from the intended start to the final answer, refused from each send to its
+	// refusal, lost from the intended start to a failed or unknown outcome.
 	answered, refused, lost *hdrhistogram.Histogram
 	outcomes                map[string]uint64
 	requests, sends, whole  uint64
@@ -42,14 +42,14 @@
 	return hdrhistogram.New(histogramLow, histogramHigh, histogramDigits)
 }
 
-// Recorder counts replies by phase and kind. It is safe for concurrent use.
+// Recorder records replies by phase and kind. It is safe for concurrent use.
 type Recorder struct {
 	mu sync.Mutex
-	// tallies, by phase and mix, are guarded by mu.
+	// tallies are indexed by phase and mix, and guarded by mu.
 	tallies [][]*tally
 }
 
-// NewRecorder returns an empty recorder.
+// NewRecorder returns an empty recorder for the given numbers of phases and mix entries.
 func NewRecorder(phases, mix int) *Recorder {
 	r := &Recorder{tallies: make([][]*tally, phases)}
 	for p := range r.tallies {
@@ -60,7 +60,8 @@
 	return r
 }
 
-// Sent notes one send, a resend included; refusals are timed from here.
+// Sent records the reply to one send, initial or resend. elapsed counts from that send for resends and from the
+// intended start for the first send; it is the latency of a refusal.
 func (r *Recorder) Sent(a Arrival, reply Reply, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// Ended notes the final reply to a request, took counted from its intended start.
+// Ended records the final reply to a request. elapsed counts from the intended start.
 func (r *Recorder) Ended(a Arrival, reply Reply, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,14 +102,14 @@
 	}
 }
 
-// Dropped notes an arrival that wasn't sent, for too much was in flight.
+// Dropped records an arrival that wasn't sent because the limit of requests in flight was reached.
 func (r *Recorder) Dropped(a Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tallies[a.Phase][a.Mix].dropped++
 }
 
-// outcomeName is the outcome with its reason where it has one, such as "not_run/overload".
+// outcomeName returns the outcome with its reason if it has one, such as "not_run/overload".
 func outcomeName(r Reply) string {
 	name := outcome.KindName(r.Kind)
 	if r.Reason != pb.Reason_REASON_UNSPECIFIED {
@@ -117,7 +118,7 @@
 	return name
 }
 
-// record clamps to the histogram's range, so that nothing is lost at its ends.
+// record adds d to the histogram. It clamps d to the histogram's range, so that no value is dropped.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	v := int64(d / histogramDivisor)
 	_ = h.RecordValue(min(max(v, histogramLow), histogramHigh))
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run measured. Its JSON form is for programs.
+// Result holds the measurements of a run. Its JSON form is for programs.
 type Result struct {
 	Seed    uint64        `json:"seed"`
 	Elapsed float64       `json:"elapsed_s"`
@@ -21,41 +21,42 @@
 	Phases  []PhaseResult `json:"phases"`
 }
 
-// PhaseResult says what a phase asked for.
+// PhaseResult holds the settings of a phase: the rate in requests per second and the duration in seconds.
 type PhaseResult struct {
 	Name     string  `json:"name"`
 	Rate     float64 `json:"rate"`
 	Duration float64 `json:"duration_s"`
 }
 
-// KindResult is one kind of one service in one phase.
+// KindResult holds the measurements of one kind of one service in one phase.
 type KindResult struct {
 	Phase   string `json:"phase"`
 	Service string `json:"service"`
 	Kind    string `json:"kind"`
-	// Requests ended, Sends went out with resends counted, Dropped were never sent for too much
-	// was in flight at the load program.
+	// Requests counts finished requests, Sends all sends including resends. Dropped counts arrivals
+	// that were never sent because the load program had too many requests in flight.
 	Requests uint64 `json:"requests"`
 	Sends    uint64 `json:"sends"`
 	Dropped  uint64 `json:"dropped"`
-	// Goodput is answers a second of the phase.
+	// Goodput is the number of answers per second of the phase.
 	Goodput float64 `json:"goodput"`
-	// Answered counts from the intended start, Refused from each send, Lost from the intended start.
+	// Answered and Lost measure from the intended start, Refused from each send.
 	Answered Quantiles `json:"answered"`
 	Refused  Quantiles `json:"refused"`
 	Lost     Quantiles `json:"lost"`
-	// CoverageMean is over answers, by share of documents; WholeShare is of answers.
+	// CoverageMean is the mean share of documents covered, over all answers. WholeShare is the share
+	// of answers that were whole.
 	CoverageMean float64 `json:"coverage_mean"`
 	WholeShare   float64 `json:"whole_share"`
 	// Outcomes counts requests by final outcome and reason.
 	Outcomes map[string]uint64 `json:"outcomes"`
 	Replayed uint64            `json:"replayed"`
 	Untyped  uint64            `json:"untyped"`
-	// Mismatches are answers to another text than the request's; anything but 0 is a fault.
+	// Mismatches counts answers to a text other than the request's; any value but 0 is a fault.
 	Mismatches uint64 `json:"mismatches"`
 }
 
-// Quantiles of a histogram in milliseconds.
+// Quantiles are the quantiles of a histogram in milliseconds.
 type Quantiles struct {
 	Count uint64  `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -64,25 +65,28 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// LeafResult compares the leaf calls made with those needed: one a shard of each answered search.
+// LeafResult compares the leaf calls made with those needed: one per shard of each answered search.
 type LeafResult struct {
 	Searches   uint64 `json:"searches"`
 	Needed     uint64 `json:"needed"`
 	Executions uint64 `json:"executions"`
-	// CallsPerNeeded holds the calls of searches that weren't answered too; 0 where none was needed.
+	// CallsPerNeeded is Searches divided by Needed, or 0 if none was needed. Searches also includes the
+	// calls of searches that weren't answered.
 	CallsPerNeeded float64 `json:"calls_per_needed"`
-	// InFlightShare is the most calls at once, queued ones too, by slots, ConnectionsShare the most
-	// connections by the limit; both of the worst leaf, 0 where the settings name no limits.
+	// InFlightShare is the maximum of concurrent calls, including queued ones, divided by the slots.
+	// ConnectionsShare is the maximum of connections divided by the limit. Both are those of the leaf
+	// with the highest share, or 0 if the settings have no limits.
 	InFlightShare    float64 `json:"in_flight_share"`
 	ConnectionsShare float64 `json:"connections_share"`
 }
 
-// CPUResult is the processor time of the processes of one role.
+// CPUResult is the CPU time of the processes of one role.
 type CPUResult struct {
 	Role      string  `json:"role"`
 	Processes int     `json:"processes"`
 	Seconds   float64 `json:"seconds"`
-	// MicrosPerRequest and MicrosPerLeafCall divide by all sends and all leaf calls of the run.
+	// MicrosPerRequest is the CPU time in microseconds per send, MicrosPerLeafCall that per leaf call,
+	// over all sends and leaf calls of the run.
 	MicrosPerRequest  float64 `json:"micros_per_request"`
 	MicrosPerLeafCall float64 `json:"micros_per_leaf_call"`
 }
@@ -129,7 +133,7 @@
 	}
 }
 
-// cpuResults sums processes by role, in order of the role's name.
+// cpuResults sums the CPU time of the processes by role, sorted by role.
 func cpuResults(processes []ProcessSettings, counts Counts, sends uint64) []CPUResult {
 	byRole := make(map[string]*CPUResult)
 	for _, p := range processes {
@@ -151,7 +155,7 @@
 	return all
 }
 
-// ratio is 0 where there is nothing to divide by.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -159,7 +163,7 @@
 	return a / b
 }
 
-// WriteTable writes the result for people.
+// WriteTable writes the result as a table for people.
 func (r *Result) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, "phase\tkind\trequests\tgoodput/s\tp50 ms\tp99 ms\tp99.9 ms\tcoverage\twhole\trefused\tp99 ms\tlost\t")
@@ -174,7 +178,7 @@
 	return r.writeNotes(w)
 }
 
-// writeNotes writes what isn't by kind, a line each.
+// writeNotes writes the notes of each kind, the leaf calls and the CPU times, one per line.
 func (r *Result) writeNotes(w io.Writer) error {
 	var b strings.Builder
 	for _, k := range r.Kinds {
@@ -192,7 +196,7 @@
 	return err
 }
 
-// notes lists the outcomes that aren't whole answers, in order of their names.
+// notes lists the outcomes other than whole answers, sorted by name, then drops and mismatches.
 func (k KindResult) notes() string {
 	var parts []string
 	for name, n := range k.Outcomes {
--- a/internal/load/rotation.go
+++ b/internal/load/rotation.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// probeInterval is how often an entry's readiness is asked for, probeTimeout bounds one question.
+	// probeInterval is the interval of an entry's readiness probes, probeTimeout the timeout of one.
 	probeInterval = 50 * time.Millisecond
 	probeTimeout  = time.Second
 )
 
-// rotation plays the platform's balancer: it leaves out entries that aren't ready, but only some
-// time after they have said so.
+// rotation simulates the platform's balancer. It excludes an entry that isn't ready, and includes it
+// again, only after the lag.
 type rotation struct {
 	operators []string
 	lag       time.Duration
-	// ready asks the operator listener of an entry.
+	// ready probes the operator listener of an entry.
 	ready func(ctx context.Context, operator string) bool
 
 	mu sync.Mutex
-	// excluded tells which entries get no requests; guarded by mu.
+	// excluded is true for the entries that get no requests; guarded by mu.
 	excluded []bool
 }
 
-// newRotation returns a rotation over all entries. Without operator listeners in the settings
-// nothing ever leaves it.
+// newRotation returns a rotation over all entries. Without operator listeners in the settings no
+// entry is ever excluded.
 func newRotation(s *RunSettings) *rotation {
 	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	return &rotation{
@@ -39,6 +39,7 @@
 	}
 }
 
+// probe reports whether the operator listener answers that the entry is ready.
 func probe(ctx context.Context, client *http.Client, operator string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operator+"/ready", nil)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// run asks every entry until ctx ends.
+// run probes every entry until ctx ends.
 func (r *rotation) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range r.operators {
@@ -61,9 +62,10 @@
 	wg.Wait()
 }
 
-// watch takes an entry out and in again, each time the lag after it has changed.
+// watch excludes and includes one entry. Each takes effect once the entry's readiness has differed
+// for the lag.
 func (r *rotation) watch(ctx context.Context, entry int) {
-	// changed is when the entry was first seen to differ from what the rotation says.
+	// changed is when the entry's readiness was first seen to differ from its state in the rotation.
 	var changed time.Time
 	for wait.For(ctx, probeInterval) {
 		excluded := !r.ready(ctx, r.operators[entry])
@@ -90,7 +92,7 @@
 	r.excluded[entry] = excluded
 }
 
-// pick returns a random entry of those in rotation, or of all where none is.
+// pick returns the index of a random entry that isn't excluded, or of any entry if all are.
 func (r *rotation) pick() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -11,10 +11,10 @@
 	"github.com/burdockplank/burdockplank/internal/wait"
 )
 
-// resendPause bounds how fast a caller that resends at once can spin on a dead entry.
+// resendPause limits how fast a caller that resends at once can loop on an unreachable entry.
 const resendPause = time.Millisecond
 
-// Runner sends the schedule of its settings and records what comes back.
+// Runner sends the schedule of its settings and records the replies.
 type Runner struct {
 	settings *Settings
 	sender   Sender
@@ -24,13 +24,13 @@
 	inFlight atomic.Int64
 }
 
-// NewRunner returns a runner for checked settings.
+// NewRunner returns a runner for validated settings.
 func NewRunner(s *Settings, sender Sender, counters Counters) *Runner {
 	return &Runner{settings: s, sender: sender, counters: counters, rotation: newRotation(&s.Load)}
 }
 
-// Run sends every arrival at its intended time, waits for what is in flight, and returns the
-// result. Where ctx ends first no more are sent, and what is in flight still gets its reply.
+// Run sends every arrival at its intended time, waits for the requests in flight, and returns the
+// result. If ctx ends first, Run sends no more and still waits for the replies to those in flight.
 func (r *Runner) Run(ctx context.Context) (*Result, error) {
 	r.recorder = NewRecorder(len(r.settings.Phases), len(r.settings.Mix))
 	before, err := r.counters.Read(ctx)
@@ -71,7 +71,7 @@
 	}
 }
 
-// request sends one request until its reply is final.
+// request sends one request, and resends it until a reply is final.
 func (r *Runner) request(ctx context.Context, a Arrival, intended time.Time) {
 	req := &Request{Mix: &r.settings.Mix[a.Mix], Sequence: a.Sequence}
 	from := intended
@@ -87,7 +87,7 @@
 	}
 }
 
-// resendAfter says whether the caller sends again after the reply, and when.
+// resendAfter reports whether the caller resends after the reply, and after which pause.
 func (r *Runner) resendAfter(reply Reply, resends int) (time.Duration, bool) {
 	if reply.answered() || resends >= r.settings.Load.MaxResends {
 		return 0, false
@@ -101,7 +101,7 @@
 	return 0, false
 }
 
-// isPermanent tells whether the same request can only end the same way.
+// isPermanent reports whether a resend of the same request can only end with the same reason.
 func isPermanent(reason pb.Reason) bool {
 	switch reason {
 	case pb.Reason_REASON_INVALID_REQUEST, pb.Reason_REASON_UNAUTHENTICATED, pb.Reason_REASON_UNKNOWN_SERVICE,
--- a/internal/load/runner_test.go
+++ b/internal/load/runner_test.go
@@ -42,7 +42,7 @@
 	return &s
 }
 
-// sendFunc is a Sender.
+// sendFunc adapts a function to Sender.
 type sendFunc func(ctx context.Context, r *Request) Reply
 
 func (f sendFunc) Send(ctx context.Context, _ int, r *Request) Reply { return f(ctx, r) }
@@ -57,8 +57,8 @@
 
 var whole = Reply{Kind: pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE, Coverage: 1, ShardsTotal: 1}
 
-// A server that stalls must not hide the delay of the requests that should have been sent in the
-// stall: they are sent on time and their latencies show it.
+// A stalled server must not hide the delay of the requests that arrive during the stall (coordinated
+// omission): they are sent on time, and their latencies include the stall.
 func TestStallDelaysAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -94,13 +94,13 @@
 		answered bool
 		elapsed  time.Duration
 	}{
-		"none takes the first":         {ResendNone, []Reply{withRetry}, 1, false, 0},
-		"at once until answered":       {ResendAtOnce, []Reply{refusal, refusal, whole}, 3, true, 2 * resendPause},
-		"at once is bounded":           {ResendAtOnce, []Reply{refusal, refusal, refusal, refusal, whole}, 4, false, 3 * resendPause},
-		"at once not where it's vain":  {ResendAtOnce, []Reply{invalid, whole}, 1, false, 0},
-		"waits as the answer said":     {ResendRetryAfter, []Reply{withRetry, whole}, 2, true, 2 * time.Second},
-		"final where it said no time":  {ResendRetryAfter, []Reply{refusal, whole}, 1, false, 0},
-		"answered is final in any way": {ResendAtOnce, []Reply{whole, refusal}, 1, true, 0},
+		"none takes the first reply":        {ResendNone, []Reply{withRetry}, 1, false, 0},
+		"at once until answered":            {ResendAtOnce, []Reply{refusal, refusal, whole}, 3, true, 2 * resendPause},
+		"at once is limited by MaxResends":  {ResendAtOnce, []Reply{refusal, refusal, refusal, refusal, whole}, 4, false, 3 * resendPause},
+		"at once not for permanent reasons": {ResendAtOnce, []Reply{invalid, whole}, 1, false, 0},
+		"retry after waits for RetryAfter":  {ResendRetryAfter, []Reply{withRetry, whole}, 2, true, 2 * time.Second},
+		"retry after without RetryAfter":    {ResendRetryAfter, []Reply{refusal, whole}, 1, false, 0},
+		"an answer is always final":         {ResendAtOnce, []Reply{whole, refusal}, 1, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -155,7 +155,7 @@
 	})
 }
 
-// An entry that isn't ready goes on getting requests for the balancer's lag, and none after it.
+// An entry that isn't ready keeps getting requests for the balancer's lag, and none after it.
 func TestRotationLagsBehindReadiness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -187,7 +187,7 @@
 	})
 }
 
-// A run that is ended early sends no more, and what is in flight still gets its reply.
+// A cancelled run sends no more requests, and those in flight still get their replies.
 func TestCancelledRunAwaitsRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -1,6 +1,6 @@
-// Package load sends an open loop of searches and orders to entries and measures what comes back:
-// arrivals are a Poisson process whose times are drawn before the run, and each latency counts
-// from the intended start, so that a stalled server can't hide its own delay.
+// Package load sends an open loop of searches and orders to entries and measures the replies.
+// Arrivals are a Poisson process whose times don't depend on the replies. The latency of an answer
+// counts from the intended start, so that a stalled server can't hide its own delay.
 package load
 
 import (
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Phase is a stretch of the run with one arrival rate.
+// Phase is a period of the run with one arrival rate.
 type Phase struct {
 	Name string
-	// Rate is the mean of arrivals in requests a second over all of the mix.
+	// Rate is the mean arrival rate in requests per second, over all of the mix.
 	Rate     float64
 	Duration time.Duration
 }
 
 // Arrival is one request of the schedule.
 type Arrival struct {
-	// At is the intended start, counted from the start of the run.
+	// At is the intended start, relative to the start of the run.
 	At time.Duration
 	// Phase and Mix are indexes into the phases and the mix.
 	Phase, Mix int
@@ -26,21 +26,21 @@
 	Sequence uint64
 }
 
-// Schedule draws the arrivals of a run. Equal seeds draw equal arrivals. It isn't safe for
-// concurrent use.
+// Schedule draws the arrivals of a run. Equal seeds give equal arrivals. It isn't safe for concurrent
+// use.
 type Schedule struct {
 	phases []Phase
-	// cumulative holds the running sum of the mix's weights.
+	// cumulative holds the running sums of the mix's weights.
 	cumulative []float64
 	random     *rand.Rand
 	phase      int
-	// phaseStart and at count from the start of the run.
+	// phaseStart and at are relative to the start of the run.
 	phaseStart, at time.Duration
 	sequence       uint64
 }
 
-// NewSchedule returns the schedule of phases one after another; weights share the arrivals out
-// among the mix.
+// NewSchedule returns the schedule of consecutive phases. The weights distribute the arrivals over
+// the mix.
 func NewSchedule(phases []Phase, weights []float64, seed uint64) *Schedule {
 	s := &Schedule{phases: phases, random: rand.New(rand.NewPCG(seed, seed))}
 	sum := 0.0
@@ -51,8 +51,8 @@
 	return s
 }
 
-// Next returns the next arrival, or false at the end of the last phase. A Poisson process has no
-// memory, so each phase begins afresh at its start.
+// Next returns the next arrival, or false at the end of the last phase. A Poisson process is
+// memoryless, so each phase draws its first arrival from its own start.
 func (s *Schedule) Next() (Arrival, bool) {
 	for s.phase < len(s.phases) {
 		p := s.phases[s.phase]
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -15,15 +15,15 @@
 	"github.com/burdockplank/burdockplank/internal/rpc"
 )
 
-// Request is one request of a caller; resends of it share the value.
+// Request is one request of a caller. Its resends use the same value.
 type Request struct {
 	Mix      *MixSettings
 	Sequence uint64
-	// Ticket of an order, empty until one was issued.
+	// Ticket is the ticket of an order, empty until one was issued.
 	Ticket string
 }
 
-// text is what is searched, or the payload of an order.
+// text returns the query of a search or the payload of an order.
 func (r *Request) text() string {
 	if r.Mix.Text != "" {
 		return r.Mix.Text
@@ -31,41 +31,41 @@
 	return fmt.Sprintf("%s %s %d", r.Mix.Service, r.Mix.Kind, r.Sequence)
 }
 
-// Reply is how one send of a request ended.
+// Reply is the outcome of one send of a request.
 type Reply struct {
 	Kind   pb.OutcomeKind
 	Reason pb.Reason
-	// RetryAfter is when to come back, 0 where the answer didn't say so.
+	// RetryAfter is the delay after which to retry, 0 if the answer gave none.
 	RetryAfter time.Duration
 	// ShardsTotal is the number of shards of the snapshot that answered.
 	ShardsTotal uint32
-	// Coverage is the share of documents, 0 to 1, of an answered search.
+	// Coverage is the share of documents, 0 to 1, that an answered search covered.
 	Coverage float64
-	// Replayed is true where an order's outcome was recorded for an earlier send.
+	// Replayed is true if an order's outcome had been recorded for an earlier send.
 	Replayed bool
-	// Untyped is true where the error carried no outcome, such as a broken connection.
+	// Untyped is true if the error carried no outcome, as after a broken connection.
 	Untyped bool
-	// Mismatch is true where the answer isn't the one to this request's text.
+	// Mismatch is true if the answer is to a text other than this request's.
 	Mismatch bool
 }
 
-// answered tells whether the caller got what it asked for, whole or in part.
+// answered reports whether the caller got a whole or partial answer.
 func (r Reply) answered() bool {
 	return r.Kind == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE || r.Kind == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_PARTIAL
 }
 
-// Sender sends a request once through the entry of the given index.
+// Sender sends a request once, through the entry with the given index.
 type Sender interface {
 	Send(ctx context.Context, entry int, r *Request) Reply
 }
 
-// ConnectSender speaks connect to entries.
+// ConnectSender sends requests to entries over the Connect protocol.
 type ConnectSender struct {
 	clients []burdockv1connect.QueryServiceClient
 }
 
-// NewConnectSender returns a sender for entries at the given IP:PORT addresses. It refuses any
-// that isn't on loopback with a *TargetError.
+// NewConnectSender returns a sender for entries at the given IP:PORT addresses. It returns a
+// *TargetError for an address that isn't on loopback.
 func NewConnectSender(entries []string) (*ConnectSender, error) {
 	s := &ConnectSender{}
 	client := rpc.NewClient("")
@@ -108,7 +108,7 @@
 	return reply
 }
 
-// order gets a ticket where the request has none yet, then sends the order with it.
+// order gets a ticket if the request has none yet, then sends the order with it.
 func (s *ConnectSender) order(ctx context.Context, c burdockv1connect.QueryServiceClient, r *Request) Reply {
 	if r.Ticket == "" {
 		t, err := c.IssueTicket(ctx, &pb.IssueTicketRequest{Service: r.Mix.Service, Kind: r.Mix.Kind})
@@ -132,7 +132,8 @@
 	}
 }
 
-// failedReply takes the outcome from the error; kind stands where it carries none.
+// failedReply returns the outcome that the error carries. If it carries none the reply is untyped, of
+// the given kind.
 func failedReply(err error, kind pb.OutcomeKind) Reply {
 	if e, ok := outcome.FromConnect(err); ok && e != nil {
 		return Reply{Kind: e.Kind, Reason: e.Reason, RetryAfter: e.RetryAfter}
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -8,16 +8,17 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// Resend says what a caller does with a request that was refused.
+// Resend is a caller's policy for requests that were not answered.
 type Resend string
 
-// The behaviours of callers.
+// The resend policies.
 const (
 	// ResendNone takes every outcome as final.
 	ResendNone Resend = "none"
-	// ResendAtOnce sends again at once, whatever the answer said.
+	// ResendAtOnce resends after resendPause, whatever RetryAfter the answer gave. It doesn't resend
+	// where the reason can't change.
 	ResendAtOnce Resend = "at_once"
-	// ResendRetryAfter sends again when the answer said to come back, and not without it.
+	// ResendRetryAfter resends after the answer's RetryAfter, and doesn't resend without one.
 	ResendRetryAfter Resend = "retry_after"
 )
 
@@ -30,13 +31,13 @@
 	maxInFlight = 200_000
 )
 
-// Settings of a run.
+// Settings are the settings of a run.
 type Settings struct {
 	Log  settings.Log `toml:"log"`
 	Load RunSettings  `toml:"load"`
 	// Phases follow one another without a gap.
 	Phases []PhaseSettings `toml:"phase"`
-	// Mix is what is sent, shared out by weight.
+	// Mix lists the kinds of requests that are sent, distributed by weight.
 	Mix []MixSettings `toml:"mix"`
 	// Leaves are the stand-ins whose counts are read before and after the run.
 	Leaves []LeafSettings `toml:"leaf"`
@@ -44,26 +45,26 @@
 	Processes []ProcessSettings `toml:"process"`
 }
 
-// RunSettings hold for the whole run.
+// RunSettings are the settings that apply to the whole run.
 type RunSettings struct {
-	// Entries are the IP:PORT of the entries, loopback only; each request goes to a random one.
+	// Entries are the IP:PORT addresses of the entries, loopback only. Each send goes to a random one.
 	Entries []string `toml:"entries"`
 	// Operators are the operator listeners of the entries, in the same order, or none. With them an
-	// entry gets no requests from BalancerLag after it was seen not ready.
+	// entry that has not been ready for BalancerLag gets no requests.
 	Operators   []string          `toml:"operators"`
 	BalancerLag settings.Duration `toml:"balancer_lag"`
-	// Seed of the arrivals.
+	// Seed is the seed of the arrivals.
 	Seed uint64 `toml:"seed"`
-	// MaxRequests ends the run early.
+	// MaxRequests is the number of arrivals after which the run ends early.
 	MaxRequests int `toml:"max_requests"`
-	// MaxInFlight bounds requests in flight; what arrives beyond is counted as dropped.
+	// MaxInFlight limits the requests in flight. Arrivals beyond it are counted as dropped.
 	MaxInFlight int `toml:"max_in_flight"`
-	// Resend is none, at_once or retry_after; MaxResends bounds the resends of one request.
+	// Resend is none, at_once or retry_after. MaxResends limits the resends of one request.
 	Resend     Resend `toml:"resend"`
 	MaxResends int    `toml:"max_resends"`
 }
 
-// PhaseSettings is one Phase as it is written in the file.
+// PhaseSettings is one Phase in the settings file. Rate is in requests per second.
 type PhaseSettings struct {
 	Name     string            `toml:"name"`
 	Rate     float64           `toml:"rate"`
@@ -79,12 +80,12 @@
 	Weight float64 `toml:"weight"`
 	// Token is the caller's bearer token.
 	Token string `toml:"token"`
-	// Timeout goes down as the deadline of each send.
+	// Timeout is the timeout of each send and goes to the entry as its deadline.
 	Timeout settings.Duration `toml:"timeout"`
-	// TopK is the number of hits wanted; 0 takes the kind's default.
+	// TopK is the number of hits requested; 0 selects the kind's default.
 	TopK int32 `toml:"top_k"`
-	// Text, where set, is the text of every search and the payload of every order; a text with the
-	// request's sequence number otherwise.
+	// Text, if set, is the text of every search and the payload of every order. Otherwise each request
+	// has a text with its sequence number.
 	Text string `toml:"text"`
 }
 
@@ -92,7 +93,7 @@
 type LeafSettings struct {
 	ID      string `toml:"id"`
 	Control string `toml:"control"`
-	// Slots and Connections are the leaf's limits, 0 where the result shall not be compared with them.
+	// Slots and Connections are the leaf's limits. With 0 the result isn't compared with the limit.
 	Slots       int `toml:"slots"`
 	Connections int `toml:"connections"`
 }
@@ -105,7 +106,7 @@
 	Operator string `toml:"operator"`
 }
 
-// DefaultSettings returns the settings that hold where the file says nothing.
+// DefaultSettings returns the settings that apply where the file sets nothing.
 func DefaultSettings() Settings {
 	return Settings{
 		Log: settings.Log{Level: "info"},
--- a/internal/load/target.go
+++ b/internal/load/target.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// TargetError refuses an address that load may not be sent to.
+// TargetError is the error for an address that load must not be sent to.
 type TargetError struct {
 	Address string
 	Reason  string
@@ -16,8 +16,8 @@
 	return fmt.Sprintf("load: target %q refused: %s", e.Address, e.Reason)
 }
 
-// CheckTarget refuses an address other than IP:PORT with a loopback IP number. Names are refused
-// too, for what they resolve to may change.
+// CheckTarget returns a *TargetError unless the address is IP:PORT with a loopback IP address. Host
+// names are refused, too, because what they resolve to may change.
 func CheckTarget(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
--- a/internal/load/wire.go
+++ b/internal/load/wire.go
@@ -2,7 +2,7 @@
 
 import "github.com/google/wire"
 
-// Set provides the runner and what it needs from checked Settings.
+// Set provides the runner and its dependencies from validated Settings.
 var Set = wire.NewSet(
 	NewRunner,
 	ProvideSender,
@@ -11,5 +11,5 @@
 	wire.Bind(new(Counters), new(*HTTPCounters)),
 )
 
-// ProvideSender returns the sender to the entries of checked settings.
+// ProvideSender returns the sender to the entries of validated settings.
 func ProvideSender(s *Settings) (*ConnectSender, error) { return NewConnectSender(s.Load.Entries) }
