--- a/cmd/burdock-load/main.go
+++ b/cmd/burdock-load/main.go
@@ -1,5 +1,5 @@
 // Command burdock-load sends an open loop of searches and orders to entries on loopback and prints
-// what it measured. Exit codes: 0 measured, 1 runtime failure, 2 settings or usage refused.
+// the measurements. Exit codes: 0 success, 1 runtime failure, 2 invalid settings or usage.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/burdockplank/burdockplank/internal/version"
 )
 
-// exitFailure is the exit code of a run that failed.
+// exitFailure is the exit code of a run that failed at run time.
 const exitFailure = 1
 
 type commandLine struct {
@@ -55,7 +55,8 @@
 	}
 }
 
-// exitCode tells refused settings from failures at run time.
+// exitCode returns the exit code for an error: settings.ExitCode for invalid settings, exitFailure for
+// any other error.
 func exitCode(err error) int {
 	var refused *settings.Error
 	if errors.As(err, &refused) {
@@ -64,7 +65,7 @@
 	return exitFailure
 }
 
-// Run compares the results of a directory.
+// Run compares the results in a directory, prints the tables and writes the results as JSON if asked.
 func (c *compareCmd) Run() error {
 	b, err := compare.Read(c.Dir)
 	if err != nil {
@@ -76,7 +77,8 @@
 	return writeJSON(c.Out, b)
 }
 
-// Run sends the load and writes what was measured.
+// Run sends the load, prints the result and writes it as JSON if asked. With Check it only validates the
+// settings.
 func (c *runCmd) Run() error {
 	s := load.DefaultSettings()
 	if err := settings.Load(c.Settings, &s); err != nil {
@@ -102,6 +104,7 @@
 	return writeJSON(c.Out, result)
 }
 
+// writeJSON writes the result to the file, or does nothing if file is empty.
 func writeJSON(file string, result any) error {
 	if file == "" {
 		return nil
--- a/cmd/burdock-load/wire.go
+++ b/cmd/burdock-load/wire.go
@@ -8,7 +8,7 @@
 	"github.com/burdockplank/burdockplank/internal/load"
 )
 
-// newRunner builds the runner for checked settings.
+// newRunner builds the runner for validated settings.
 func newRunner(s *load.Settings) (*load.Runner, error) {
 	panic(wire.Build(load.Set))
 }
--- a/cmd/burdock-load/wire_gen.go
+++ b/cmd/burdock-load/wire_gen.go
@@ -12,7 +12,7 @@
 
 // Injectors from wire.go:
 
-// newRunner builds the runner for checked settings.
+// newRunner builds the runner for validated settings.
 func newRunner(s *load.Settings) (*load.Runner, error) {
 	connectSender, err := load.ProvideSender(s)
 	if err != nil {
--- a/cmd/burdock-soak/main.go
+++ b/cmd/burdock-soak/main.go
@@ -1,6 +1,6 @@
-// Command burdock-soak runs burdock-node as several processes on loopback under seeded faults and checks
-// its promises. Exit codes: 0 all promises were kept, 1 one was broken, 2 the command line is refused, 3 a
-// run could not be played.
+// Command burdock-soak runs burdock-node as several processes on loopback under seeded faults and checks its
+// guarantees. Exit codes: 0 no violation was found, 1 a guarantee was broken, 2 the command line is invalid, 3 a run
+// could not be carried out.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	exitNotPlayed = 3
 )
 
-// common is what both commands take.
+// common holds the flags that both commands take.
 type common struct {
 	Program string        `help:"Path of burdock-node." default:"bin/burdock-node" placeholder:"FILE"`
 	VMs     int           `name:"vms" help:"Number of VMs." default:"${vms}"`
@@ -38,7 +38,7 @@
 	JSON    bool          `name:"json" help:"Print reports as JSON."`
 }
 
-// Validate implements kong's check.
+// Validate checks the flags. kong calls it after parsing.
 func (c *common) Validate() error {
 	const maxVMs, maxNet = 250, 254
 	if c.VMs < 1 || c.VMs > maxVMs || c.Zones < 1 || c.Zones > c.VMs || c.Strong < 0 || c.Strong > c.VMs || c.Net < 1 || c.Net > maxNet || c.Faults <= 0 {
@@ -47,12 +47,14 @@
 	return nil
 }
 
+// options returns the options of a run with the seed.
 func (c *common) options(seed uint64, keep bool) soak.Options {
 	return soak.Options{
 		Seed: seed, Size: soak.Size{VMs: c.VMs, Zones: c.Zones, Faults: c.Faults, LargerVMs: c.Strong}, Program: c.Program, Net: c.Net, Out: c.Out, Keep: keep,
 	}
 }
 
+// commandLine holds the commands and flags for kong.
 type commandLine struct {
 	Run struct {
 		common
@@ -74,7 +76,7 @@
 		kong.Vars{
 			"version": version.Version, "vms": strconv.Itoa(size.VMs), "zones": strconv.Itoa(size.Zones), "faults": size.Faults.String(),
 		},
-		kong.Description("Seeded faults against burdock-node, and a check of its promises."))
+		kong.Description("Runs burdock-node under seeded faults and checks its guarantees."))
 	k, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "burdock-soak:", err)
@@ -88,7 +90,8 @@
 	os.Exit(c.run(ctx))
 }
 
-// run plays seeds until they or the time are over, and returns the worst exit code.
+// run runs seeds one after another until ctx ends, or until both the number of seeds and the time are reached. It
+// returns the highest exit code of the runs.
 func (c *commandLine) run(ctx context.Context) int {
 	seed, code := c.Run.Seed, 0
 	end := time.Now().Add(time.Duration(c.Run.Minutes * float64(time.Minute)))
@@ -102,7 +105,7 @@
 	return code
 }
 
-// play plays one seed and prints its report.
+// play runs one seed, prints its report and returns the exit code.
 func play(ctx context.Context, o soak.Options, asJSON bool) int {
 	r, err := soak.Play(ctx, o)
 	if err != nil {
