--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -77,7 +77,7 @@
 	return sample(tb.configs[len(tb.configs)-1].Shards, e)[0]
 }
 
-// sample draws half the event's share of all, at least one. The draw depends only on e.Pick.
+// sample draws half the event's share of all, at least one, in an order that e.Pick determines.
 func sample[T any](all []T, e Event) []T {
 	rng := rand.New(rand.NewPCG(e.Pick, 1))
 	out := slices.Clone(all)
@@ -151,7 +151,7 @@
 
 const (
 	// entryTTL is how long the store keeps the entry of a crashed leaf. addressReuseDelay is how long an address
-	// stays unused before a leaf of another service takes it.
+	// stays unused before another leaf takes it.
 	entryTTL, addressReuseDelay = 800 * time.Millisecond, 2 * time.Second
 )
 
