--- a/internal/child/child_test.go
+++ b/internal/child/child_test.go
@@ -7,14 +7,16 @@
 	"github.com/matryer/is"
 )
 
-// slowToEnd is a program that takes longer to end than any test waits, as one does that drains.
-func slowToEnd(t *testing.T) *Process {
+// newSIGTERMIgnorer returns a program that ignores SIGTERM. To the tests it looks like one that drains longer than they
+// wait.
+func newSIGTERMIgnorer(t *testing.T) *Process {
 	p := New("slow", t.TempDir(), "/bin/sh", "-c", "trap '' TERM; echo up; while :; do sleep 0.05; done")
-	t.Cleanup(func() { _ = p.Kill() }) // it may have ended
+	t.Cleanup(func() { _ = p.Kill() }) // it may have exited
 	return p
 }
 
-func up(t *testing.T, p *Process) {
+// awaitOutput waits until the program has written to its log, so that its signal handler is installed.
+func awaitOutput(t *testing.T, p *Process) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); p.LogTail() == ""; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -23,61 +25,61 @@
 	}
 }
 
-// A process that is killed while it ends in order, and started again, has ended: who asked it to end must not
-// wait for the new start.
-func TestEndedAfterAKillMeanwhile(t *testing.T) {
+// The terminated start is killed during its graceful shutdown, and the process is started again. WaitCleanExit must
+// return for the old start and not wait for the new one.
+func TestWaitCleanExitAfterKillAndRestart(t *testing.T) {
 	is := is.New(t)
-	p := slowToEnd(t)
+	p := newSIGTERMIgnorer(t)
 	is.NoErr(p.Start())
-	up(t, p)
+	awaitOutput(t, p)
 	is.NoErr(p.Terminate())
 	is.NoErr(p.Kill())
 	is.NoErr(p.Start())
-	began := time.Now()
-	is.NoErr(p.Ended())
-	is.True(time.Since(began) < time.Second)
+	waitStart := time.Now()
+	is.NoErr(p.WaitCleanExit())
+	is.True(time.Since(waitStart) < time.Second)
 	is.True(p.Running())
 }
 
-// A process that two have asked to end, and that one of them has started again, has ended: the other must not wait
-// for the new start, which nobody asked to end.
-func TestEndedAfterARestartMeanwhile(t *testing.T) {
+// Two callers terminate the process, and one of them starts it again. The other caller's WaitCleanExit must not wait
+// for the new start, which nobody terminated.
+func TestWaitCleanExitAfterRestartByAnother(t *testing.T) {
 	is := is.New(t)
 	p := New("orderly", t.TempDir(), "/bin/sh", "-c", "trap 'exit 0' TERM; echo up; while :; do sleep 0.05; done")
-	t.Cleanup(func() { _ = p.Kill() }) // it may have ended
+	t.Cleanup(func() { _ = p.Kill() }) // it may have exited
 	is.NoErr(p.Start())
-	up(t, p)
+	awaitOutput(t, p)
 	is.NoErr(p.Terminate())
 	is.NoErr(p.Terminate())
-	is.NoErr(p.Ended())
+	is.NoErr(p.WaitCleanExit())
 	is.NoErr(p.Start())
-	began := time.Now()
-	is.NoErr(p.Ended())
-	is.True(time.Since(began) < time.Second)
+	waitStart := time.Now()
+	is.NoErr(p.WaitCleanExit())
+	is.True(time.Since(waitStart) < time.Second)
 	is.True(p.Running())
 }
 
-// What the start that was asked to end failed with is told of, also where the process runs again.
-func TestEndedTellsOfFailuresAfterARestart(t *testing.T) {
+// WaitCleanExit reports the failure of the terminated start even if the process has been started again.
+func TestWaitCleanExitReportsFailureAfterRestart(t *testing.T) {
 	is := is.New(t)
 	p := New("failing", t.TempDir(), "/bin/sh", "-c", "trap 'exit 3' TERM; echo up; while :; do sleep 0.05; done")
-	t.Cleanup(func() { _ = p.Kill() }) // it may have ended
+	t.Cleanup(func() { _ = p.Kill() }) // it may have exited
 	is.NoErr(p.Start())
-	up(t, p)
+	awaitOutput(t, p)
 	is.NoErr(p.Terminate())
-	is.True(p.AwaitEnd(5 * time.Second))
+	is.True(p.WaitExit(5 * time.Second))
 	is.NoErr(p.Start())
-	is.True(p.Ended() != nil)
+	is.True(p.WaitCleanExit() != nil)
 }
 
-// A process that ends with a failure after Terminate is told of, also where an earlier start was killed.
-func TestEndedTellsOfFailures(t *testing.T) {
+// WaitCleanExit reports a failure after Terminate even if an earlier start was killed.
+func TestWaitCleanExitReportsFailureAfterKilledStart(t *testing.T) {
 	is := is.New(t)
 	p := New("failing", t.TempDir(), "/bin/sh", "-c", "trap 'exit 3' TERM; echo up; while :; do sleep 0.05; done")
 	is.NoErr(p.Start())
 	is.NoErr(p.Kill())
 	is.NoErr(p.Start())
-	up(t, p)
+	awaitOutput(t, p)
 	is.NoErr(p.Terminate())
-	is.True(p.Ended() != nil)
+	is.True(p.WaitCleanExit() != nil)
 }
--- a/internal/load/compare/table.go
+++ b/internal/load/compare/table.go
@@ -10,8 +10,8 @@
 	"github.com/burdockplank/burdockplank/internal/load"
 )
 
-// spread is the median of the repetitions with the least and the most.
-type spread struct{ least, median, most float64 }
+// spread is the minimum, median and maximum over the repetitions.
+type spread struct{ min, median, max float64 }
 
 func spreadOf(values []float64) spread {
 	if len(values) == 0 {
@@ -21,15 +21,15 @@
 	return spread{values[0], values[len(values)/2], values[len(values)-1]}
 }
 
-// String shows the median, and the spread where there is one.
+// String formats the median, and the minimum and maximum if they differ.
 func (s spread) String() string {
-	if s.least == s.most {
+	if s.min == s.max {
 		return fmt.Sprintf("%.2f", s.median)
 	}
-	return fmt.Sprintf("%.2f [%.2f-%.2f]", s.median, s.least, s.most)
+	return fmt.Sprintf("%.2f [%.2f-%.2f]", s.median, s.min, s.max)
 }
 
-// row is a case under a policy over its repetitions.
+// row holds the repetitions of a case under a policy.
 type row struct {
 	name, policy string
 	runs         []*Run
@@ -48,7 +48,7 @@
 	return rows
 }
 
-// over returns the spread of a value over the repetitions that have it.
+// over returns the spread of a value over the repetitions that have the value.
 func (r row) over(value func(*Run) (float64, bool)) spread {
 	var values []float64
 	for _, run := range r.runs {
@@ -59,12 +59,12 @@
 	return spreadOf(values)
 }
 
-// WriteTable writes two small tables for people: the target service by kind, and the load by case.
+// WriteTable writes two tables for people: the target service by kind, and the load by case.
 func (b *Bench) WriteTable(w io.Writer, target string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "case\tpolicy\tphase\tkind\tp50 ms\tp99\tp99.9\tp99/calm\tp99/baseline\tcoverage\twhole\tgoodput/s\trefused\tfailed\tunknown\tdropped\trefusal p99 ms\tafter p99/calm\t")
 	for _, r := range b.rows() {
-		written := make(map[string]bool) // a case may send a kind twice, such as with one text; the first is shown
+		written := make(map[string]bool) // a case may send a kind twice, such as with a fixed text; the table shows the first
 		for _, k := range r.runs[0].During.Kinds {
 			if name := k.Phase + "/" + k.Kind; k.Service == target && !written[name] {
 				written[name] = true
@@ -87,22 +87,22 @@
 		})
 	}
 	p99 := func(k load.KindResult) float64 { return k.Answered.P99 }
-	ends := func(prefix string) spread {
-		return of(func(k load.KindResult) float64 { return float64(endsOf(k.Outcomes, prefix)) })
+	outcomes := func(prefix string) spread {
+		return of(func(k load.KindResult) float64 { return float64(countOutcome(k.Outcomes, prefix)) })
 	}
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1f\t%.1f\t%.1f\t%s\t%s\t%.4f\t%.4f\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%s\t\n",
 		r.name, r.policy, k.Phase, k.Kind,
 		of(func(k load.KindResult) float64 { return k.Answered.P50 }).median, of(p99).median,
 		of(func(k load.KindResult) float64 { return k.Answered.P999 }).median,
-		r.over(func(run *Run) (float64, bool) { return b.toCalm(run, run.During, k.Phase, k) }),
-		r.over(func(run *Run) (float64, bool) { return b.toBaseline(run, k) }),
+		r.over(func(run *Run) (float64, bool) { return b.ratioToCalm(run, run.During, k.Phase, k) }),
+		r.over(func(run *Run) (float64, bool) { return b.ratioToBaseline(run, k) }),
 		of(func(k load.KindResult) float64 { return k.CoverageMean }).median,
 		of(func(k load.KindResult) float64 { return k.WholeShare }).median,
 		of(func(k load.KindResult) float64 { return k.Goodput }),
-		ends("not_run").median, ends("failed").median, ends("unknown").median,
+		outcomes("not_run").median, outcomes("failed").median, outcomes("unknown").median,
 		of(func(k load.KindResult) float64 { return float64(k.Dropped) }).median,
 		of(func(k load.KindResult) float64 { return k.Refused.P99 }).median,
-		r.over(func(run *Run) (float64, bool) { return b.toCalm(run, run.Back, afterPhase, k) }))
+		r.over(func(run *Run) (float64, bool) { return b.ratioToCalm(run, run.AfterFault, afterPhase, k) }))
 }
 
 func writeLoad(w io.Writer, r row) {
@@ -128,8 +128,8 @@
 		cpu("gather", func(c load.CPUResult) float64 { return c.MicrosPerLeafCall }))
 }
 
-// toCalm is the p99 by that of the calm case of the same policy and repetition.
-func (b *Bench) toCalm(run *Run, during *load.Result, phase string, k load.KindResult) (float64, bool) {
+// ratioToCalm returns the p99 divided by that of the calm case of the same policy and repetition.
+func (b *Bench) ratioToCalm(run *Run, during *load.Result, phase string, k load.KindResult) (float64, bool) {
 	calm := b.find(run.Repetition, calmCase, run.Policy)
 	if calm == nil || during == nil {
 		return 0, false
@@ -139,8 +139,9 @@
 	return quotient(of.Answered.P99, to.Answered.P99), okOf && okTo
 }
 
-// toBaseline is the p99 by that of the same case and repetition under the baseline policy.
-func (b *Bench) toBaseline(run *Run, k load.KindResult) (float64, bool) {
+// ratioToBaseline returns the p99 divided by that of the same case and repetition under the baseline
+// policy.
+func (b *Bench) ratioToBaseline(run *Run, k load.KindResult) (float64, bool) {
 	base := b.find(run.Repetition, run.Case, baselinePolicy)
 	if base == nil {
 		return 0, false
@@ -150,7 +151,7 @@
 	return quotient(of.Answered.P99, to.Answered.P99), okOf && okTo
 }
 
-// find returns the result of a kind in a phase; the first where the kind was in the mix twice.
+// find returns the result of a kind in a phase, the first one if the mix has the kind twice.
 func find(r *load.Result, phase, service, kind string) (load.KindResult, bool) {
 	if r == nil {
 		return load.KindResult{}, false
@@ -163,6 +164,7 @@
 	return load.KindResult{}, false
 }
 
+// quotient returns a/b, or 0 if b is 0.
 func quotient(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -170,8 +172,8 @@
 	return a / b
 }
 
-// endsOf counts the ends of an outcome, which are named OUTCOME or OUTCOME/REASON.
-func endsOf(outcomes map[string]uint64, prefix string) uint64 {
+// countOutcome sums the counts of an outcome over its reasons. Names are OUTCOME or OUTCOME/REASON.
+func countOutcome(outcomes map[string]uint64, prefix string) uint64 {
 	var n uint64
 	for name, count := range outcomes {
 		if name == prefix || strings.HasPrefix(name, prefix+"/") {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	// callers send at once, each with callerPause between its requests: some 300 requests a second.
+	// callers is the number of concurrent callers. Each pauses for callerPause between its requests, which gives
+	// some 300 requests per second in total.
 	callers     = 10
 	callerPause = 25 * time.Millisecond
-	// callLimit is how long a caller waits, by its own word.
-	callLimit = 2 * time.Second
-	// keepCalls is for how many requests a caller keeps a connection before it takes another VM.
-	keepCalls = 40
-	// notSent begins the error of a request of which the VM can't have read all, gaveUp that of one whose
-	// caller waited a second longer than it had said.
+	// callTimeout is the timeout that a caller sends with its request.
+	callTimeout = 2 * time.Second
+	// callsPerConnection is the number of requests after which a caller closes its connection and picks a VM again.
+	callsPerConnection = 40
+	// notSent prefixes the error of a request that the VM can't have read completely. gaveUp prefixes the error
+	// of a request whose caller waited one second beyond callTimeout.
 	notSent, gaveUp = "not sent: ", "gave up: "
 )
 
-// fleet says where callers may go.
-type fleet interface {
-	// pick returns a VM that counts as ready, its address and which start of its process; ok is false
-	// where there is none.
+// balancer picks the VM for a caller's next connection.
+type balancer interface {
+	// pick returns the number of a VM that counts as ready, the start number of its process and its address; ok
+	// is false if no VM is ready.
 	pick(rng *rand.Rand) (vm, start int, address string, ok bool)
 }
 
-// caller sends requests one after the other over connections that it keeps while they last.
+// caller sends requests one after another over a persistent connection.
 type caller struct {
-	name  int
-	fleet fleet
-	rng   *rand.Rand
+	number   int
+	balancer balancer
+	rng      *rand.Rand
 
 	conn      net.Conn
 	reader    *bufio.Reader
@@ -48,82 +49,83 @@
 	used      int
 }
 
-// recorder keeps calls. It is safe for concurrent use.
-type recorder struct {
+// callRecorder collects calls. It is safe for concurrent use.
+type callRecorder struct {
 	mu    sync.Mutex
 	calls []Call
 }
 
-func (r *recorder) add(c Call) {
+func (r *callRecorder) add(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, c)
 }
 
-func (r *recorder) all() []Call {
+func (r *callRecorder) all() []Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Call(nil), r.calls...)
 }
 
-// run sends until ctx ends.
-func (c *caller) run(ctx context.Context, out *recorder) {
-	defer c.hangUp()
+// run sends requests until ctx ends.
+func (c *caller) run(ctx context.Context, out *callRecorder) {
+	defer c.closeConn()
 	for n := 0; wait.For(ctx, callerPause); n++ {
 		if c.connect() {
-			out.add(c.call(fmt.Sprintf("%02x%06x", c.name, n)))
+			out.add(c.call(fmt.Sprintf("%02x%06x", c.number, n)))
 		}
 	}
 }
 
-// connect makes sure of a connection, and takes another VM now and then.
+// connect reports whether the caller has a connection. It opens one to a newly picked VM if there is none or if
+// the current one has carried callsPerConnection requests.
 func (c *caller) connect() bool {
-	if c.conn != nil && c.used < keepCalls {
+	if c.conn != nil && c.used < callsPerConnection {
 		return true
 	}
-	c.hangUp()
-	vm, start, address, ok := c.fleet.pick(c.rng)
+	c.closeConn()
+	vm, start, address, ok := c.balancer.pick(c.rng)
 	if !ok {
 		return false
 	}
-	conn, err := net.DialTimeout("tcp", address, callLimit)
+	conn, err := net.DialTimeout("tcp", address, callTimeout)
 	if err != nil {
-		return false // nothing was sent; the balancer will notice
+		return false // nothing was sent; the balancer's probes will exclude the VM
 	}
 	c.conn, c.reader, c.vm, c.start, c.used = conn, bufio.NewReader(conn), vm, start, 0
 	return true
 }
 
-func (c *caller) hangUp() {
+func (c *caller) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// call sends one request and reads its answer. The connection is kept where the VM keeps it.
+// call sends one request and reads its answer. The connection stays open if the VM keeps it open.
 func (c *caller) call(id string) Call {
 	out := Call{ID: id, VM: c.vm, Start: c.start, Sent: time.Now()}
 	c.used++
 	keep := c.exchange(&out)
 	out.Ended = time.Now()
 	if !keep {
-		c.hangUp()
+		c.closeConn()
 	}
 	return out
 }
 
-// exchange fills in the call and tells whether the connection goes on.
+// exchange sends the request, fills in the call and reports whether the connection stays usable.
 func (c *caller) exchange(out *Call) (keep bool) {
 	var method, path, body string
-	out.Kind, method, path = c.choose()
+	out.Kind, method, path = c.drawRequest()
 	out.Target = path + out.ID
 	if out.Kind == Order {
 		body = "one of " + out.ID
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(callLimit + time.Second))
-	ask := hosted.Ask{ID: out.ID, Method: method, Host: host, Target: out.Target, Body: body, Wait: callLimit}
-	if err := ask.Write(c.conn); err != nil {
+	_ = c.conn.SetDeadline(time.Now().Add(callTimeout + time.Second))
+	request := hosted.Ask{ID: out.ID, Method: method, Host: host, Target: out.Target, Body: body, Wait: callTimeout}
+	if err := request.Write(c.conn); err != nil {
 		out.Err = notSent + err.Error()
 		return false
 	}
@@ -132,12 +134,12 @@
 		out.Err = readError(err)
 		return false
 	}
-	out.take(a)
+	out.setAnswer(a)
 	return a.Keep
 }
 
-// choose draws the kind of the next request.
-func (c *caller) choose() (kind Kind, method, path string) {
+// drawRequest draws the kind of the next request and returns its method and path prefix.
+func (c *caller) drawRequest() (kind Kind, method, path string) {
 	switch c.rng.IntN(10) {
 	case 0, 1:
 		return Order, http.MethodPost, "/o/"
@@ -147,8 +149,9 @@
 	return Search, http.MethodGet, "/s/"
 }
 
-// take notes an answer.
-func (c *Call) take(a *hosted.Answer) {
+// setAnswer copies the answer into the call. A success that carries another request's ID gets a stamp that no
+// leaf signed, so that checkAnswers reports it.
+func (c *Call) setAnswer(a *hosted.Answer) {
 	c.Status, c.Body = a.Status, a.Body
 	switch {
 	case c.Kind == Search:
@@ -160,7 +163,7 @@
 	}
 }
 
-// readError says why no whole answer was read.
+// readError describes why no complete answer was read. A timeout gets the prefix gaveUp.
 func readError(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return gaveUp + err.Error()
--- a/internal/soak/leaves.go
+++ b/internal/soak/leaves.go
@@ -12,50 +12,51 @@
 )
 
 const (
-	// leafSlots are the requests that a leaf works on at once, leafWork is how long one takes.
+	// leafSlots is the number of requests that a leaf processes concurrently, leafWork the processing time of one.
 	leafSlots = 8
 	leafWork  = 4 * time.Millisecond
-	// orderService runs orders.
+	// orderService is the service that runs orders.
 	orderService = "orders"
-	// hangTime is longer than any caller waits.
+	// hangTime is longer than the timeout that any caller sends.
 	hangTime = 3 * time.Second
 )
 
-// place is an address at which leaves live, one after the other.
-type place struct {
-	// listen is where the leaf really is, entry what the store says: a relay in front of it.
+// placement is an address that serves one leaf at a time.
+type placement struct {
+	// listen is the leaf's own address. entry is the address in the store, at which a relay forwards to listen.
 	listen, entry string
 	service, zone string
 
 	mu sync.Mutex
-	// What follows is guarded by mu. leaf is nil while the place is empty, number counts the leaves.
+	// The fields below are guarded by mu. leaf is nil while the placement is empty; number counts
+	// the leaves that startLeaf started.
 	leaf   *hosted.Leaf
 	number int
-	misbehaviour
+	leafFault
 }
 
-// misbehaviour is what a leaf does wrong, until when, with what part of its requests.
-type misbehaviour struct {
+// leafFault is a fault that a leaf shows until the given time, for the given share of its requests.
+type leafFault struct {
 	fault Fault
 	until time.Time
 	share float64
-	// firm is set where no other may take its place before its time is over.
-	firm bool
+	// pinned prevents another fault from replacing this one before until.
+	pinned bool
 }
 
-// past are the leaves that there were, for what they have seen.
-type past struct {
+// startedLeaves holds all leaves that were started, running or not, for the requests that they observed.
+type startedLeaves struct {
 	mu     sync.Mutex
-	leaves []pastLeaf
+	leaves []startedLeaf
 }
 
-type pastLeaf struct {
+type startedLeaf struct {
 	leaf    *hosted.Leaf
 	service string
 }
 
-// runs returns what all leaves have seen.
-func (p *past) runs() []Run {
+// runs returns the requests that all leaves observed.
+func (p *startedLeaves) runs() []Run {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Run
@@ -67,33 +68,33 @@
 	return out
 }
 
-// open starts the next leaf at the place.
-func (p *place) open(all *past, service string) (*hosted.Leaf, error) {
+// startLeaf starts a leaf of the service at the placement, under a new ID.
+func (p *placement) startLeaf(started *startedLeaves, service string) (*hosted.Leaf, error) {
 	p.mu.Lock()
 	p.number++
 	id := fmt.Sprintf("%s-%s-%d", service, strings.ReplaceAll(p.entry, ":", "."), p.number)
 	p.mu.Unlock()
-	return p.openAs(all, service, id)
+	return p.startLeafAs(started, service, id)
 }
 
-// openAs starts a leaf of the id at the place.
-func (p *place) openAs(all *past, service, id string) (*hosted.Leaf, error) {
+// startLeafAs starts a leaf with the given ID at the placement and clears the placement's fault.
+func (p *placement) startLeafAs(started *startedLeaves, service, id string) (*hosted.Leaf, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.service, p.misbehaviour = service, misbehaviour{}
+	p.service, p.leafFault = service, leafFault{}
 	leaf, err := hosted.NewLeafAt(p.listen, id, leafSlots, p.script(service))
 	if err != nil {
 		return nil, err
 	}
 	p.leaf = leaf
-	all.mu.Lock()
-	all.leaves = append(all.leaves, pastLeaf{leaf, service})
-	all.mu.Unlock()
+	started.mu.Lock()
+	started.leaves = append(started.leaves, startedLeaf{leaf, service})
+	started.mu.Unlock()
 	return leaf, nil
 }
 
-// empty takes the leaf from the place; nil where there is none.
-func (p *place) empty() *hosted.Leaf {
+// takeLeaf removes the leaf from the placement and returns it, or nil if there is none.
+func (p *placement) takeLeaf() *hosted.Leaf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	leaf := p.leaf
@@ -101,46 +102,50 @@
 	return leaf
 }
 
-func (p *place) current() *hosted.Leaf {
+// current returns the running leaf of the placement, or nil if there is none.
+// current returns the running leaf of the placement, or nil if there is none.
+func (p *placement) current() *hosted.Leaf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.leaf
 }
 
-// serves returns the service of the place.
-func (p *place) serves() string {
+// currentService returns the service of the placement.
+func (p *placement) currentService() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service
 }
 
-func (p *place) misbehave(m misbehaviour) {
+// setFault replaces the placement's fault unless the current one is pinned and has not expired.
+// setFault replaces the placement's fault unless the current one is pinned and has not expired.
+func (p *placement) setFault(m leafFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.firm || time.Now().After(p.until) {
-		p.misbehaviour = m
+	if !p.pinned || time.Now().After(p.until) {
+		p.leafFault = m
 	}
 }
 
-// script answers requests of the service, with the faults of the place.
-func (p *place) script(service string) hosted.Script {
+// script returns the answers of a leaf of the service, including the placement's current fault.
+func (p *placement) script(service string) hosted.Script {
 	return func(_ int, r *http.Request) hosted.Reply {
 		reply := hosted.Reply{Delay: leafWork, Body: []byte(answer(service, hosted.RequestID(r), r.RequestURI))}
 		if strings.HasPrefix(r.RequestURI, "/s/") {
 			reply.Body = []byte(part(service, r.RequestURI))
 		}
 		p.mu.Lock()
-		m := p.misbehaviour
+		m := p.leafFault
 		p.mu.Unlock()
 		if time.Now().Before(m.until) && rand.Float64() < m.share {
-			m.spoil(&reply)
+			m.apply(&reply)
 		}
 		return reply
 	}
 }
 
-// spoil makes a reply as bad as the fault says.
-func (m *misbehaviour) spoil(reply *hosted.Reply) {
+// apply changes the reply as the fault requires.
+func (m *leafFault) apply(reply *hosted.Reply) {
 	switch m.fault {
 	case LeafSlow:
 		reply.Delay *= 20
@@ -150,11 +155,11 @@
 		reply.Refuse = true
 	case LeafErrors:
 		reply.Status, reply.Body = http.StatusInternalServerError, []byte("no")
-	case LeafLose:
+	case LeafLoseAnswers:
 		reply.Reset = true
 	case LeafGarble:
 		reply.Truncate = max(1, len(reply.Body)/2)
-	case LeafExtra:
+	case LeafExtraAnswers:
 		reply.Then = hosted.ForeignAnswer()
 	}
 }
