--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -75,7 +75,7 @@
 			})
 			t.Cleanup(l.Close)
 			s.leaves[id] = l
-			s.store.Enter(l, service, "z", "ready", l.Address())
+			s.store.PutLeaf(l, service, "z", "ready", l.Address())
 		}
 	}
 	s.configure("x")
@@ -88,9 +88,9 @@
 	s.store.Configure(hosted.Config{
 		Version: s.version, Services: []string{"s0", "s1", "s2", "x", "later"}, Connections: 30,
 		Routes: []hosted.Route{
-			{Name: "s", Host: "h", Prefix: "/s/", Idempotent: true, Timeout: 800 * time.Millisecond, Target: 150 * time.Millisecond,
-				Shards: []string{"s0", "s1", "s2"}, Priority: 1, MaxAttempts: 2, Top: 2, LeastPart: 0.6},
-			{Name: "x", Host: "h", Prefix: "/x/", Timeout: 3 * time.Second, Target: 600 * time.Millisecond, Service: single, Priority: 2, MaxAttempts: 2},
+			{Name: "s", Host: "h", Prefix: "/s/", Idempotent: true, Timeout: 800 * time.Millisecond, TargetLatency: 150 * time.Millisecond,
+				Shards: []string{"s0", "s1", "s2"}, Priority: 1, MaxAttempts: 2, TopK: 2, MinShardShare: 0.6},
+			{Name: "x", Host: "h", Prefix: "/x/", Timeout: 3 * time.Second, TargetLatency: 600 * time.Millisecond, Service: single, Priority: 2, MaxAttempts: 2},
 		},
 	})
 }
@@ -264,7 +264,7 @@
 	v := s.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	leaf := s.leaves["x-a"]
-	s.store.Enter(leaf, "x", "z", "draining", leaf.Address())
+	s.store.PutLeaf(leaf, "x", "z", "draining", leaf.Address())
 	time.Sleep(time.Second)
 	before := len(leaf.Requests())
 	for i := range 20 {
--- a/internal/soak/again.go
+++ b/internal/soak/again.go
@@ -60,7 +60,7 @@
 	go func() {
 		defer close(done)
 		if wait.For(ctx, entryLapse) {
-			w.store.Remove(leaf)
+			w.store.RemoveLeaf(leaf)
 		}
 	}()
 	return func() { <-done }
@@ -87,7 +87,7 @@
 // writeForeign writes entries that no leaf wrote, for a service in use.
 func (w *world) writeForeign(e Event) {
 	for name, value := range foreignEntries(w.shardInForce(e), w.trap.Address()) {
-		w.store.Put(hosted.ForeignKey("foreign-"+name), value)
+		w.store.Put(hosted.ServerKey("foreign-"+name), value)
 	}
 }
 
@@ -97,7 +97,7 @@
 // trapped tells what reached the trap.
 func (w *world) trapped() []string {
 	var out []string
-	if n := w.trap.Opened(); n > 0 {
+	if n := w.trap.ConnectionsOpened(); n > 0 {
 		out = append(out, fmt.Sprintf("%d connections were opened to an address that only foreign entries name", n))
 	}
 	for _, s := range w.trap.Requests() {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -122,7 +122,7 @@
 		body = "one of " + out.ID
 	}
 	_ = c.conn.SetDeadline(time.Now().Add(callLimit + time.Second))
-	ask := hosted.Ask{ID: out.ID, Method: method, Host: host, Target: out.Target, Body: body, Wait: callLimit}
+	ask := hosted.Request{ID: out.ID, Method: method, Host: host, Target: out.Target, Body: body, Timeout: callLimit}
 	if err := ask.Write(c.conn); err != nil {
 		out.Err = notSent + err.Error()
 		return false
@@ -133,7 +133,7 @@
 		return false
 	}
 	out.take(a)
-	return a.Keep
+	return a.KeepAlive
 }
 
 // choose draws the kind of the next request.
@@ -152,7 +152,7 @@
 	c.Status, c.Body = a.Status, a.Body
 	switch {
 	case c.Kind == Search:
-		c.Stamps, c.Missing = a.Parts, a.Missing
+		c.Stamps, c.Missing = a.PartStamps, a.MissingParts
 	case a.Status == http.StatusOK && a.ID != c.ID:
 		c.Stamps = []string{"answer to " + a.ID}
 	default:
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -134,7 +134,7 @@
 	if e.Fault != LeafDrain {
 		wait.For(ctx, entryLapse)
 	}
-	w.store.Remove(leaf)
+	w.store.RemoveLeaf(leaf)
 	if e.Fault == LeafReuse {
 		service = single(int(e.Pick % singles))
 		wait.For(ctx, reuseAfter)
@@ -181,7 +181,7 @@
 	case StoreSlow:
 		w.store.SetFault(hosted.Fault{Delay: 200 * time.Millisecond})
 	case StoreLose:
-		w.store.SetFault(hosted.Fault{Lose: true})
+		w.store.SetFault(hosted.Fault{DropConnection: true})
 	default:
 		w.store.Compact()
 		return
--- a/internal/soak/leaves.go
+++ b/internal/soak/leaves.go
@@ -155,6 +155,6 @@
 	case LeafGarble:
 		reply.Truncate = max(1, len(reply.Body)/2)
 	case LeafExtra:
-		reply.Then = hosted.ForeignAnswer()
+		reply.Trailing = hosted.ForeignAnswer()
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -145,7 +145,7 @@
 // enter writes the entry of the place's leaf.
 func (w *world) enter(p *place, state string) {
 	if leaf := p.current(); leaf != nil {
-		w.store.Enter(leaf, p.service, p.zone, state, p.entry)
+		w.store.PutLeaf(leaf, p.service, p.zone, state, p.entry)
 	}
 }
 
@@ -159,7 +159,7 @@
 		next.Shards = setOf((w.configs[n-1].Shards[0] == setOf(true)[0]) != reshard)
 	}
 	search, single, order := route("s"), route("v"), route("o")
-	search.Shards, search.Top, search.LeastPart = next.Shards, topRecords, shardsNeeded
+	search.Shards, search.TopK, search.MinShardShare = next.Shards, topRecords, shardsNeeded
 	single.Service = next.Service
 	order.Service, order.Idempotent = orderService, false
 	next.At = time.Now()
@@ -173,7 +173,7 @@
 func route(name string) hosted.Route {
 	return hosted.Route{
 		Name: name, Host: host, Prefix: "/" + name + "/", Idempotent: true, Timeout: 1500 * time.Millisecond,
-		Target: 300 * time.Millisecond, Priority: 1, MaxAttempts: 3,
+		TargetLatency: 300 * time.Millisecond, Priority: 1, MaxAttempts: 3,
 	}
 }
 
--- a/internal/standin/control/control.go
+++ b/internal/standin/control/control.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// MaxBody is the longest body that a control request may carry, in bytes.
-	MaxBody = 1 << 20
+	// MaxBodyBytes is the longest body that a control request may carry, in bytes.
+	MaxBodyBytes = 1 << 20
 	// readHeaderTimeout bounds half a request.
 	readHeaderTimeout = 5 * time.Second
 )
@@ -24,7 +24,7 @@
 // ReadJSON decodes the body of r into v, unknown fields refused. Where it fails it answers 400 and
 // returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	dec.DisallowUnknownFields()
 	err := dec.Decode(v)
 	if err == nil && dec.More() {
@@ -39,7 +39,7 @@
 
 // ReadAll returns the body of r. Where it is longer than MaxBody it answers 413 and returns false.
 func ReadAll(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return nil, false
--- a/internal/standin/hosted/caller.go
+++ b/internal/standin/hosted/caller.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Ask is a request as a caller of the platform sends it.
-type Ask struct {
+// Request is a request as a caller of the platform sends it.
+type Request struct {
 	ID, Method, Host, Target, Body string
-	// Wait is how long the caller waits, by its own word.
-	Wait time.Duration
+	// Timeout is how long the caller waits, by its own word.
+	Timeout time.Duration
 }
 
 // Write sends the request over a kept connection.
-func (a *Ask) Write(w io.Writer) error {
+func (a *Request) Write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%s %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nRemaining-Milliseconds: %d\r\nContent-Length: %d\r\n\r\n%s",
-		a.Method, a.Target, a.Host, a.ID, a.Wait.Milliseconds(), len(a.Body), a.Body)
+		a.Method, a.Target, a.Host, a.ID, a.Timeout.Milliseconds(), len(a.Body), a.Body)
 	return err
 }
 
@@ -29,11 +29,11 @@
 	Status   int
 	ID, Body string
 	// Stamps are the signatures of a single answer, Parts those of a search's parts.
-	Stamps, Parts []string
-	// Missing shards of a search; -1 where the answer doesn't say.
-	Missing int
-	// Keep tells whether the connection goes on.
-	Keep bool
+	Stamps, PartStamps []string
+	// MissingParts shards of a search; -1 where the answer doesn't say.
+	MissingParts int
+	// KeepAlive tells whether the connection goes on.
+	KeepAlive bool
 }
 
 // ReadAnswer reads one whole answer.
@@ -52,8 +52,8 @@
 	}
 	parts := func(r rune) bool { return r == ',' || r == ' ' }
 	return &Answer{
-		Status: resp.StatusCode, ID: resp.Header.Get("Request-Id"), Body: string(body), Missing: missing, Keep: !resp.Close,
-		Stamps: resp.Header.Values("Server-Stamp"), Parts: strings.FieldsFunc(resp.Header.Get("Part-Stamps"), parts),
+		Status: resp.StatusCode, ID: resp.Header.Get("Request-Id"), Body: string(body), MissingParts: missing, KeepAlive: !resp.Close,
+		Stamps: resp.Header.Values("Server-Stamp"), PartStamps: strings.FieldsFunc(resp.Header.Get("Part-Stamps"), parts),
 	}, nil
 }
 
--- a/internal/standin/hosted/leaf.go
+++ b/internal/standin/hosted/leaf.go
@@ -27,19 +27,19 @@
 	// What follows is guarded by mu.
 	script  Script
 	conns   map[net.Conn]struct{}
-	seen    []Seen
+	seen    []ReceivedRequest
 	opened  int
 	running atomic.Int64
 }
 
-// Seen is a request that reached the leaf.
-type Seen struct {
-	ID, Method, Target, Host, Expected string
-	Remaining                          int
-	Header                             http.Header
-	Body                               []byte
-	Ran                                bool
-	At                                 time.Time
+// ReceivedRequest is a request that reached the leaf.
+type ReceivedRequest struct {
+	ID, Method, Target, Host, ExpectedInstance string
+	Remaining                                  int
+	Header                                     http.Header
+	Body                                       []byte
+	Ran                                        bool
+	At                                         time.Time
 }
 
 // Reply is what a leaf does with a request.
@@ -53,15 +53,15 @@
 	// Refuse answers 503 without running the request.
 	Refuse bool
 	// Raw, where set, is written in place of an answer; Then is written after the answer.
-	Raw, Then []byte
+	Raw, Trailing []byte
 	// Close ends the connection after what was written, Reset with a reset.
 	Close, Reset bool
 	// Truncate cuts the body to as many bytes, under a length that promises more.
 	Truncate int
 	// NoLength sends the body without a length and ends the connection.
 	NoLength bool
-	// Early answers before the body was read.
-	Early bool
+	// BeforeBody answers before the body was read.
+	BeforeBody bool
 }
 
 // RequestID returns the attempt's id that a request carries.
@@ -130,14 +130,14 @@
 }
 
 // Requests returns what reached the leaf so far.
-func (l *Leaf) Requests() []Seen {
+func (l *Leaf) Requests() []ReceivedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Seen(nil), l.seen...)
+	return append([]ReceivedRequest(nil), l.seen...)
 }
 
-// Opened returns how many connections were opened so far.
-func (l *Leaf) Opened() int {
+// ConnectionsOpened returns how many connections were opened so far.
+func (l *Leaf) ConnectionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened
@@ -182,15 +182,15 @@
 	reply := l.script(len(l.seen), r)
 	l.mu.Unlock()
 	var body []byte
-	if !reply.Early {
+	if !reply.BeforeBody {
 		body, _ = io.ReadAll(r.Body)
 	}
 	remaining, _ := strconv.Atoi(r.Header.Get("Remaining-Milliseconds"))
-	seen := Seen{
-		ID: RequestID(r), Method: r.Method, Target: r.RequestURI, Host: r.Host, Expected: r.Header.Get("Expected-Instance"),
+	seen := ReceivedRequest{
+		ID: RequestID(r), Method: r.Method, Target: r.RequestURI, Host: r.Host, ExpectedInstance: r.Header.Get("Expected-Instance"),
 		Remaining: remaining, Header: r.Header, Body: body, At: time.Now(),
 	}
-	moved := seen.Expected != "" && seen.Expected != l.ID
+	moved := seen.ExpectedInstance != "" && seen.ExpectedInstance != l.ID
 	full := !moved && !reply.Refuse && !l.enter()
 	seen.Ran = !moved && !reply.Refuse && !full
 	l.mu.Lock()
@@ -222,7 +222,7 @@
 func (l *Leaf) Stamp(id string) string { return l.ID + "." + id }
 
 // write sends the reply and tells whether the connection goes on.
-func (l *Leaf) write(c net.Conn, seen *Seen, reply Reply) bool {
+func (l *Leaf) write(c net.Conn, seen *ReceivedRequest, reply Reply) bool {
 	if reply.Reset {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
@@ -231,7 +231,7 @@
 		_, _ = c.Write(reply.Raw)
 		return !reply.Close
 	}
-	_, err := c.Write(append(l.Answer(seen.ID, reply), reply.Then...))
+	_, err := c.Write(append(l.Answer(seen.ID, reply), reply.Trailing...))
 	return err == nil && !reply.Close && !reply.NoLength && reply.Truncate == 0
 }
 
--- a/internal/standin/hosted/operator.go
+++ b/internal/standin/hosted/operator.go
@@ -11,17 +11,17 @@
 
 // Route is a route as the operator writes it.
 type Route struct {
-	Name, Host, Prefix string
-	Idempotent         bool
-	Timeout, Target    time.Duration
+	Name, Host, Prefix     string
+	Idempotent             bool
+	Timeout, TargetLatency time.Duration
 	// Priority is the rank of the route, 0 the most urgent.
 	Priority, MaxAttempts int
 	// Service of single requests; or the Shards of a search, how many records it returns and the least
 	// share of the shards.
-	Service   string
-	Shards    []string
-	Top       int
-	LeastPart float64
+	Service       string
+	Shards        []string
+	TopK          int
+	MinShardShare float64
 }
 
 // Config is a version of the configuration as the operator writes it.
@@ -57,30 +57,30 @@
 	}
 	out := map[string]any{
 		"name": r.Name, "host": r.Host, "prefix": r.Prefix, "kind": kind, "priority": r.Priority, "max_attempts": r.MaxAttempts,
-		"timeout_ms": r.Timeout.Milliseconds(), "target_latency_ms": r.Target.Milliseconds(),
+		"timeout_ms": r.Timeout.Milliseconds(), "target_latency_ms": r.TargetLatency.Milliseconds(),
 	}
 	if len(r.Shards) == 0 {
 		out["service"] = r.Service
 		return out
 	}
-	out["gather"], out["top_k"], out["min_shard_share"] = r.Shards, r.Top, r.LeastPart
+	out["gather"], out["top_k"], out["min_shard_share"] = r.Shards, r.TopK, r.MinShardShare
 	return out
 }
 
-// Enter writes the entry of a leaf that is reached at the address.
-func (s *Store) Enter(l *Leaf, service, zone, state, address string) {
+// PutLeaf writes the entry of a leaf that is reached at the address.
+func (s *Store) PutLeaf(l *Leaf, service, zone, state, address string) {
 	entry := l.Entry(service, zone, state)
 	entry["address"] = address
 	s.PutJSON(entryKey(l), entry)
 }
 
-// Remove deletes the entry of a leaf.
-func (s *Store) Remove(l *Leaf) { s.Delete(entryKey(l)) }
+// RemoveLeaf deletes the entry of a leaf.
+func (s *Store) RemoveLeaf(l *Leaf) { s.Delete(entryKey(l)) }
 
-func entryKey(l *Leaf) string { return ForeignKey(l.ID) }
+func entryKey(l *Leaf) string { return ServerKey(l.ID) }
 
-// ForeignKey is a key as of a leaf of the name, for entries that no leaf wrote.
-func ForeignKey(name string) string { return "servers/" + name }
+// ServerKey is a key as of a leaf of the name, for entries that no leaf wrote.
+func ServerKey(name string) string { return "servers/" + name }
 
 // WriteSettings writes a VM's settings file as the platform does.
 func WriteSettings(file string, s *deployment.Settings) error {
--- a/internal/standin/hosted/store.go
+++ b/internal/standin/hosted/store.go
@@ -58,8 +58,8 @@
 	Silent bool
 	// Delay comes before each answer.
 	Delay time.Duration
-	// Lose does nothing but drop the connection after the call was worked on.
-	Lose bool
+	// DropConnection does nothing but drop the connection after the call was worked on.
+	DropConnection bool
 }
 
 // NewStore starts a store. Close ends it.
@@ -164,7 +164,7 @@
 	case f.Status != 0:
 		w.WriteHeader(f.Status)
 		return
-	case f.Lose:
+	case f.DropConnection:
 		panic(http.ErrAbortHandler)
 	}
 	q := r.URL.Query()
@@ -210,7 +210,7 @@
 		case f.Status != 0:
 			w.WriteHeader(f.Status)
 			return
-		case f.Silent || f.Lose:
+		case f.Silent || f.DropConnection:
 			panic(http.ErrAbortHandler)
 		case gone:
 			w.WriteHeader(http.StatusGone)
--- a/internal/standin/leaf/journal.go
+++ b/internal/standin/leaf/journal.go
@@ -58,9 +58,9 @@
 	From string `json:"from"`
 }
 
-// Notice is the leaf's word that it drains: to the caller at the IP number To, or to all by the end
+// DrainNotice is the leaf's word that it drains: to the caller at the IP number To, or to all by the end
 // of the present connections where To is empty.
-type Notice struct {
+type DrainNotice struct {
 	At time.Time `json:"at"`
 	To string    `json:"to"`
 }
@@ -153,7 +153,7 @@
 func (j *journal) noticed(to string, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.write(FileLine{Notice: &Notice{At: now, To: to}})
+	j.write(FileLine{Notice: &DrainNotice{At: now, To: to}})
 }
 
 // searchStarted logs a search; the result goes to searchEnded.
@@ -260,12 +260,12 @@
 
 // FileLine is one line of the log file; one field is set.
 type FileLine struct {
-	Arrival   *Arrival   `json:"arrival,omitempty"`
-	Notice    *Notice    `json:"notice,omitempty"`
-	Search    *Search    `json:"search,omitempty"`
-	Delivery  *Delivery  `json:"delivery,omitempty"`
-	Execution *Execution `json:"execution,omitempty"`
-	Crash     *Crash     `json:"crash,omitempty"`
+	Arrival   *Arrival     `json:"arrival,omitempty"`
+	Notice    *DrainNotice `json:"notice,omitempty"`
+	Search    *Search      `json:"search,omitempty"`
+	Delivery  *Delivery    `json:"delivery,omitempty"`
+	Execution *Execution   `json:"execution,omitempty"`
+	Crash     *Crash       `json:"crash,omitempty"`
 }
 
 // write appends a line to the file. j.mu is held.
--- a/internal/standin/leaf/leaf.go
+++ b/internal/standin/leaf/leaf.go
@@ -152,7 +152,7 @@
 	}
 	if f.Drain && !old.Drain {
 		l.journal.noticed("", time.Now())
-		l.server.Renew()
+		l.server.GoAway()
 	}
 	err := l.setDown()
 	if f.Down {
--- a/internal/standin/listener/listener_test.go
+++ b/internal/standin/listener/listener_test.go
@@ -133,7 +133,7 @@
 	done := make(chan error)
 	go func() { done <- s.Run(ctx) }()
 	f := openHTTP2(is, l)
-	s.Renew()
+	s.GoAway()
 	for {
 		frame, err := f.ReadFrame()
 		is.NoErr(err) // the connection must not end before GOAWAY
--- a/internal/standin/listener/server.go
+++ b/internal/standin/listener/server.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// Renew sends GOAWAY on open HTTP/2 connections and closes idle HTTP/1.1 ones; calls in flight
+// GoAway sends GOAWAY on open HTTP/2 connections and closes idle HTTP/1.1 ones; calls in flight
 // finish. New connections are served as before. It returns at once.
-func (s *Server) Renew() {
+func (s *Server) GoAway() {
 	old := s.replace()
 	go func() {
 		_ = old.http.Shutdown(context.Background())
