--- a/internal/standin/hosted/leaf.go
+++ b/internal/standin/hosted/leaf.go
@@ -18,18 +18,18 @@
 type Leaf struct {
 	ID string
 	// Born is when it started, in Unix milliseconds.
-	Born     int64
-	listener net.Listener
-	slots    chan struct{}
-	ended    sync.WaitGroup
+	Born       int64
+	listener   net.Listener
+	slots      chan struct{}
+	goroutines sync.WaitGroup
 
 	mu sync.Mutex
 	// What follows is guarded by mu.
-	script  Script
-	conns   map[net.Conn]struct{}
-	seen    []ReceivedRequest
-	opened  int
-	running atomic.Int64
+	script   Script
+	conns    map[net.Conn]struct{}
+	received []ReceivedRequest
+	opened   int
+	running  atomic.Int64
 }
 
 // ReceivedRequest is a request that reached the leaf.
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	leaf := &Leaf{ID: id, Born: time.Now().UnixMilli(), listener: l, slots: make(chan struct{}, slots), script: script, conns: make(map[net.Conn]struct{})}
-	leaf.ended.Go(leaf.accept)
+	leaf.goroutines.Go(leaf.accept)
 	return leaf, nil
 }
 
@@ -110,7 +110,7 @@
 func (l *Leaf) Close() {
 	_ = l.listener.Close()
 	l.CloseConns()
-	l.ended.Wait()
+	l.goroutines.Wait()
 }
 
 // CloseConns ends all open connections.
@@ -133,7 +133,7 @@
 func (l *Leaf) Requests() []ReceivedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]ReceivedRequest(nil), l.seen...)
+	return append([]ReceivedRequest(nil), l.received...)
 }
 
 // ConnectionsOpened returns how many connections were opened so far.
@@ -153,7 +153,7 @@
 		l.conns[c] = struct{}{}
 		l.opened++
 		l.mu.Unlock()
-		l.ended.Go(func() { l.serve(c) })
+		l.goroutines.Go(func() { l.serve(c) })
 	}
 }
 
@@ -179,7 +179,7 @@
 // answer serves one request and tells whether the connection goes on.
 func (l *Leaf) answer(c net.Conn, r *http.Request) bool {
 	l.mu.Lock()
-	reply := l.script(len(l.seen), r)
+	reply := l.script(len(l.received), r)
 	l.mu.Unlock()
 	var body []byte
 	if !reply.BeforeBody {
@@ -191,10 +191,10 @@
 		Remaining: remaining, Header: r.Header, Body: body, At: time.Now(),
 	}
 	moved := seen.ExpectedInstance != "" && seen.ExpectedInstance != l.ID
-	full := !moved && !reply.Refuse && !l.enter()
+	full := !moved && !reply.Refuse && !l.acquireSlot()
 	seen.Ran = !moved && !reply.Refuse && !full
 	l.mu.Lock()
-	l.seen = append(l.seen, seen)
+	l.received = append(l.received, seen)
 	l.mu.Unlock()
 	switch {
 	case moved:
@@ -208,7 +208,7 @@
 	return l.write(c, &seen, reply)
 }
 
-func (l *Leaf) enter() bool {
+func (l *Leaf) acquireSlot() bool {
 	select {
 	case l.slots <- struct{}{}:
 		l.running.Add(1)
