--- a/internal/standin/platform/hang.go
+++ b/internal/standin/platform/hang.go
@@ -8,26 +8,26 @@
 // gate holds requests while it is shut.
 type gate struct {
 	mu sync.Mutex
-	// shut is nil while the gate is open, else closed when it opens; guarded by mu.
-	shut chan struct{}
+	// opened is nil while the gate is open, else closed when it opens; guarded by mu.
+	opened chan struct{}
 }
 
-func (g *gate) set(shut bool) {
+func (g *gate) setClosed(shut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if shut && g.shut == nil {
-		g.shut = make(chan struct{})
+	if shut && g.opened == nil {
+		g.opened = make(chan struct{})
 	}
-	if !shut && g.shut != nil {
-		close(g.shut)
-		g.shut = nil
+	if !shut && g.opened != nil {
+		close(g.opened)
+		g.opened = nil
 	}
 }
 
-// pass waits until the gate is open; it returns false where ctx ends first.
-func (g *gate) pass(ctx context.Context) bool {
+// wait waits until the gate is open; it returns false where ctx ends first.
+func (g *gate) wait(ctx context.Context) bool {
 	g.mu.Lock()
-	shut := g.shut
+	shut := g.opened
 	g.mu.Unlock()
 	if shut == nil {
 		return ctx.Err() == nil
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -106,7 +106,7 @@
 	defer p.mu.Unlock()
 	p.faults = f
 	p.store.setFaults(f.StaleRevision, f.ListLag.D())
-	p.hang.set(f.Hang)
+	p.hang.setClosed(f.Hang)
 	p.listener.SetCut(f.CutSources)
 	if err := p.listener.SetDown(f.Down); err != nil {
 		return err
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -27,8 +27,8 @@
 	return w
 }
 
-// watchFor starts a read and returns where its answer comes.
-func watchFor(p *Platform, path string) <-chan *httptest.ResponseRecorder {
+// startRead starts a read and returns where its answer comes.
+func startRead(p *Platform, path string) <-chan *httptest.ResponseRecorder {
 	answer := make(chan *httptest.ResponseRecorder, 1)
 	go func() { answer <- get(p, path) }()
 	synctest.Wait()
@@ -76,20 +76,20 @@
 	is.Equal(get(p, "/v1/keys/bundle/manifest").Code, http.StatusNotFound)
 }
 
-func TestWatchAnswersAtTheChangeOrAfterItsWait(t *testing.T) {
+func TestWatchAnswersOnChangeOrAfterWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPlatform()
 		start := time.Now()
-		answer := watchFor(p, "/v1/keys/new?after=0&wait=10s")
+		answer := startRead(p, "/v1/keys/new?after=0&wait=10s")
 		is.Equal(p.Reads().WaitingNow, 1)
 		time.Sleep(3 * time.Second)
 		p.PutKey("other", nil)
 		p.PutKey("new", []byte("value"))
 		is.Equal((<-answer).Body.String(), "value")
 		is.Equal(time.Since(start), 3*time.Second)
-		is.Equal((<-watchFor(p, "/v1/keys/new?after=2&wait=10s")).Code, http.StatusNoContent)
-		is.Equal((<-watchFor(p, "/v1/keys/none?after=0&wait=10s")).Code, http.StatusNotFound)
+		is.Equal((<-startRead(p, "/v1/keys/new?after=2&wait=10s")).Code, http.StatusNoContent)
+		is.Equal((<-startRead(p, "/v1/keys/none?after=0&wait=10s")).Code, http.StatusNotFound)
 		is.Equal(time.Since(start), 23*time.Second)
 		is.Equal(p.Reads().WaitingNow, 0)
 	})
@@ -100,7 +100,7 @@
 		is := is.New(t)
 		p := newPlatform()
 		get(p, "/v1/keys/bundle/manifest")
-		<-watchFor(p, "/v1/keys/bundle/manifest?after=0&wait=1s")
+		<-startRead(p, "/v1/keys/bundle/manifest?after=0&wait=1s")
 		get(p, "/v1/keys/bundle/section/ab")
 		get(p, "/v1/keys/else")
 		get(p, "/v1/list")
@@ -112,8 +112,8 @@
 	})
 }
 
-// listed returns the ids of the leaves in an answer.
-func listed(is *is.I, w *httptest.ResponseRecorder) []string {
+// listedLeaves returns the ids of the leaves in an answer.
+func listedLeaves(is *is.I, w *httptest.ResponseRecorder) []string {
 	is.Equal(w.Code, http.StatusOK)
 	var l List
 	is.NoErr(json.Unmarshal(w.Body.Bytes(), &l))
@@ -124,27 +124,27 @@
 	return ids
 }
 
-func TestListLagsAndWatchSeesItComeOut(t *testing.T) {
+func TestListLagsAndWatchReturnsItAfterTheLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPlatform()
-		is.Equal(listed(is, get(p, "/v1/list")), []string{})
+		is.Equal(listedLeaves(is, get(p, "/v1/list")), []string{})
 		p.store.setFaults(0, 20*time.Second)
 		p.PutList(List{Leaves: []Leaf{{ID: "a"}}})
-		is.Equal(listed(is, get(p, "/v1/list")), []string{"a"}) // the first does not lag
+		is.Equal(listedLeaves(is, get(p, "/v1/list")), []string{"a"}) // the first does not lag
 		start := time.Now()
 		p.PutList(List{Leaves: []Leaf{{ID: "b"}}})
 		time.Sleep(10 * time.Second)
 		p.PutList(List{Leaves: []Leaf{{ID: "c"}}})
-		is.Equal(listed(is, get(p, "/v1/list")), []string{"a"})
-		is.Equal(listed(is, <-watchFor(p, "/v1/list?after=1&wait=1m")), []string{"b"})
+		is.Equal(listedLeaves(is, get(p, "/v1/list")), []string{"a"})
+		is.Equal(listedLeaves(is, <-startRead(p, "/v1/list?after=1&wait=1m")), []string{"b"})
 		is.Equal(time.Since(start), 20*time.Second)
-		is.Equal(listed(is, <-watchFor(p, "/v1/list?after=2&wait=1m")), []string{"c"})
+		is.Equal(listedLeaves(is, <-startRead(p, "/v1/list?after=2&wait=1m")), []string{"c"})
 		is.Equal(time.Since(start), 30*time.Second)
 	})
 }
 
-func TestStaleRevisionGoesBackToOldBundleKeys(t *testing.T) {
+func TestStaleRevisionServesOldBundleKeys(t *testing.T) {
 	is := is.New(t)
 	p := newPlatform()
 	p.PutKey("bundle/manifest", []byte("old"))
@@ -162,23 +162,23 @@
 	is.Equal(get(p, "/v1/keys/bundle/manifest").Body.String(), "new")
 }
 
-func TestHangHoldsAnswersUntilCleared(t *testing.T) {
+func TestHangDelaysAnswersUntilCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPlatform()
-		watching := watchFor(p, "/v1/keys/k?after=0&wait=1s")
-		p.hang.set(true)
-		reading := watchFor(p, "/v1/list")
+		watching := startRead(p, "/v1/keys/k?after=0&wait=1s")
+		p.hang.setClosed(true)
+		reading := startRead(p, "/v1/list")
 		p.PutKey("k", []byte("v"))
 		time.Sleep(time.Hour)
 		is.Equal(len(watching)+len(reading), 0)
-		p.hang.set(false)
+		p.hang.setClosed(false)
 		is.Equal((<-watching).Body.String(), "v")
 		is.Equal((<-reading).Code, http.StatusOK)
 	})
 }
 
-func TestControlRefusesWhatIsMalformed(t *testing.T) {
+func TestControlRefusesMalformedRequests(t *testing.T) {
 	p := newPlatform()
 	cases := []struct {
 		name, path, body string
--- a/internal/standin/platform/read.go
+++ b/internal/standin/platform/read.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// watch is what a request asks about waiting.
-type watch struct {
+// watchQuery is what a request asks about waiting.
+type watchQuery struct {
 	// conditional is true where only a revision above after is wanted.
 	conditional bool
 	after       uint64
@@ -46,50 +46,50 @@
 	wait time.Duration
 }
 
-func parseWatch(r *http.Request) (watch, error) {
+func parseWatchQuery(r *http.Request) (watchQuery, error) {
 	q := r.URL.Query()
 	if !q.Has("after") {
-		return watch{}, nil
+		return watchQuery{}, nil
 	}
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
 	if err != nil {
-		return watch{}, eris.Errorf("after: want a revision, got %q", q.Get("after"))
+		return watchQuery{}, eris.Errorf("after: want a revision, got %q", q.Get("after"))
 	}
-	asked := watch{conditional: true, after: after}
+	asked := watchQuery{conditional: true, after: after}
 	if !q.Has("wait") {
 		return asked, nil
 	}
 	asked.wait, err = time.ParseDuration(q.Get("wait"))
 	if err != nil || asked.wait < 0 || asked.wait > maxWait {
-		return watch{}, eris.Errorf("wait: want a duration up to %v, got %q", maxWait, q.Get("wait"))
+		return watchQuery{}, eris.Errorf("wait: want a duration up to %v, got %q", maxWait, q.Get("wait"))
 	}
 	return asked, nil
 }
 
-// begin counts the read and returns what it asks for; it answers 400 where that makes no sense.
-func (p *Platform) begin(w http.ResponseWriter, r *http.Request, kind pathKind) (watch, bool) {
-	asked, err := parseWatch(r)
-	p.reads.arrived(kind, r, err == nil && asked.wait > 0)
+// beginRead counts the read and returns what it asks for; it answers 400 where that makes no sense.
+func (p *Platform) beginRead(w http.ResponseWriter, r *http.Request, kind readKind) (watchQuery, bool) {
+	asked, err := parseWatchQuery(r)
+	p.reads.countRead(kind, r, err == nil && asked.wait > 0)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
-		return watch{}, false
+		return watchQuery{}, false
 	}
-	return asked, p.hang.pass(r.Context())
+	return asked, p.hang.wait(r.Context())
 }
 
 func (p *Platform) serveKey(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
-	asked, ok := p.begin(w, r, kindOfKey(key))
+	asked, ok := p.beginRead(w, r, kindOfKey(key))
 	if !ok {
 		return
 	}
 	var v Value
-	newer := p.await(r.Context(), asked, func() (bool, <-chan struct{}, time.Duration) {
+	newer := p.awaitNewer(r.Context(), asked, func() (bool, <-chan struct{}, time.Duration) {
 		var change <-chan struct{}
 		v, change = p.store.key(key)
 		return v.Revision > asked.after, change, 0
 	})
-	if !p.hang.pass(r.Context()) {
+	if !p.hang.wait(r.Context()) {
 		return
 	}
 	setRevision(w, v.Revision)
@@ -104,18 +104,18 @@
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
-	asked, ok := p.begin(w, r, kindList)
+	asked, ok := p.beginRead(w, r, kindList)
 	if !ok {
 		return
 	}
 	var l List
-	newer := p.await(r.Context(), asked, func() (bool, <-chan struct{}, time.Duration) {
+	newer := p.awaitNewer(r.Context(), asked, func() (bool, <-chan struct{}, time.Duration) {
 		var change <-chan struct{}
 		var next time.Duration
 		l, change, next = p.store.list()
 		return l.Revision > asked.after, change, next
 	})
-	if !p.hang.pass(r.Context()) {
+	if !p.hang.wait(r.Context()) {
 		return
 	}
 	setRevision(w, l.Revision)
@@ -130,15 +130,15 @@
 	w.Header().Set(HeaderRevision, strconv.FormatUint(revision, 10))
 }
 
-// await calls look until it shows something newer, the wait passes or the client leaves. look also
+// awaitNewer calls look until it shows something newer, the wait passes or the client leaves. look also
 // returns a channel closed at the next change and, above 0, after how long to look again.
-func (p *Platform) await(ctx context.Context, asked watch, look func() (bool, <-chan struct{}, time.Duration)) bool {
+func (p *Platform) awaitNewer(ctx context.Context, asked watchQuery, look func() (bool, <-chan struct{}, time.Duration)) bool {
 	newer, change, again := look()
 	if newer || asked.wait <= 0 {
 		return newer
 	}
-	p.reads.waiting(1)
-	defer p.reads.waiting(-1)
+	p.reads.addWaiting(1)
+	defer p.reads.addWaiting(-1)
 	end := time.NewTimer(asked.wait)
 	defer end.Stop()
 	for !newer {
--- a/internal/standin/platform/reads.go
+++ b/internal/standin/platform/reads.go
@@ -8,18 +8,18 @@
 	"sync"
 )
 
-// pathKind is the kind of thing that a read asks for.
-type pathKind int
+// readKind is the kind of thing that a read asks for.
+type readKind int
 
 const (
-	kindKey pathKind = iota
+	kindKey readKind = iota
 	kindManifest
 	kindSection
 	kindList
 )
 
 // kindOfKey returns the kind of a key's path.
-func kindOfKey(key string) pathKind {
+func kindOfKey(key string) readKind {
 	switch {
 	case key == "bundle/manifest":
 		return kindManifest
@@ -40,8 +40,8 @@
 	return &readCounter{reads: Reads{BySource: make(map[string]uint64)}}
 }
 
-// arrived counts one read.
-func (c *readCounter) arrived(kind pathKind, r *http.Request, watch bool) {
+// countRead counts one read.
+func (c *readCounter) countRead(kind readKind, r *http.Request, watch bool) {
 	source, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		source = r.RemoteAddr
@@ -65,8 +65,8 @@
 	}
 }
 
-// waiting changes the number of watches that wait.
-func (c *readCounter) waiting(delta int) {
+// addWaiting changes the number of watches that wait.
+func (c *readCounter) addWaiting(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads.WaitingNow += delta
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -9,8 +9,8 @@
 const (
 	// bundlePrefix begins the keys that a stale revision holds back.
 	bundlePrefix = "bundle/"
-	// maxHistory is how many versions are kept of a key, and of the list.
-	maxHistory = 256
+	// maxVersions is how many versions are kept of a key, and of the list.
+	maxVersions = 256
 )
 
 // Value is what a read of a key shows. Revision is 0 and Found false for an unknown key.
@@ -79,7 +79,7 @@
 
 // keepNewest drops the oldest versions beyond maxHistory.
 func keepNewest[V any](versions []V) []V {
-	return versions[max(0, len(versions)-maxHistory):]
+	return versions[max(0, len(versions)-maxVersions):]
 }
 
 // setFaults says which history is served: bundle keys as of staleRevision (0 is the newest), the
