--- a/internal/standin/leaf/faults.go
+++ b/internal/standin/leaf/faults.go
@@ -55,8 +55,8 @@
 	InFlight    uint32  `json:"in_flight"`
 }
 
-// away tells whether the leaf is leaving or gone.
-func (f *Faults) away() bool { return f.Drain || f.Down || len(f.DrainTo) > 0 }
+// leavingOrDown tells whether the leaf is leaving or gone.
+func (f *Faults) leavingOrDown() bool { return f.Drain || f.Down || len(f.DrainTo) > 0 }
 
-// drainsFor tells whether a caller at the IP number is told that the leaf drains.
-func (f *Faults) drainsFor(ip string) bool { return f.Drain || slices.Contains(f.DrainTo, ip) }
+// reportsDrainTo tells whether a caller at the IP number is told that the leaf drains.
+func (f *Faults) reportsDrainTo(ip string) bool { return f.Drain || slices.Contains(f.DrainTo, ip) }
--- a/internal/standin/leaf/group.go
+++ b/internal/standin/leaf/group.go
@@ -23,18 +23,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashed = true
-	_ = l.setDown()
+	_ = l.updateListener()
 	l.listener.ResetConns()
-	time.AfterFunc(l.settings.RestartAfter.D(), l.comeBack)
+	time.AfterFunc(l.settings.RestartAfter.D(), l.restoreAfterCrash)
 }
 
-// comeBack ends the absence that a crash began, unless a fault keeps the leaf away.
-func (l *Leaf) comeBack() {
+// restoreAfterCrash ends the absence that a crash began, unless a fault keeps the leaf away.
+func (l *Leaf) restoreAfterCrash() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashed = false
-	l.renewInstance()
-	if err := l.setDown(); err != nil {
+	l.renewIncarnation()
+	if err := l.updateListener(); err != nil {
 		l.log.Error("not back after a crash", zap.Error(err))
 	}
 }
--- a/internal/standin/leaf/hits.go
+++ b/internal/standin/leaf/hits.go
@@ -29,11 +29,11 @@
 	}
 	n := min(uint64(topK), documents)
 	digest := QueryDigest(query)
-	first := draw(digest, shard, snapshot, math.MaxUint64)
+	first := hashOf(digest, shard, snapshot, math.MaxUint64)
 	hits := make([]*pb.Hit, 0, n)
 	score := 1.0
 	for rank := range n {
-		uniform := (float64(draw(digest, shard, snapshot, rank)>>11) + 1) / (1 << 53)
+		uniform := (float64(hashOf(digest, shard, snapshot, rank)>>11) + 1) / (1 << 53)
 		score *= math.Pow(uniform, 1.0/scoreSpread)
 		hits = append(hits, &pb.Hit{
 			Document: fmt.Sprintf("doc-%d-%d", shard, (first+rank)%documents),
@@ -45,8 +45,8 @@
 	return hits
 }
 
-// draw returns a number that depends on all its arguments.
-func draw(digest uint64, shard uint32, snapshot, rank uint64) uint64 {
+// hashOf returns a number that depends on all its arguments.
+func hashOf(digest uint64, shard uint32, snapshot, rank uint64) uint64 {
 	var b [28]byte
 	binary.LittleEndian.PutUint64(b[0:], digest)
 	binary.LittleEndian.PutUint64(b[8:], snapshot)
@@ -55,8 +55,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// pad lengthens the text of each hit to size bytes.
-func pad(hits []*pb.Hit, size int) {
+// padTexts lengthens the text of each hit to size bytes.
+func padTexts(hits []*pb.Hit, size int) {
 	for _, h := range hits {
 		if missing := size - len(h.Text); missing > 0 {
 			h.Text += strings.Repeat(".", missing)
--- a/internal/standin/leaf/journal.go
+++ b/internal/standin/leaf/journal.go
@@ -109,8 +109,8 @@
 
 // journal keeps the logs of one leaf.
 type journal struct {
-	limit int
-	file  *os.File
+	maxSearches int
+	file        *os.File
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
@@ -118,18 +118,18 @@
 	executions []Execution
 	counts     Counts
 	// lastCrash is the one written last.
-	lastCrash crash
+	lastCrash crashID
 }
 
-// crash names a crash: the start of the leaf that it ended, and the text that did.
-type crash struct {
+// crashID names a crash: the start of the leaf that it ended, and the text that did.
+type crashID struct {
 	instance uint64
 	text     string
 }
 
 // newJournal returns an empty journal. Where path is not empty lines are appended to that file.
 func newJournal(limit int, path string) (*journal, error) {
-	j := &journal{limit: limit}
+	j := &journal{maxSearches: limit}
 	if path == "" {
 		return j, nil
 	}
@@ -149,8 +149,8 @@
 	j.write(FileLine{Arrival: &Arrival{RequestID: requestID, At: now, From: from}})
 }
 
-// noticed notes that a caller, or all where to is empty, is told that the leaf drains.
-func (j *journal) noticed(to string, now time.Time) {
+// drainNotified notes that a caller, or all where to is empty, is told that the leaf drains.
+func (j *journal) drainNotified(to string, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.write(FileLine{Notice: &DrainNotice{At: now, To: to}})
@@ -165,7 +165,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.counts.Searches++
-	if len(j.searches) < j.limit {
+	if len(j.searches) < j.maxSearches {
 		j.searches = append(j.searches, s)
 	}
 	j.write(FileLine{Search: s})
@@ -224,7 +224,7 @@
 func (j *journal) crashed(instance uint64, requestID, text string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	c := crash{instance: instance, text: text}
+	c := crashID{instance: instance, text: text}
 	if c == j.lastCrash {
 		return
 	}
--- a/internal/standin/leaf/leaf.go
+++ b/internal/standin/leaf/leaf.go
@@ -51,8 +51,8 @@
 	snapshots []uint64
 	// shards holds the shards of index versions that are partitioned otherwise than the settings say.
 	shards map[uint64][]uint32
-	// earlier is the newest answer to a search.
-	earlier *pb.LeafSearchResponse
+	// previousAnswer is the newest answer to a search.
+	previousAnswer *pb.LeafSearchResponse
 }
 
 // New opens both listeners of a leaf; Run serves them. The settings have been checked.
@@ -144,30 +144,30 @@
 	defer l.mu.Unlock()
 	old := l.faults
 	l.faults = f
-	if old.away() && !f.away() {
-		l.renewInstance()
+	if old.leavingOrDown() && !f.leavingOrDown() {
+		l.renewIncarnation()
 		if len(old.DrainTo) > 0 {
 			l.listener.ResetConns() // a connection never outlives its incarnation
 		}
 	}
 	if f.Drain && !old.Drain {
-		l.journal.noticed("", time.Now())
+		l.journal.drainNotified("", time.Now())
 		l.server.GoAway()
 	}
-	err := l.setDown()
+	err := l.updateListener()
 	if f.Down {
 		l.listener.ResetConns()
 	}
 	return err
 }
 
-// setDown refuses new connections where a fault or a crash says so. l.mu is held.
-func (l *Leaf) setDown() error {
+// updateListener refuses new connections where a fault or a crash says so. l.mu is held.
+func (l *Leaf) updateListener() error {
 	return l.listener.SetDown(l.crashed || l.faults.Down || l.faults.RefuseConnections)
 }
 
-// renewInstance begins a new incarnation and a cold start. l.mu is held.
-func (l *Leaf) renewInstance() {
+// renewIncarnation begins a new incarnation and a cold start. l.mu is held.
+func (l *Leaf) renewIncarnation() {
 	l.instance, l.started = process.NewIncarnation(), time.Now()
 }
 
@@ -230,7 +230,7 @@
 	conns := l.listener.Stats()
 	log.Counts.ConnectionsNow, log.Counts.ConnectionsMax = conns.Now, conns.Max
 	log.Counts.ConnectionsRefused = conns.Refused
-	log.Counts.InFlightMax, log.Counts.QueuedMax = l.slots.highest()
+	log.Counts.InFlightMax, log.Counts.QueuedMax = l.slots.maxCounts()
 	return log
 }
 
--- a/internal/standin/leaf/leaf_test.go
+++ b/internal/standin/leaf/leaf_test.go
@@ -17,7 +17,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-const tryText = `
+const testSettings = `
 id = "teachers-0-a"
 service = "teachers"
 listen = "127.0.0.1:0"
@@ -30,7 +30,7 @@
 func serve(t *testing.T) *Leaf {
 	t.Helper()
 	var s Settings
-	if err := settings.Parse("leaf.toml", []byte(tryText), &s); err != nil {
+	if err := settings.Parse("leaf.toml", []byte(testSettings), &s); err != nil {
 		t.Fatal(err)
 	}
 	l, err := New(s, zap.NewNop(), Restart)
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestDrainWaitsForTheWorkInFlight(t *testing.T) {
+func TestDrainWaitsForCallsInFlight(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	is.NoErr(l.SetFaults(Faults{HoldExecute: settings.Duration(200 * time.Millisecond)}))
@@ -123,7 +123,7 @@
 	is.NoErr(<-answered) // the drain cut nothing off
 }
 
-func TestDeadlineAndCancellationTravelToTheWork(t *testing.T) {
+func TestDeadlineAndCancellationReachRunningCalls(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	is.NoErr(l.SetFaults(Faults{HoldExecute: settings.Duration(time.Hour)}))
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestCrashOfOneAmongMany(t *testing.T) {
+func TestCrashInGroupMakesLeafUnreachableUntilRestart(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	incarnation := l.incarnation()
@@ -163,7 +163,7 @@
 	is.NoErr(l.SetFaults(Faults{})) // faults don't end the absence
 	_, err = client.Status(t.Context(), &pb.LeafStatusRequest{})
 	is.True(err != nil)
-	l.comeBack()
+	l.restoreAfterCrash()
 	res, err := client.Status(t.Context(), &pb.LeafStatusRequest{})
 	is.NoErr(err)
 	is.True(res.GetIncarnation() != incarnation)
@@ -172,8 +172,8 @@
 	is.Equal(len(log.Searches), 1) // the marked search started
 }
 
-// TestRequestsBesideEachOtherCrashALeafOnce runs marked requests that begin before the first has ended the leaf.
-func TestRequestsBesideEachOtherCrashALeafOnce(t *testing.T) {
+// TestConcurrentMarkedRequestsCrashLeafOnce runs marked requests that begin before the first has ended the leaf.
+func TestConcurrentMarkedRequestsCrashLeafOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := newLeaf(Settings{ID: "teachers-0-a", Slots: 3, Queue: new(int)}, zap.NewNop(), func(*Leaf) {})
 	is.NoErr(err)
@@ -183,7 +183,7 @@
 	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(1))
 	l.crashIfMarked(f, "third", "another boom")
 	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(2)) // another text has crashes of its own
-	l.renewInstance()
+	l.renewIncarnation()
 	l.crashIfMarked(f, "fourth", "another boom")
 	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(3)) // so has another start
 }
@@ -219,11 +219,11 @@
 
 func TestSettingsRefused(t *testing.T) {
 	cases := []struct{ name, text, want string }{
-		{"no slots", tryText + "slots = -1\n", "f.toml:8: slots: want at least 1, got -1"},
+		{"no slots", testSettings + "slots = -1\n", "f.toml:8: slots: want at least 1, got -1"},
 		{"no id", "service = \"s\"\n", "f.toml: id: want a name of a-z, 0-9, '.' and '-', got \"\""},
-		{"host name", strings.Replace(tryText, "127.0.0.1:0", "localhost:1", 1), "f.toml:4: listen: want IP:PORT, got \"localhost:1\""},
-		{"unknown key", tryText + "slot = 1\n", "f.toml:8: slot: unknown key"},
-		{"negative time", tryText + "cold_start = \"-1s\"\n", "f.toml:8: cold_start: want at least 0, got -1s"},
+		{"host name", strings.Replace(testSettings, "127.0.0.1:0", "localhost:1", 1), "f.toml:4: listen: want IP:PORT, got \"localhost:1\""},
+		{"unknown key", testSettings + "slot = 1\n", "f.toml:8: slot: unknown key"},
+		{"negative time", testSettings + "cold_start = \"-1s\"\n", "f.toml:8: cold_start: want at least 0, got -1s"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -239,7 +239,7 @@
 func TestGroupSettingsRefused(t *testing.T) {
 	is := is.New(t)
 	var g GroupSettings
-	two := "[[leaf]]" + tryText + "[[leaf]]" + tryText
+	two := "[[leaf]]" + testSettings + "[[leaf]]" + testSettings
 	err := settings.Parse("f.toml", []byte(two), &g)
 	is.True(err != nil)
 	is.True(strings.HasSuffix(err.Error(), `leaf.id: [[leaf]] number 2: "teachers-0-a" is taken by number 1`))
--- a/internal/standin/leaf/load.go
+++ b/internal/standin/leaf/load.go
@@ -9,17 +9,17 @@
 
 // loadReport tells the load as it was at least lag ago, in steps of lag.
 type loadReport struct {
-	lag  time.Duration
-	size int
+	minAge time.Duration
+	slots  int
 
 	mu sync.Mutex
-	// told is reported now; next was sampled at sampled and is told lag later. Guarded by mu.
-	told, next *pb.LeafLoad
-	sampled    time.Time
+	// current is reported now; next was sampled at sampled and is told lag later. Guarded by mu.
+	current, next *pb.LeafLoad
+	sampledAt     time.Time
 }
 
 func newLoadReport(lag time.Duration, size int) *loadReport {
-	return &loadReport{lag: lag, size: size, told: &pb.LeafLoad{}, next: &pb.LeafLoad{}}
+	return &loadReport{minAge: lag, slots: size, current: &pb.LeafLoad{}, next: &pb.LeafLoad{}}
 }
 
 // report returns the lagging load; the slots are sampled where lag has passed. The message is
@@ -27,15 +27,15 @@
 func (r *loadReport) report(now time.Time, s *slots) *pb.LeafLoad {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.sampled) < r.lag {
-		return r.told
+	if now.Sub(r.sampledAt) < r.minAge {
+		return r.current
 	}
 	running, queued := s.load()
-	r.told = r.next
+	r.current = r.next
 	r.next = &pb.LeafLoad{
 		InFlight: uint32(running), Queued: uint32(queued),
-		Utilisation: float64(running) / float64(r.size),
+		Utilisation: float64(running) / float64(r.slots),
 	}
-	r.sampled = now
-	return r.told
+	r.sampledAt = now
+	return r.current
 }
--- a/internal/standin/leaf/service.go
+++ b/internal/standin/leaf/service.go
@@ -52,7 +52,7 @@
 	if err := l.refuseSearch(req, from, &f); err != nil {
 		return nil, err
 	}
-	if err := l.takeSlot(ctx); err != nil {
+	if err := l.acquireSlot(ctx); err != nil {
 		return nil, err
 	}
 	defer l.slots.release()
@@ -66,7 +66,7 @@
 		l.journal.searchEnded(entry, SearchFailed)
 		return nil, errInjected()
 	}
-	res := l.mixUp(l.answer(req, &f), &f)
+	res := l.maybeEarlierAnswer(l.answer(req, &f), &f)
 	l.journal.delivered(entry, res)
 	return res, nil
 }
@@ -82,7 +82,7 @@
 // refuseSearch returns the refusal of a search that must not start, or nil.
 func (l *Leaf) refuseSearch(req *pb.LeafSearchRequest, from string, f *Faults) error {
 	switch {
-	case l.drainsFor(from, f):
+	case l.reportsDrainTo(from, f):
 		return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING)
 	case f.Shed:
 		return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// takeSlot waits for a slot. A call that finds no place or whose context ends first is refused,
+// acquireSlot waits for a slot. A call that finds no place or whose context ends first is refused,
 // since it has not started.
-func (l *Leaf) takeSlot(ctx context.Context) error {
+func (l *Leaf) acquireSlot(ctx context.Context) error {
 	err := l.slots.acquire(ctx)
 	switch {
 	case err == nil:
@@ -124,15 +124,15 @@
 		return res
 	}
 	res.Hits = Hits(shard, snapshot, req.GetQuery(), int(req.GetTopK()), l.settings.Documents)
-	pad(res.Hits, max(l.settings.HitBytes, f.HitBytes))
+	padTexts(res.Hits, max(l.settings.HitBytes, f.HitBytes))
 	return res
 }
 
-// mixUp returns the answer, or that to an earlier search where the fault says so.
-func (l *Leaf) mixUp(res *pb.LeafSearchResponse, f *Faults) *pb.LeafSearchResponse {
+// maybeEarlierAnswer returns the answer, or that to an earlier search where the fault says so.
+func (l *Leaf) maybeEarlierAnswer(res *pb.LeafSearchResponse, f *Faults) *pb.LeafSearchResponse {
 	l.mu.Lock()
-	earlier := l.earlier
-	l.earlier = res
+	earlier := l.previousAnswer
+	l.previousAnswer = res
 	l.mu.Unlock()
 	if earlier != nil && l.random.chance(f.MixedShare) {
 		return earlier
@@ -152,7 +152,7 @@
 	if err := l.refuseOrder(req, from, &f); err != nil {
 		return nil, err
 	}
-	if err := l.takeSlot(ctx); err != nil {
+	if err := l.acquireSlot(ctx); err != nil {
 		return nil, err
 	}
 	defer l.slots.release()
@@ -176,7 +176,7 @@
 // refuseOrder returns the refusal of an order that must not start, or nil.
 func (l *Leaf) refuseOrder(req *pb.LeafExecuteRequest, from string, f *Faults) error {
 	switch {
-	case l.drainsFor(from, f):
+	case l.reportsDrainTo(from, f):
 		return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING)
 	case f.Shed:
 		return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)
@@ -195,17 +195,17 @@
 	}
 	return &pb.LeafStatusResponse{
 		Leaf: l.settings.ID, Incarnation: l.incarnation(), Service: l.settings.Service,
-		Draining: l.drainsFor(callerIP(ctx), &f), Slots: uint32(l.settings.Slots), ConnectionLimit: uint32(l.settings.Connections),
+		Draining: l.reportsDrainTo(callerIP(ctx), &f), Slots: uint32(l.settings.Slots), ConnectionLimit: uint32(l.settings.Connections),
 		Snapshots: l.Snapshots(), Load: l.load(&f),
 	}, nil
 }
 
-// drainsFor tells whether the caller is to hear that the leaf drains, and notes that it does.
-func (l *Leaf) drainsFor(ip string, f *Faults) bool {
-	if !f.drainsFor(ip) {
+// reportsDrainTo tells whether the caller is to hear that the leaf drains, and notes that it does.
+func (l *Leaf) reportsDrainTo(ip string, f *Faults) bool {
+	if !f.reportsDrainTo(ip) {
 		return false
 	}
-	l.journal.noticed(ip, time.Now())
+	l.journal.drainNotified(ip, time.Now())
 	return true
 }
 
--- a/internal/standin/leaf/service_test.go
+++ b/internal/standin/leaf/service_test.go
@@ -20,8 +20,8 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// tryLeaf returns a leaf without listeners: one slot, a queue of one, exactly 10 ms of work.
-func tryLeaf(t *testing.T, change func(s *Settings)) *Leaf {
+// newTestLeaf returns a leaf without listeners: one slot, a queue of one, exactly 10 ms of work.
+func newTestLeaf(t *testing.T, change func(s *Settings)) *Leaf {
 	t.Helper()
 	queue := 1
 	s := Settings{
@@ -39,18 +39,18 @@
 	return l
 }
 
-// fault puts the faults in force on a leaf without listeners.
-func fault(l *Leaf, f Faults) {
+// setFaults puts the faults in force on a leaf without listeners.
+func setFaults(l *Leaf, f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-func search() *pb.LeafSearchRequest {
+func searchRequest() *pb.LeafSearchRequest {
 	return &pb.LeafSearchRequest{RequestId: "r1", Service: "teachers", Shard: 7, Snapshot: 1, Query: "maths", TopK: 3}
 }
 
-func order() *pb.LeafExecuteRequest {
+func orderRequest() *pb.LeafExecuteRequest {
 	return &pb.LeafExecuteRequest{RequestId: "r1", Service: "teachers", Kind: "book", Ticket: "t1", Key: "k", Payload: "p"}
 }
 
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// states returns the states of the logged searches.
-func states(l *Leaf) []SearchState {
+// searchStates returns the states of the logged searches.
+func searchStates(l *Leaf) []SearchState {
 	var all []SearchState
 	for _, s := range l.journal.snapshot().Searches {
 		all = append(all, s.State)
@@ -97,9 +97,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			l := tryLeaf(t, nil)
-			fault(l, c.fault)
-			req := search()
+			l := newTestLeaf(t, nil)
+			setFaults(l, c.fault)
+			req := searchRequest()
 			if c.search != nil {
 				c.search(req)
 			}
@@ -108,7 +108,7 @@
 			is.Equal(refusalOf(err).GetIncarnation(), l.incarnation())
 			is.Equal(connect.CodeOf(err), c.code)
 			if c.fault.Drain || c.fault.Shed {
-				_, err = l.Execute(t.Context(), order())
+				_, err = l.Execute(t.Context(), orderRequest())
 				is.Equal(refusalOf(err).GetReason(), c.reason)
 			}
 			log := l.journal.snapshot()
@@ -121,57 +121,57 @@
 func TestSlotsAndQueueAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := tryLeaf(t, nil)
+		l := newTestLeaf(t, nil)
 		start := time.Now()
 		ended := make(chan time.Duration, 2)
 		for range 2 {
 			go func() {
-				_, err := l.Search(t.Context(), search())
+				_, err := l.Search(t.Context(), searchRequest())
 				is.NoErr(err)
 				ended <- time.Since(start)
 			}()
 			synctest.Wait()
 		}
-		_, err := l.Execute(t.Context(), order())
+		_, err := l.Execute(t.Context(), orderRequest())
 		is.Equal(refusalOf(err).GetReason(), pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)
 		is.Equal(<-ended, 10*time.Millisecond)
 		is.Equal(<-ended, 20*time.Millisecond) // the second waited for the slot
-		inFlight, queued := l.slots.highest()
+		inFlight, queued := l.slots.maxCounts()
 		is.Equal([]int{inFlight, queued}, []int{2, 1})
 		running, waiting := l.slots.load()
 		is.Equal(running+waiting, 0)
 	})
 }
 
-func TestDeadlinesAreObeyed(t *testing.T) {
+func TestDeadlinesAreHonoured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := tryLeaf(t, nil)
+		l := newTestLeaf(t, nil)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
 		defer cancel()
 		working := make(chan error)
 		go func() {
-			_, err := l.Search(ctx, search())
+			_, err := l.Search(ctx, searchRequest())
 			working <- err
 		}()
 		synctest.Wait()
 		queued := make(chan error, 1)
 		go func() {
-			_, err := l.Execute(ctx, order())
+			_, err := l.Execute(ctx, orderRequest())
 			queued <- err
 		}()
 		err := <-working
 		is.Equal(connect.CodeOf(err), connect.CodeDeadlineExceeded)
 		is.Equal(refusalOf(err), nil) // it had started
 		is.Equal(refusalOf(<-queued).GetReason(), pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE)
-		is.Equal(states(l), []SearchState{SearchCancelled})
+		is.Equal(searchStates(l), []SearchState{SearchCancelled})
 		is.Equal(len(l.journal.snapshot().Executions), 0)
 		running, waiting := l.slots.load()
 		is.Equal(running+waiting, 0)
 	})
 }
 
-func TestAnOrderThatStartedStaysInTheLog(t *testing.T) {
+func TestStartedOrderStaysInLog(t *testing.T) {
 	cases := []struct {
 		name     string
 		fault    Faults
@@ -189,11 +189,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				l := tryLeaf(t, nil)
-				fault(l, c.fault)
+				l := newTestLeaf(t, nil)
+				setFaults(l, c.fault)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer time.AfterFunc(c.cancelAt, cancel).Stop()
-				_, err := l.Execute(ctx, order())
+				_, err := l.Execute(ctx, orderRequest())
 				is.Equal(connect.CodeOf(err), c.code)
 				is.Equal(refusalOf(err), nil)
 				is.Equal(len(l.journal.snapshot().Executions), c.executed)
@@ -205,9 +205,9 @@
 func TestEachExecutionIsLoggedAndNoneDeduplicated(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "log")
-	l := tryLeaf(t, func(s *Settings) { s.LogFile = file })
+	l := newTestLeaf(t, func(s *Settings) { s.LogFile = file })
 	for range 2 {
-		res, err := l.Execute(t.Context(), order())
+		res, err := l.Execute(t.Context(), orderRequest())
 		is.NoErr(err)
 		is.Equal(res.GetResult(), "done:t1")
 	}
@@ -221,14 +221,14 @@
 }
 
 // The log file tells what went out, not what was asked: a wrong or mixed up answer can be seen there.
-func TestLogFileTellsWhatWasDelivered(t *testing.T) {
+func TestLogFileRecordsDeliveredAnswers(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "log")
-	l := tryLeaf(t, func(s *Settings) { s.LogFile = file })
+	l := newTestLeaf(t, func(s *Settings) { s.LogFile = file })
 	l.SetShards(2, []uint32{4})
 	ask := func(id string, shard uint32, snapshot uint64, f Faults) {
-		fault(l, f)
-		req := search()
+		setFaults(l, f)
+		req := searchRequest()
 		req.RequestId, req.Shard, req.Snapshot = id, shard, snapshot
 		_, _ = l.Search(t.Context(), req)
 	}
@@ -257,7 +257,7 @@
 	is.Equal(delivered, []string{"true 7 1 3", "wrong 8 1 3", "wrong 8 1 3", "moved 4 2 3"})
 }
 
-func TestAnswersProveWhatWasRun(t *testing.T) {
+func TestAnswersIdentifyShardSnapshotAndQuery(t *testing.T) {
 	cases := []struct {
 		name            string
 		fault           Faults
@@ -272,9 +272,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			l := tryLeaf(t, func(s *Settings) { s.HitBytes = 500 })
-			fault(l, c.fault)
-			res, err := l.Search(t.Context(), search())
+			l := newTestLeaf(t, func(s *Settings) { s.HitBytes = 500 })
+			setFaults(l, c.fault)
+			res, err := l.Search(t.Context(), searchRequest())
 			is.NoErr(err)
 			is.Equal(uint64(res.GetShard()), c.shard)
 			is.Equal(res.GetSnapshot(), c.snapshot)
@@ -283,7 +283,7 @@
 			for _, h := range res.GetHits() {
 				is.Equal(len(h.GetText()), 500)
 			}
-			is.Equal(states(l), []SearchState{SearchDelivered})
+			is.Equal(searchStates(l), []SearchState{SearchDelivered})
 		})
 	}
 }
@@ -291,13 +291,13 @@
 func TestStalledSearchIsLoggedAsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := tryLeaf(t, nil)
-		fault(l, Faults{Stall: true})
+		l := newTestLeaf(t, nil)
+		setFaults(l, Faults{Stall: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 		defer cancel()
-		_, err := l.Search(ctx, search())
+		_, err := l.Search(ctx, searchRequest())
 		is.Equal(connect.CodeOf(err), connect.CodeDeadlineExceeded)
-		is.Equal(states(l), []SearchState{SearchCancelled})
+		is.Equal(searchStates(l), []SearchState{SearchCancelled})
 	})
 }
 
@@ -357,10 +357,10 @@
 	is.True(slow > 900 && slow < 1100)
 }
 
-func TestLoadReportLagsAndLies(t *testing.T) {
+func TestLoadReportLagsAndCanBeOverridden(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := tryLeaf(t, nil)
+		l := newTestLeaf(t, nil)
 		inFlight := func() uint32 {
 			res, err := l.Status(t.Context(), &pb.LeafStatusRequest{})
 			is.NoErr(err)
@@ -375,7 +375,7 @@
 		is.Equal(inFlight(), uint32(0))
 		time.Sleep(time.Millisecond)
 		is.Equal(inFlight(), uint32(1))
-		fault(l, Faults{Report: &Report{Utilisation: 0.1, InFlight: 42}})
+		setFaults(l, Faults{Report: &Report{Utilisation: 0.1, InFlight: 42}})
 		is.Equal(inFlight(), uint32(42))
 	})
 }
--- a/internal/standin/leaf/settings.go
+++ b/internal/standin/leaf/settings.go
@@ -97,14 +97,14 @@
 }
 
 func (s *Settings) fillDefaults() {
-	fill(&s.Zone, defaultZone)
-	fill(&s.Slots, defaultSlots)
-	fill(&s.Connections, defaultConnections)
-	fill(&s.Documents, defaultDocuments)
-	fill(&s.ServiceTime, settings.Duration(defaultServiceTime))
-	fill(&s.ReportLag, settings.Duration(defaultReportLag))
-	fill(&s.SearchLog, defaultSearchLog)
-	fill(&s.RestartAfter, settings.Duration(defaultRestartAfter))
+	setDefault(&s.Zone, defaultZone)
+	setDefault(&s.Slots, defaultSlots)
+	setDefault(&s.Connections, defaultConnections)
+	setDefault(&s.Documents, defaultDocuments)
+	setDefault(&s.ServiceTime, settings.Duration(defaultServiceTime))
+	setDefault(&s.ReportLag, settings.Duration(defaultReportLag))
+	setDefault(&s.SearchLog, defaultSearchLog)
+	setDefault(&s.RestartAfter, settings.Duration(defaultRestartAfter))
 	if s.Queue == nil {
 		queue := defaultQueue
 		s.Queue = &queue
@@ -117,8 +117,8 @@
 	}
 }
 
-// fill sets v to the default where it is zero.
-func fill[T comparable](v *T, byDefault T) {
+// setDefault sets v to the default where it is zero.
+func setDefault[T comparable](v *T, byDefault T) {
 	var zero T
 	if *v == zero {
 		*v = byDefault
--- a/internal/standin/leaf/slots.go
+++ b/internal/standin/leaf/slots.go
@@ -28,7 +28,7 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	turn, err := s.enter()
+	turn, err := s.acquireOrQueue()
 	if turn == nil {
 		return err
 	}
@@ -41,13 +41,13 @@
 	}
 }
 
-// enter takes a free slot (nil, nil) or a place in the queue.
-func (s *slots) enter() (chan struct{}, error) {
+// acquireOrQueue takes a free slot (nil, nil) or a place in the queue.
+func (s *slots) acquireOrQueue() (chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running < s.size {
 		s.running++
-		s.noteMax()
+		s.updateMax()
 		return nil, nil
 	}
 	if len(s.waiting) >= s.queue {
@@ -55,12 +55,12 @@
 	}
 	turn := make(chan struct{})
 	s.waiting = append(s.waiting, turn)
-	s.noteMax()
+	s.updateMax()
 	return turn, nil
 }
 
-// noteMax keeps the highest counts. s.mu is held.
-func (s *slots) noteMax() {
+// updateMax keeps the highest counts. s.mu is held.
+func (s *slots) updateMax() {
 	s.maxInFlight = max(s.maxInFlight, s.running+len(s.waiting))
 	s.maxQueued = max(s.maxQueued, len(s.waiting))
 }
@@ -75,18 +75,18 @@
 			return
 		}
 	}
-	s.handOn()
+	s.passOn()
 }
 
 // release gives the slot back.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handOn()
+	s.passOn()
 }
 
-// handOn gives a slot to the call that waits longest. s.mu is held.
-func (s *slots) handOn() {
+// passOn gives a slot to the call that waits longest. s.mu is held.
+func (s *slots) passOn() {
 	if len(s.waiting) == 0 {
 		s.running--
 		return
@@ -102,8 +102,8 @@
 	return s.running, len(s.waiting)
 }
 
-// highest returns the highest counts since resetMax.
-func (s *slots) highest() (inFlight, queued int) {
+// maxCounts returns the highest counts since resetMax.
+func (s *slots) maxCounts() (inFlight, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxInFlight, s.maxQueued
@@ -113,5 +113,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxInFlight, s.maxQueued = 0, 0
-	s.noteMax()
+	s.updateMax()
 }
