--- a/internal/standin/listener/conn.go
+++ b/internal/standin/listener/conn.go
@@ -10,14 +10,14 @@
 type conn struct {
 	net.Conn
 	listener *Listener
-	// readable is when the connection is first read.
-	readable time.Time
-	remove   sync.Once
+	// readableAt is when the connection is first read.
+	readableAt time.Time
+	removeOnce sync.Once
 }
 
 // Read waits for the connect delay to pass and then reads.
 func (c *conn) Read(p []byte) (int, error) {
-	if wait := time.Until(c.readable); wait > 0 {
+	if wait := time.Until(c.readableAt); wait > 0 {
 		time.Sleep(wait)
 	}
 	return c.Conn.Read(p)
@@ -25,13 +25,13 @@
 
 // Close closes the connection and counts it out.
 func (c *conn) Close() error {
-	c.remove.Do(func() { c.listener.remove(c) })
+	c.removeOnce.Do(func() { c.listener.remove(c) })
 	return c.Conn.Close()
 }
 
 // reset closes the connection so that the other end sees a reset, and counts it out.
 func (c *conn) reset() {
-	c.remove.Do(func() { c.listener.remove(c) })
+	c.removeOnce.Do(func() { c.listener.remove(c) })
 	reset(c.Conn)
 }
 
--- a/internal/standin/listener/listener.go
+++ b/internal/standin/listener/listener.go
@@ -34,12 +34,12 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu. inner is nil while the listener is down; change is closed
 	// and replaced when it comes back or is closed.
-	inner  net.Listener
-	change chan struct{}
-	closed bool
-	cut    map[string]bool
-	open   map[*conn]struct{}
-	stats  Stats
+	inner      net.Listener
+	change     chan struct{}
+	closed     bool
+	cutSources map[string]bool
+	open       map[*conn]struct{}
+	stats      Stats
 }
 
 // Listen opens a listener on addr, IP:PORT.
@@ -105,11 +105,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	full := l.opts.Limit > 0 && len(l.open) >= l.opts.Limit
-	if l.inner == nil || full || l.cut[host(nc)] {
+	if l.inner == nil || full || l.cutSources[host(nc)] {
 		l.stats.Refused++
 		return nil
 	}
-	c := &conn{Conn: nc, listener: l, readable: time.Now().Add(l.opts.Delay)}
+	c := &conn{Conn: nc, listener: l, readableAt: time.Now().Add(l.opts.Delay)}
 	l.open[c] = struct{}{}
 	l.stats.Max = max(l.stats.Max, len(l.open))
 	return c
@@ -144,7 +144,7 @@
 		cut[s] = true
 	}
 	l.mu.Lock()
-	l.cut = cut
+	l.cutSources = cut
 	l.mu.Unlock()
 	l.resetWhere(func(c *conn) bool { return cut[host(c)] })
 }
--- a/internal/standin/listener/listener_test.go
+++ b/internal/standin/listener/listener_test.go
@@ -75,7 +75,7 @@
 	is.Equal(l.Stats(), Stats{Now: 2, Max: 2, Refused: 1})
 }
 
-func TestDownRefusesAndComesBackOnItsAddress(t *testing.T) {
+func TestListenerReopensOnSameAddressAfterDown(t *testing.T) {
 	is := is.New(t)
 	l, accepted := open(t, Options{})
 	before, err := dial(l, "127.0.0.1")
@@ -124,7 +124,7 @@
 	return f
 }
 
-func TestRenewSaysGoAwayOnIdleConnectionsAndServesNewOnes(t *testing.T) {
+func TestGoAwayEndsIdleConnectionsAndServesNewOnes(t *testing.T) {
 	is := is.New(t)
 	l, err := Listen("127.0.0.1:0", Options{})
 	is.NoErr(err)
@@ -147,11 +147,11 @@
 	is.Equal(l.Stats().Now, 0)
 }
 
-func TestConnectDelayHoldsTheFirstRead(t *testing.T) {
+func TestConnectDelayPostponesFirstRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		far, near := net.Pipe()
-		c := &conn{Conn: near, readable: time.Now().Add(6 * time.Millisecond)}
+		c := &conn{Conn: near, readableAt: time.Now().Add(6 * time.Millisecond)}
 		go func() { _, _ = far.Write([]byte("xy")) }()
 		start := time.Now()
 		for range 2 {
--- a/internal/standin/listener/server.go
+++ b/internal/standin/listener/server.go
@@ -21,26 +21,26 @@
 	mu sync.Mutex
 	// current takes new connections; older holds those told to go away until they have ended. Both
 	// are guarded by mu.
-	current *generation
-	older   map[*generation]struct{}
+	current  *generation
+	draining map[*generation]struct{}
 }
 
 // generation is one http.Server of the chain.
 type generation struct {
-	http *http.Server
-	feed *feed
+	http  *http.Server
+	conns *connQueue
 }
 
 // NewServer returns a server of h; Run serves.
 func NewServer(l *Listener, h http.Handler) *Server {
-	s := &Server{listener: l, handler: h, older: make(map[*generation]struct{})}
+	s := &Server{listener: l, handler: h, draining: make(map[*generation]struct{})}
 	s.current = s.newGeneration()
 	return s
 }
 
 func (s *Server) newGeneration() *generation {
-	g := &generation{http: rpc.NewServer(s.handler), feed: newFeed(s.listener.Addr())}
-	go func() { _ = g.http.Serve(g.feed) }()
+	g := &generation{http: rpc.NewServer(s.handler), conns: newConnQueue(s.listener.Addr())}
+	go func() { _ = g.http.Serve(g.conns) }()
 	return g
 }
 
@@ -57,17 +57,17 @@
 		if err != nil {
 			return eris.Wrap(err, "standin.listener: accept")
 		}
-		s.hand(nc)
+		s.dispatch(nc)
 	}
 }
 
-// hand gives the connection to the newest generation that takes it.
-func (s *Server) hand(nc net.Conn) {
+// dispatch gives the connection to the newest generation that takes it.
+func (s *Server) dispatch(nc net.Conn) {
 	for {
 		s.mu.Lock()
 		g := s.current
 		s.mu.Unlock()
-		if g.feed.give(nc) {
+		if g.conns.offer(nc) {
 			return
 		}
 	}
@@ -76,7 +76,7 @@
 // GoAway sends GOAWAY on open HTTP/2 connections and closes idle HTTP/1.1 ones; calls in flight
 // finish. New connections are served as before. It returns at once.
 func (s *Server) GoAway() {
-	old := s.replace()
+	old := s.replaceCurrent()
 	go func() {
 		_ = old.http.Shutdown(context.Background())
 		s.forget(old)
@@ -85,16 +85,16 @@
 
 // Drain is Renew that waits until the calls in flight have finished or ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
-	old := s.replace()
+	old := s.replaceCurrent()
 	defer s.forget(old)
 	return old.http.Shutdown(ctx)
 }
 
-func (s *Server) replace() *generation {
+func (s *Server) replaceCurrent() *generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.current
-	s.older[old] = struct{}{}
+	s.draining[old] = struct{}{}
 	s.current = s.newGeneration()
 	return old
 }
@@ -102,33 +102,33 @@
 func (s *Server) forget(g *generation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.older, g)
+	delete(s.draining, g)
 }
 
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for g := range s.older {
+	for g := range s.draining {
 		_ = g.http.Close()
 	}
 	_ = s.current.http.Close()
 	s.listener.ResetConns()
 }
 
-// feed is the net.Listener of one generation.
-type feed struct {
+// connQueue is the net.Listener of one generation.
+type connQueue struct {
 	addr   net.Addr
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newFeed(addr net.Addr) *feed {
-	return &feed{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
+func newConnQueue(addr net.Addr) *connQueue {
+	return &connQueue{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// give hands the connection over, or returns false where the feed is closed.
-func (f *feed) give(nc net.Conn) bool {
+// offer hands the connection over, or returns false where the feed is closed.
+func (f *connQueue) offer(nc net.Conn) bool {
 	select {
 	case f.conns <- nc:
 		return true
@@ -138,7 +138,7 @@
 }
 
 // Accept implements net.Listener.
-func (f *feed) Accept() (net.Conn, error) {
+func (f *connQueue) Accept() (net.Conn, error) {
 	select {
 	case nc := <-f.conns:
 		return nc, nil
@@ -148,10 +148,10 @@
 }
 
 // Close implements net.Listener.
-func (f *feed) Close() error {
+func (f *connQueue) Close() error {
 	f.once.Do(func() { close(f.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *feed) Addr() net.Addr { return f.addr }
+func (f *connQueue) Addr() net.Addr { return f.addr }
