--- a/internal/standin/publish/publish.go
+++ b/internal/standin/publish/publish.go
@@ -18,8 +18,8 @@
 const (
 	manifestFile = "manifest"
 	sectionsDir  = "sections"
-	// timeout bounds one upload.
-	timeout = 10 * time.Second
+	// uploadTimeout bounds one upload.
+	uploadTimeout = 10 * time.Second
 )
 
 // Client uploads to the control listener of a stand-in platform.
@@ -32,7 +32,7 @@
 
 // NewClient returns a client for the control listener at IP:PORT.
 func NewClient(control string) *Client {
-	return &Client{Control: control, HTTP: &http.Client{Timeout: timeout}}
+	return &Client{Control: control, HTTP: &http.Client{Timeout: uploadTimeout}}
 }
 
 // Bundle uploads DIR/sections/<hex> and then DIR/manifest. No section is uploaded after the
--- a/internal/standin/publish/publish_test.go
+++ b/internal/standin/publish/publish_test.go
@@ -15,7 +15,7 @@
 	"github.com/burdockplank/burdockplank/internal/standin/platform"
 )
 
-func TestManifestGoesLastAndOnlyAfterAllSections(t *testing.T) {
+func TestManifestIsUploadedLastAndOnlyAfterAllSections(t *testing.T) {
 	cases := []struct {
 		name, refused string
 		want          []string
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPublishedIsRead(t *testing.T) {
+func TestPublishedBundleAndListAreServed(t *testing.T) {
 	is := is.New(t)
 	p, err := platform.New(platform.Options{Listen: "127.0.0.1:0", Control: "127.0.0.1:0"})
 	is.NoErr(err)
