--- a/internal/standin/hosted/leaf.go
+++ b/internal/standin/hosted/leaf.go
@@ -13,18 +13,19 @@
 	"time"
 )
 
-// Leaf plays a leaf of the platform: it serves one request at a time on a connection, slots of them at
-// once, and refuses what it has no room for. It is safe for concurrent use.
+// Leaf is a stand-in for a leaf of the platform. It serves one request at a time on each connection
+// and as many at once as it has slots, and refuses requests beyond that. It is safe for concurrent
+// use.
 type Leaf struct {
 	ID string
-	// Born is when it started, in Unix milliseconds.
+	// Born is the time of the leaf's start in Unix milliseconds.
 	Born       int64
 	listener   net.Listener
 	slots      chan struct{}
 	goroutines sync.WaitGroup
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu, except running.
 	script   Script
 	conns    map[net.Conn]struct{}
 	received []ReceivedRequest
@@ -32,7 +33,7 @@
 	running  atomic.Int64
 }
 
-// ReceivedRequest is a request that reached the leaf.
+// ReceivedRequest is a request that reached the leaf. Ran reports whether the leaf ran it.
 type ReceivedRequest struct {
 	ID, Method, Target, Host, ExpectedInstance string
 	Remaining                                  int
@@ -42,40 +43,42 @@
 	At                                         time.Time
 }
 
-// Reply is what a leaf does with a request.
+// Reply is a leaf's reaction to a request.
 type Reply struct {
-	// Delay is how long the work takes.
+	// Delay is the service time.
 	Delay time.Duration
-	// Status is 200 where it is 0.
+	// Status is the status code; 0 stands for 200.
 	Status int
 	Body   []byte
 	Header http.Header
 	// Refuse answers 503 without running the request.
 	Refuse bool
-	// Raw, where set, is written in place of an answer; Then is written after the answer.
+	// Raw, if set, is written in place of an answer. Trailing is written after the answer.
 	Raw, Trailing []byte
-	// Close ends the connection after what was written, Reset with a reset.
+	// Close closes the connection after the answer or Raw. Reset resets it in place of an answer.
 	Close, Reset bool
-	// Truncate cuts the body to as many bytes, under a length that promises more.
+	// Truncate, if above 0, cuts the body to this many bytes; Content-Length still announces the
+	// full body.
 	Truncate int
-	// NoLength sends the body without a length and ends the connection.
+	// NoLength sends the body without a Content-Length and closes the connection.
 	NoLength bool
-	// BeforeBody answers before the body was read.
+	// BeforeBody answers without reading the request's body first.
 	BeforeBody bool
 }
 
-// RequestID returns the attempt's id that a request carries.
+// RequestID returns the id of the attempt, which the request carries in its Request-Id header.
 func RequestID(r *http.Request) string { return r.Header.Get("Request-Id") }
 
-// ForeignAnswer is a success that belongs to another attempt, signed by nobody.
+// ForeignAnswer returns a successful answer to another attempt, with a signature of no known leaf.
 func ForeignAnswer() []byte {
 	return []byte("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nServer-Stamp: other.other\r\nContent-Length: 5\r\n\r\nother")
 }
 
-// Script decides what a leaf does with its n-th request, from 0.
+// Script returns the leaf's reaction to its n-th request, counted from 0.
 type Script func(n int, r *http.Request) Reply
 
-// NewLeaf starts a leaf at a free port of loopback with as many slots. Close ends it.
+// NewLeaf starts a leaf with the given number of slots on a free loopback port. It panics if it
+// can't listen. The caller must Close the leaf.
 func NewLeaf(id string, slots int, script Script) *Leaf {
 	leaf, err := NewLeafAt("127.0.0.1:0", id, slots, script)
 	if err != nil {
@@ -84,7 +87,7 @@
 	return leaf
 }
 
-// NewLeafAt starts a leaf at the address, such as that of one that has ended.
+// NewLeafAt starts a leaf at the address, which may be that of a closed leaf.
 func NewLeafAt(address, id string, slots int, script Script) (*Leaf, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -95,7 +98,7 @@
 	return leaf, nil
 }
 
-// Address returns IP:PORT of the leaf.
+// Address returns the IP:PORT of the leaf.
 func (l *Leaf) Address() string { return l.listener.Addr().String() }
 
 // Entry returns the leaf's entry in the store, under servers/ID.
@@ -106,14 +109,14 @@
 	}
 }
 
-// Close ends the leaf and its connections.
+// Close closes the leaf and its connections and waits for their goroutines.
 func (l *Leaf) Close() {
 	_ = l.listener.Close()
 	l.CloseConns()
 	l.goroutines.Wait()
 }
 
-// CloseConns ends all open connections.
+// CloseConns closes all open connections.
 func (l *Leaf) CloseConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,21 +125,21 @@
 	}
 }
 
-// SetScript changes what the leaf does from now on.
+// SetScript replaces the script for all later requests.
 func (l *Leaf) SetScript(s Script) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.script = s
 }
 
-// Requests returns what reached the leaf so far.
+// Requests returns the requests that have reached the leaf so far.
 func (l *Leaf) Requests() []ReceivedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]ReceivedRequest(nil), l.received...)
 }
 
-// ConnectionsOpened returns how many connections were opened so far.
+// ConnectionsOpened returns the number of connections accepted so far.
 func (l *Leaf) ConnectionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,7 +179,7 @@
 	}
 }
 
-// answer serves one request and tells whether the connection goes on.
+// answer serves one request and reports whether the connection stays open.
 func (l *Leaf) answer(c net.Conn, r *http.Request) bool {
 	l.mu.Lock()
 	reply := l.script(len(l.received), r)
@@ -218,10 +221,10 @@
 	}
 }
 
-// Stamp is the signature that a leaf puts on an answer to the attempt.
+// Stamp returns the leaf's signature for an answer to the attempt.
 func (l *Leaf) Stamp(id string) string { return l.ID + "." + id }
 
-// write sends the reply and tells whether the connection goes on.
+// write writes the reply and reports whether the connection stays open.
 func (l *Leaf) write(c net.Conn, seen *ReceivedRequest, reply Reply) bool {
 	if reply.Reset {
 		_ = c.(*net.TCPConn).SetLinger(0)
@@ -235,7 +238,7 @@
 	return err == nil && !reply.Close && !reply.NoLength && reply.Truncate == 0
 }
 
-// Answer returns an answer to the attempt as it goes over the wire.
+// Answer returns the encoded HTTP answer to the attempt.
 func (l *Leaf) Answer(id string, reply Reply) []byte {
 	status := reply.Status
 	if status == 0 {
--- a/internal/standin/hosted/operator.go
+++ b/internal/standin/hosted/operator.go
@@ -9,31 +9,31 @@
 	"github.com/burdockplank/burdockplank/internal/deployment"
 )
 
-// Route is a route as the operator writes it.
+// Route is a route as the operator configures it.
 type Route struct {
 	Name, Host, Prefix     string
 	Idempotent             bool
 	Timeout, TargetLatency time.Duration
-	// Priority is the rank of the route, 0 the most urgent.
+	// Priority is the rank of the route; 0 is the most urgent.
 	Priority, MaxAttempts int
-	// Service of single requests; or the Shards of a search, how many records it returns and the least
-	// share of the shards.
+	// Service is set for a route of single requests. A search route sets Shards, TopK, the number of
+	// records that a search returns, and MinShardShare, the least share of shards that must answer.
 	Service       string
 	Shards        []string
 	TopK          int
 	MinShardShare float64
 }
 
-// Config is a version of the configuration as the operator writes it.
+// Config is one version of the operator's configuration.
 type Config struct {
 	Version int
 	Routes  []Route
-	// Services by name, each with so many connections to a leaf.
+	// Services are the names of the services. Connections is the connection limit to each leaf.
 	Services    []string
 	Connections int
 }
 
-// Configure puts a version in force.
+// Configure writes the configuration to the store under op/config.
 func (s *Store) Configure(c Config) {
 	var routes, services []map[string]any
 	for i := range c.Routes {
@@ -67,22 +67,22 @@
 	return out
 }
 
-// PutLeaf writes the entry of a leaf that is reached at the address.
+// PutLeaf writes the leaf's entry with the given address.
 func (s *Store) PutLeaf(l *Leaf, service, zone, state, address string) {
 	entry := l.Entry(service, zone, state)
 	entry["address"] = address
 	s.PutJSON(entryKey(l), entry)
 }
 
-// RemoveLeaf deletes the entry of a leaf.
+// RemoveLeaf deletes the leaf's entry.
 func (s *Store) RemoveLeaf(l *Leaf) { s.Delete(entryKey(l)) }
 
 func entryKey(l *Leaf) string { return ServerKey(l.ID) }
 
-// ServerKey is a key as of a leaf of the name, for entries that no leaf wrote.
+// ServerKey returns the store key of a leaf's entry. Tests also use it for entries that no leaf wrote.
 func ServerKey(name string) string { return "servers/" + name }
 
-// WriteSettings writes a VM's settings file as the platform does.
+// WriteSettings writes a VM's settings file in the platform's format.
 func WriteSettings(file string, s *deployment.Settings) error {
 	text := fmt.Sprintf(`node_name = %q
 ip = %q
--- a/internal/standin/hosted/store.go
+++ b/internal/standin/hosted/store.go
@@ -1,5 +1,5 @@
-// Package hosted holds stand-ins of the users' platform for tests: its store, which can only be read,
-// and its leaves, on HTTP/1.1 with the platform's names and faults.
+// Package hosted provides stand-ins for the users' platform in tests: its store, which is read-only
+// over the network, and its leaves. They speak HTTP/1.1 with the platform's names and can inject faults.
 package hosted
 
 import (
@@ -14,33 +14,35 @@
 	"time"
 )
 
-// pageItems is how many items a page of a range holds, few so that tests meet several pages.
-const pageItems = 20
+// maxPageItems is the most items in one page of a range. It is small so that tests cover several pages.
+const maxPageItems = 20
 
-// Store plays the platform's store. It is safe for concurrent use.
+// Store is a stand-in for the platform's store. It is safe for concurrent use.
 type Store struct {
 	server *httptest.Server
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
+	// The fields below are guarded by mu.
 	revision uint64
 	items    map[string]entry
 	history  []entry
-	// oldest is the revision that the history reaches back to.
-	oldest  uint64
+	// oldest is the revision that the history reaches back to; watches after an older one get 410.
+	oldest uint64
+	// changed is closed and replaced at each change of items or faults.
 	changed chan struct{}
 	fault   Fault
 	calls   map[string]int
-	// staleItems and staleRevision are what stale reads see, where set.
+	// stale is the state that reads with stale_ok see; nil is the present state.
 	stale *staleView
 }
 
+// staleView is the state of the store at a past revision.
 type staleView struct {
 	items    map[string]entry
 	revision uint64
 }
 
-// entry is an item or its deletion, as on the wire.
+// entry is an item or its deletion in the wire format.
 type entry struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
@@ -50,36 +52,37 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// Fault is how the store misbehaves.
+// Fault is an injected fault of the store. The zero value is none.
 type Fault struct {
-	// Status, where not 0, is answered to every call.
+	// Status, if not 0, is the status code of the answer to every call.
 	Status int
-	// Silent calls get no answer.
+	// Silent leaves calls without an answer.
 	Silent bool
-	// Delay comes before each answer.
+	// Delay is the time before each answer.
 	Delay time.Duration
-	// DropConnection does nothing but drop the connection after the call was worked on.
+	// DropConnection closes the connection without an answer once the call was received.
 	DropConnection bool
 }
 
-// NewStore starts a store. Close ends it.
+// NewStore starts a store. The caller must Close it.
 func NewStore() *Store {
 	s := &Store{revision: 1, oldest: 1, items: make(map[string]entry), changed: make(chan struct{}), calls: make(map[string]int)}
 	s.server = httptest.NewServer(http.HandlerFunc(s.serve))
 	return s
 }
 
-// Address returns IP:PORT of the store.
+// Address returns the IP:PORT of the store.
 func (s *Store) Address() string { return strings.TrimPrefix(s.server.URL, "http://") }
 
-// Close ends the store and its open calls.
+// Close closes the store and ends its open calls.
 func (s *Store) Close() {
 	s.SetFault(Fault{Status: http.StatusServiceUnavailable})
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
-// SetFault makes the store misbehave, or behave; watches that wait are cut.
+// SetFault replaces the fault. A fault with Status answers the waiting watches; Silent and
+// DropConnection cut their connections.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,12 +90,12 @@
 	s.wake()
 }
 
-// Put writes an item.
+// Put writes an item and returns its revision.
 func (s *Store) Put(key, value string) uint64 {
 	return s.write(entry{Key: key, Value: []byte(value)})
 }
 
-// PutJSON writes an item encoded as JSON.
+// PutJSON writes an item encoded as JSON and returns its revision. It panics if value can't be encoded.
 func (s *Store) PutJSON(key string, value any) uint64 {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -101,7 +104,7 @@
 	return s.Put(key, string(text))
 }
 
-// Delete removes an item.
+// Delete removes an item and returns the revision of its deletion.
 func (s *Store) Delete(key string) uint64 { return s.write(entry{Key: key, Tombstone: true}) }
 
 func (s *Store) write(e entry) uint64 {
@@ -119,13 +122,13 @@
 	return s.revision
 }
 
-// wake lets watches look again. Requires mu.
+// wake makes waiting watches check the state again. The caller holds mu.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets the history.
+// Compact discards the history, so that watches after an older revision get 410 (history gone).
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +136,7 @@
 	s.wake()
 }
 
-// FreezeStale makes stale reads go on seeing the present state.
+// FreezeStale makes reads with stale_ok return the present state from now on, whatever changes later.
 func (s *Store) FreezeStale() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +147,7 @@
 	s.stale = &staleView{items: seen, revision: s.revision}
 }
 
-// Calls returns how often a path was called.
+// Calls returns the number of calls to a path so far.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,8 +197,8 @@
 	}
 	s.mu.Unlock()
 	slices.SortFunc(list, func(a, b entry) int { return cmp.Compare(a.Key, b.Key) })
-	more := len(list) > pageItems
-	write(w, map[string]any{"items": list[:min(pageItems, len(list))], "has_more": more, "store_revision": revision})
+	more := len(list) > maxPageItems
+	write(w, map[string]any{"items": list[:min(maxPageItems, len(list))], "has_more": more, "store_revision": revision})
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, prefix string, after uint64, wait time.Duration) {
@@ -230,7 +233,8 @@
 	}
 }
 
-// since returns the events after the revision, or that they are forgotten. Requires mu.
+// since returns the events after the revision. gone is true if the history no longer reaches back that
+// far. The caller holds mu.
 func (s *Store) since(prefix string, after uint64) (events []entry, gone bool) {
 	if after < s.oldest {
 		return nil, true
