--- a/internal/standin/platform/control.go
+++ b/internal/standin/platform/control.go
@@ -7,7 +7,7 @@
 	"github.com/burdockplank/burdockplank/internal/standin/control"
 )
 
-// controlHandler serves the operators' side: publishing, faults and counts.
+// controlHandler serves the control listener: publishing, faults and read counts.
 func (p *Platform) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("live\n")) })
@@ -39,7 +39,7 @@
 	setRevision(w, p.PutList(l))
 }
 
-// checkList returns why the list can't be served, or "". It fills in absent states.
+// checkList returns the reason why the list is invalid, or "". It sets absent states to live.
 func checkList(l *List) string {
 	for i := range l.VMs {
 		if !checkState(&l.VMs[i].State) {
--- a/internal/standin/platform/model.go
+++ b/internal/standin/platform/model.go
@@ -7,7 +7,7 @@
 // State is the state of a VM or leaf in the list.
 type State string
 
-// The states of the list.
+// The states of a VM or leaf in the list.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
@@ -42,31 +42,32 @@
 	State   State  `json:"state"`
 }
 
-// Faults are what the platform does wrong. The zero value is none.
+// Faults are the injected faults of the platform. The zero value is none.
 type Faults struct {
 	// Down refuses connections and resets open ones.
 	Down bool `json:"down"`
-	// Hang accepts requests and answers none until it is cleared.
+	// Hang accepts requests and delays their answers until it is cleared.
 	Hang bool `json:"hang"`
-	// StaleRevision serves the bundle keys as they stood at this revision; 0 serves the newest.
+	// StaleRevision serves the bundle keys as of this revision; 0 serves the newest.
 	StaleRevision uint64 `json:"stale_revision"`
-	// ListLag is how long after its publication a list is served.
+	// ListLag is the time from a list's publication until it is served.
 	ListLag settings.Duration `json:"list_lag"`
-	// CutSources are the IP numbers of clients that are refused and whose connections are reset.
+	// CutSources are the IP numbers of clients whose new connections are refused and whose open ones
+	// are reset.
 	CutSources []string `json:"cut_sources"`
 }
 
-// Reads counts the read requests that arrived. A waiting watch counts as one read, at its start.
+// Reads counts the read requests that arrived. A watch counts as one read, at its start.
 type Reads struct {
 	Total    uint64 `json:"total"`
 	Manifest uint64 `json:"manifest"`
 	Section  uint64 `json:"section"`
 	Key      uint64 `json:"key"`
 	List     uint64 `json:"list"`
-	// Watches are the reads above that asked to wait.
+	// Watches counts those of the reads above that asked to wait.
 	Watches uint64 `json:"watches"`
-	// WaitingNow is how many watches wait at this moment.
+	// WaitingNow is the number of watches that wait at present.
 	WaitingNow int `json:"waiting_now"`
-	// BySource are the reads above by the client's IP number.
+	// BySource counts the reads above by the client's IP number.
 	BySource map[string]uint64 `json:"by_source"`
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,7 +1,7 @@
 // Package platform is a stand-in for the platform's configuration service and its list of VMs and
-// leaves, for tests, demo and bench. The system only reads it: keys with revisions, read and
-// watched by long poll, and a list that may lag. Publishing, faults and read counts are on a
-// separate control listener.
+// leaves, for tests, the demo and benchmarks. The system has read-only access: to keys with revisions,
+// which it reads or watches by long poll, and to a list that may lag. A separate control listener
+// serves publishing, faults and read counts.
 package platform
 
 import (
@@ -19,13 +19,13 @@
 	"github.com/burdockplank/burdockplank/internal/standin/listener"
 )
 
-// Options say where a platform listens, both IP:PORT.
+// Options are the addresses that a platform listens on, both IP:PORT.
 type Options struct {
 	Listen  string
 	Control string
 }
 
-// Platform owns the data, the faults and the two listeners.
+// Platform owns the data, the faults and the two listeners. It is safe for concurrent use.
 type Platform struct {
 	store *store
 	reads *readCounter
@@ -39,7 +39,7 @@
 	faults Faults
 }
 
-// New opens both listeners; Run serves them.
+// New opens both listeners. Run serves them.
 func New(o Options) (*Platform, error) {
 	l, err := listener.Listen(o.Listen, listener.Options{})
 	if err != nil {
@@ -66,7 +66,7 @@
 // ControlAddr returns the address of the control listener.
 func (p *Platform) ControlAddr() string { return p.control.Addr().String() }
 
-// Run serves until ctx ends.
+// Run serves both listeners until ctx ends, then closes all connections.
 func (p *Platform) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return control.Serve(ctx, p.control, p.controlHandler()) })
@@ -87,7 +87,7 @@
 // PutKey sets a key and returns its revision.
 func (p *Platform) PutKey(key string, data []byte) uint64 { return p.store.put(key, data) }
 
-// PutList sets the list, whose Revision is ignored, and returns its revision.
+// PutList sets the list and returns its new revision. It ignores l.Revision.
 func (p *Platform) PutList(l List) uint64 { return p.store.putList(l) }
 
 // Reads returns the read counts.
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// get reads a path of the platform without a network.
+// get reads a path of the platform by a direct call of its handler.
 func get(p *Platform, path string) *httptest.ResponseRecorder {
 	return send(p.readHandler(), http.MethodGet, path, "")
 }
@@ -27,7 +27,7 @@
 	return w
 }
 
-// startRead starts a read and returns where its answer comes.
+// startRead starts a read and returns the channel that receives its answer.
 func startRead(p *Platform, path string) <-chan *httptest.ResponseRecorder {
 	answer := make(chan *httptest.ResponseRecorder, 1)
 	go func() { answer <- get(p, path) }()
--- a/internal/standin/platform/read.go
+++ b/internal/standin/platform/read.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// HeaderRevision carries the revision of what a read shows.
+	// HeaderRevision is the header with the revision of the value that is served.
 	HeaderRevision = "Platform-Revision"
-	// maxWait is the longest wait that a watch may ask for.
+	// maxWait is the longest wait of a watch.
 	maxWait = time.Minute
 )
 
-// readHandler serves /v1/ to the system. Only GET is allowed there.
+// readHandler serves /v1/ to the system. It allows only GET.
 func (p *Platform) readHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/keys/{key...}", getOnly(p.serveKey))
@@ -37,12 +37,12 @@
 	}
 }
 
-// watchQuery is what a request asks about waiting.
+// watchQuery holds the after and wait parameters of a read.
 type watchQuery struct {
-	// conditional is true where only a revision above after is wanted.
+	// conditional is true if the client wants only a revision above after.
 	conditional bool
 	after       uint64
-	// wait is how long to wait for it; 0 answers at once.
+	// wait is the longest time to wait for that revision; 0 answers at once.
 	wait time.Duration
 }
 
@@ -55,39 +55,40 @@
 	if err != nil {
 		return watchQuery{}, eris.Errorf("after: want a revision, got %q", q.Get("after"))
 	}
-	asked := watchQuery{conditional: true, after: after}
+	query := watchQuery{conditional: true, after: after}
 	if !q.Has("wait") {
-		return asked, nil
+		return query, nil
 	}
-	asked.wait, err = time.ParseDuration(q.Get("wait"))
-	if err != nil || asked.wait < 0 || asked.wait > maxWait {
+	query.wait, err = time.ParseDuration(q.Get("wait"))
+	if err != nil || query.wait < 0 || query.wait > maxWait {
 		return watchQuery{}, eris.Errorf("wait: want a duration up to %v, got %q", maxWait, q.Get("wait"))
 	}
-	return asked, nil
+	return query, nil
 }
 
-// beginRead counts the read and returns what it asks for; it answers 400 where that makes no sense.
+// beginRead counts the read, parses its query and waits while the platform hangs. It answers 400 to
+// a malformed query. It returns false if the request needs no further answer.
 func (p *Platform) beginRead(w http.ResponseWriter, r *http.Request, kind readKind) (watchQuery, bool) {
-	asked, err := parseWatchQuery(r)
-	p.reads.countRead(kind, r, err == nil && asked.wait > 0)
+	query, err := parseWatchQuery(r)
+	p.reads.countRead(kind, r, err == nil && query.wait > 0)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return watchQuery{}, false
 	}
-	return asked, p.hang.wait(r.Context())
+	return query, p.hang.wait(r.Context())
 }
 
 func (p *Platform) serveKey(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
-	asked, ok := p.beginRead(w, r, kindOfKey(key))
+	query, ok := p.beginRead(w, r, kindOfKey(key))
 	if !ok {
 		return
 	}
 	var v Value
-	newer := p.awaitNewer(r.Context(), asked, func() (bool, <-chan struct{}, time.Duration) {
+	newer := p.awaitNewer(r.Context(), query, func() (bool, <-chan struct{}, time.Duration) {
 		var change <-chan struct{}
 		v, change = p.store.key(key)
-		return v.Revision > asked.after, change, 0
+		return v.Revision > query.after, change, 0
 	})
 	if !p.hang.wait(r.Context()) {
 		return
@@ -96,7 +97,7 @@
 	switch {
 	case !v.Found:
 		http.Error(w, "unknown key", http.StatusNotFound)
-	case !newer && asked.conditional:
+	case !newer && query.conditional:
 		w.WriteHeader(http.StatusNoContent)
 	default:
 		_, _ = w.Write(v.Data)
@@ -104,22 +105,22 @@
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
-	asked, ok := p.beginRead(w, r, kindList)
+	query, ok := p.beginRead(w, r, kindList)
 	if !ok {
 		return
 	}
 	var l List
-	newer := p.awaitNewer(r.Context(), asked, func() (bool, <-chan struct{}, time.Duration) {
+	newer := p.awaitNewer(r.Context(), query, func() (bool, <-chan struct{}, time.Duration) {
 		var change <-chan struct{}
 		var next time.Duration
 		l, change, next = p.store.list()
-		return l.Revision > asked.after, change, next
+		return l.Revision > query.after, change, next
 	})
 	if !p.hang.wait(r.Context()) {
 		return
 	}
 	setRevision(w, l.Revision)
-	if !newer && asked.conditional {
+	if !newer && query.conditional {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
@@ -130,34 +131,35 @@
 	w.Header().Set(HeaderRevision, strconv.FormatUint(revision, 10))
 }
 
-// awaitNewer calls look until it shows something newer, the wait passes or the client leaves. look also
-// returns a channel closed at the next change and, above 0, after how long to look again.
-func (p *Platform) awaitNewer(ctx context.Context, asked watchQuery, look func() (bool, <-chan struct{}, time.Duration)) bool {
-	newer, change, again := look()
-	if newer || asked.wait <= 0 {
+// awaitNewer calls look until it reports a newer revision, the wait passes or ctx ends, and reports
+// whether look found one. look also returns a channel that is closed at the next change and the time
+// after which to look again; 0 is none.
+func (p *Platform) awaitNewer(ctx context.Context, query watchQuery, look func() (bool, <-chan struct{}, time.Duration)) bool {
+	newer, change, recheckAfter := look()
+	if newer || query.wait <= 0 {
 		return newer
 	}
 	p.reads.addWaiting(1)
 	defer p.reads.addWaiting(-1)
-	end := time.NewTimer(asked.wait)
+	end := time.NewTimer(query.wait)
 	defer end.Stop()
 	for !newer {
-		retry := timerAfter(again)
+		recheck := timerAfter(recheckAfter)
 		select {
 		case <-ctx.Done():
 			return false
 		case <-end.C:
 			return false
 		case <-change:
-		case <-retry.C:
+		case <-recheck.C:
 		}
-		retry.Stop()
-		newer, change, again = look()
+		recheck.Stop()
+		newer, change, recheckAfter = look()
 	}
 	return true
 }
 
-// timerAfter returns a timer for d, or one that does not fire where d is 0.
+// timerAfter returns a timer for d, or one that never fires if d is 0.
 func timerAfter(d time.Duration) *time.Timer {
 	if d > 0 {
 		return time.NewTimer(d)
--- a/internal/standin/platform/reads.go
+++ b/internal/standin/platform/reads.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// readKind is the kind of thing that a read asks for.
+// readKind classifies reads by what they request.
 type readKind int
 
 const (
@@ -18,7 +18,7 @@
 	kindList
 )
 
-// kindOfKey returns the kind of a key's path.
+// kindOfKey returns the kind of a read of the key.
 func kindOfKey(key string) readKind {
 	switch {
 	case key == "bundle/manifest":
@@ -29,7 +29,7 @@
 	return kindKey
 }
 
-// readCounter counts reads.
+// readCounter counts reads. It is safe for concurrent use.
 type readCounter struct {
 	mu sync.Mutex
 	// reads is guarded by mu.
@@ -65,7 +65,7 @@
 	}
 }
 
-// addWaiting changes the number of watches that wait.
+// addWaiting adds delta to the number of waiting watches.
 func (c *readCounter) addWaiting(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// bundlePrefix begins the keys that a stale revision holds back.
+	// bundlePrefix is the prefix of the keys that a stale revision applies to.
 	bundlePrefix = "bundle/"
-	// maxVersions is how many versions are kept of a key, and of the list.
+	// maxVersions is the number of versions kept of each key and of the list.
 	maxVersions = 256
 )
 
-// Value is what a read of a key shows. Revision is 0 and Found false for an unknown key.
+// Value is the value of a key as served. Revision is 0 and Found is false for an unknown key.
 type Value struct {
 	Data     []byte
 	Revision uint64
 	Found    bool
 }
 
-// store holds the keys and the list with their history, so that old values can be served. One
-// revision counts the changes of everything.
+// store holds the keys and the list with their history, so that old values can be served. A single
+// revision counts the changes of all keys and of the list.
 type store struct {
 	now func() time.Time
 
@@ -82,8 +82,8 @@
 	return versions[max(0, len(versions)-maxVersions):]
 }
 
-// setFaults says which history is served: bundle keys as of staleRevision (0 is the newest), the
-// list as of listLag ago.
+// setFaults selects the versions that are served: bundle keys as of staleRevision (0 is the newest),
+// the list as of listLag ago.
 func (s *store) setFaults(staleRevision uint64, listLag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,13 +91,13 @@
 	s.wake()
 }
 
-// wake lets watches look again. s.mu is held.
+// wake makes waiting watches look again. The caller holds s.mu.
 func (s *store) wake() {
 	close(s.change)
 	s.change = make(chan struct{})
 }
 
-// key returns what is served for a key now, and a channel closed at the next change.
+// key returns the value served for a key now and a channel that is closed at the next change.
 func (s *store) key(key string) (Value, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,13 +112,13 @@
 	return Value{}, s.change
 }
 
-// isStale tells whether a fault hides this version of the key. s.mu is held.
+// isStale reports whether a fault hides this version of the key. The caller holds s.mu.
 func (s *store) isStale(key string, revision uint64) bool {
 	return s.staleRevision > 0 && revision > s.staleRevision && strings.HasPrefix(key, bundlePrefix)
 }
 
-// list returns the list served now, a channel closed at the next change, and after how long a
-// newer list comes out of its lag; 0 where none waits. The first list ever put does not lag.
+// list returns the list served now, a channel that is closed at the next change, and the time until a
+// newer list is past its lag; 0 if there is none. The oldest kept list does not lag.
 func (s *store) list() (l List, change <-chan struct{}, next time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
