--- a/internal/standin/leaf/control.go
+++ b/internal/standin/leaf/control.go
@@ -6,7 +6,7 @@
 	"github.com/burdockplank/burdockplank/internal/standin/control"
 )
 
-// controlHandler serves faults, index versions and logs.
+// controlHandler serves the control listener: faults, index versions, shards and logs.
 func (l *Leaf) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("live\n")) })
@@ -30,7 +30,7 @@
 	}
 }
 
-// partition says which shards of an index version a leaf holds.
+// partition is the set of shards that a leaf has of one index version.
 type partition struct {
 	Snapshot uint64   `json:"snapshot"`
 	Shards   []uint32 `json:"shards"`
--- a/internal/standin/leaf/group.go
+++ b/internal/standin/leaf/group.go
@@ -10,14 +10,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// CrashExitCode is the exit code of a process whose leaf ran a marked request.
+// CrashExitCode is the exit code of a process that a marked request crashed.
 const CrashExitCode = 1
 
-// ExitProcess is the CrashFunc of a leaf alone in its process: it ends the process at once.
+// ExitProcess is the CrashFunc of a leaf that is alone in its process. It ends the process at once.
 func ExitProcess(*Leaf) { os.Exit(CrashExitCode) }
 
-// Restart is the CrashFunc of a leaf that shares its process: its connections are reset and refused, and
-// after a while it is back as another incarnation.
+// Restart is the CrashFunc of a leaf that shares its process. It resets the leaf's connections and
+// refuses new ones. After Settings.RestartAfter the leaf serves again as a new incarnation.
 func Restart(l *Leaf) {
 	l.log.Info("crashed")
 	l.mu.Lock()
@@ -28,23 +28,24 @@
 	time.AfterFunc(l.settings.RestartAfter.D(), l.restoreAfterCrash)
 }
 
-// restoreAfterCrash ends the absence that a crash began, unless a fault keeps the leaf away.
+// restoreAfterCrash ends a crash with a new incarnation. The leaf accepts connections again unless a
+// fault refuses them.
 func (l *Leaf) restoreAfterCrash() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashed = false
 	l.renewIncarnation()
 	if err := l.updateListener(); err != nil {
-		l.log.Error("not back after a crash", zap.Error(err))
+		l.log.Error("restart after a crash failed; leaf stays unreachable", zap.Error(err))
 	}
 }
 
-// Group runs many leaves in one process.
+// Group is a set of leaves that run in one process.
 type Group struct {
 	leaves []*Leaf
 }
 
-// NewGroup opens the listeners of all leaves.
+// NewGroup opens the listeners of all leaves. Run serves them.
 func NewGroup(s []Settings, log *zap.Logger, crash CrashFunc) (*Group, error) {
 	g := &Group{}
 	for i := range s {
@@ -66,7 +67,7 @@
 	return eg.Wait()
 }
 
-// Drain drains all leaves at once.
+// Drain drains all leaves concurrently and returns once all have drained or ctx ends.
 func (g *Group) Drain(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, l := range g.leaves {
--- a/internal/standin/leaf/hits.go
+++ b/internal/standin/leaf/hits.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// defaultTopK is used where a search asks for no number of hits.
+	// defaultTopK is the number of hits for a search without top_k.
 	defaultTopK = 10
-	// scoreSpread sets how fast scores fall with the rank; a higher one falls slower.
+	// scoreSpread sets how fast scores fall with the rank; the higher it is, the slower they fall.
 	scoreSpread = 8
 )
 
-// QueryDigest is the digest by which an answer proves which query it ran.
+// QueryDigest returns the digest by which an answer identifies the query that it ran.
 func QueryDigest(query string) uint64 { return xxhash.Sum64String(query) }
 
-// Hits returns what a leaf finds in a shard: the same for each replica, highest score first, a
-// shorter list a prefix of a longer one. The text of each hit contains the query's digest.
+// Hits returns the hits of a query in a shard, highest score first. They are the same on each replica,
+// and a shorter list is a prefix of a longer one. The text of each hit contains the query's digest.
 func Hits(shard uint32, snapshot uint64, query string, topK int, documents uint64) []*pb.Hit {
 	if topK <= 0 {
 		topK = defaultTopK
@@ -45,7 +45,7 @@
 	return hits
 }
 
-// hashOf returns a number that depends on all its arguments.
+// hashOf returns a hash of its arguments.
 func hashOf(digest uint64, shard uint32, snapshot, rank uint64) uint64 {
 	var b [28]byte
 	binary.LittleEndian.PutUint64(b[0:], digest)
@@ -55,7 +55,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-// padTexts lengthens the text of each hit to size bytes.
+// padTexts pads the text of each hit to at least size bytes.
 func padTexts(hits []*pb.Hit, size int) {
 	for _, h := range hits {
 		if missing := size - len(h.Text); missing > 0 {
--- a/internal/standin/leaf/journal.go
+++ b/internal/standin/leaf/journal.go
@@ -11,11 +11,11 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// SearchState is how far a search came.
+// SearchState is the state of a logged search.
 type SearchState string
 
-// The states of a search. Delivered is set before the answer is written, so that no answer that
-// was received is missing; failed is an error made by a fault.
+// The states of a search. A search is delivered before its answer is written, so that the log contains
+// each answer that a caller received. Failed is an injected error.
 const (
 	SearchStarted   SearchState = "started"
 	SearchDelivered SearchState = "delivered"
@@ -23,7 +23,7 @@
 	SearchFailed    SearchState = "failed"
 )
 
-// Search is one search that took a slot, or that stalled.
+// Search is a search that got a slot or stalled.
 type Search struct {
 	RequestID string      `json:"request_id"`
 	Shard     uint32      `json:"shard"`
@@ -33,7 +33,7 @@
 	At        time.Time   `json:"at"`
 }
 
-// Execution is one order whose effect started. Refused orders never appear.
+// Execution is an order whose effect started. Refused orders are not logged.
 type Execution struct {
 	Ticket    string    `json:"ticket"`
 	RequestID string    `json:"request_id"`
@@ -42,7 +42,8 @@
 	At        time.Time `json:"at"`
 }
 
-// Delivery is one answer to a search as it went out: what it says of itself, whatever was asked.
+// Delivery is an answer to a search as it was sent. Its fields are those of the answer, which a fault
+// can make different from the request's.
 type Delivery struct {
 	RequestID string `json:"request_id"`
 	Shard     uint32 `json:"shard"`
@@ -58,14 +59,14 @@
 	From string `json:"from"`
 }
 
-// DrainNotice is the leaf's word that it drains: to the caller at the IP number To, or to all by the end
-// of the present connections where To is empty.
+// DrainNotice records that the leaf reported its drain: to the caller at the IP number To, or, if To is
+// empty, to all callers by closing the open connections.
 type DrainNotice struct {
 	At time.Time `json:"at"`
 	To string    `json:"to"`
 }
 
-// Crash is the request that a leaf crashed at.
+// Crash is a request that crashed the leaf.
 type Crash struct {
 	RequestID string    `json:"request_id"`
 	Text      string    `json:"text"`
@@ -81,9 +82,9 @@
 	Deadline     uint64 `json:"deadline"`
 }
 
-// Counts are since the start or the last DELETE /log.
+// Counts are counts since the start or the last DELETE /log.
 type Counts struct {
-	// Searches counts all that started, logged or not.
+	// Searches counts all searches that started, logged or not.
 	Searches           uint64   `json:"searches"`
 	Executions         uint64   `json:"executions"`
 	Refused            Refusals `json:"refused"`
@@ -91,14 +92,15 @@
 	ConnectionsNow     int      `json:"connections_now"`
 	ConnectionsMax     int      `json:"connections_max"`
 	ConnectionsRefused uint64   `json:"connections_refused"`
-	// InFlightMax is the most calls at once, running and queued together; QueuedMax the queued.
+	// InFlightMax is the highest number of calls in flight, running or queued; QueuedMax is the highest
+	// number of queued calls.
 	InFlightMax int `json:"in_flight_max"`
 	QueuedMax   int `json:"queued_max"`
-	// LastArrival is when the newest search or order arrived, refused ones too.
+	// LastArrival is the time when the newest search or order arrived, refused or not.
 	LastArrival time.Time `json:"last_arrival"`
 }
 
-// Log is what GET /log shows.
+// Log is the answer to GET /log.
 type Log struct {
 	Leaf        string      `json:"leaf"`
 	Incarnation uint64      `json:"incarnation"`
@@ -107,7 +109,8 @@
 	Counts      Counts      `json:"counts"`
 }
 
-// journal keeps the logs of one leaf.
+// journal keeps the logs of one leaf in memory and, if file is set, in a file of JSON lines. It logs at
+// most maxSearches searches in memory. It is safe for concurrent use.
 type journal struct {
 	maxSearches int
 	file        *os.File
@@ -117,7 +120,7 @@
 	searches   []*Search
 	executions []Execution
 	counts     Counts
-	// lastCrash is the one written last.
+	// lastCrash is the newest logged crash.
 	lastCrash crashID
 }
 
@@ -127,9 +130,9 @@
 	text     string
 }
 
-// newJournal returns an empty journal. Where path is not empty lines are appended to that file.
-func newJournal(limit int, path string) (*journal, error) {
-	j := &journal{maxSearches: limit}
+// newJournal returns an empty journal. If path is not empty, the journal appends its lines to that file.
+func newJournal(maxSearches int, path string) (*journal, error) {
+	j := &journal{maxSearches: maxSearches}
 	if path == "" {
 		return j, nil
 	}
@@ -141,7 +144,7 @@
 	return j, nil
 }
 
-// arrived notes a call before anything is decided about it.
+// arrived logs a call before the leaf accepts or refuses it.
 func (j *journal) arrived(requestID, from string, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -149,14 +152,15 @@
 	j.write(FileLine{Arrival: &Arrival{RequestID: requestID, At: now, From: from}})
 }
 
-// drainNotified notes that a caller, or all where to is empty, is told that the leaf drains.
+// drainNotified logs that the leaf reported its drain to the caller at the IP number to, or to all callers
+// if to is empty.
 func (j *journal) drainNotified(to string, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.write(FileLine{Notice: &DrainNotice{At: now, To: to}})
 }
 
-// searchStarted logs a search; the result goes to searchEnded.
+// searchStarted logs a search. The caller passes the result to searchEnded or delivered.
 func (j *journal) searchStarted(req *pb.LeafSearchRequest, now time.Time) *Search {
 	s := &Search{
 		RequestID: req.GetRequestId(), Shard: req.GetShard(), Snapshot: req.GetSnapshot(),
@@ -178,7 +182,7 @@
 	s.State = state
 }
 
-// delivered ends a search whose answer is about to be written.
+// delivered logs the answer that is about to be written and ends its search.
 func (j *journal) delivered(s *Search, res *pb.LeafSearchResponse) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -188,7 +192,7 @@
 	}})
 }
 
-// executed logs an order at the moment that its effect starts.
+// executed logs an order when its effect starts.
 func (j *journal) executed(req *pb.LeafExecuteRequest, now time.Time) {
 	e := Execution{
 		Ticket: req.GetTicket(), RequestID: req.GetRequestId(), Key: req.GetKey(),
@@ -219,8 +223,8 @@
 	}
 }
 
-// crashed notes that the leaf crashed at a text. Two requests with it may run beside each other at the moment of the
-// crash; they end one start of the leaf, so that the text has one crash.
+// crashed logs that a request with the text crashed the leaf. Two requests with the same text may run
+// concurrently when the leaf crashes. They end the same incarnation, so they count as one crash.
 func (j *journal) crashed(instance uint64, requestID, text string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -245,7 +249,7 @@
 	return l
 }
 
-// clear empties logs and counts.
+// clear empties the logs and counts.
 func (j *journal) clear() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -258,7 +262,7 @@
 	}
 }
 
-// FileLine is one line of the log file; one field is set.
+// FileLine is one line of the log file. Exactly one field is set.
 type FileLine struct {
 	Arrival   *Arrival     `json:"arrival,omitempty"`
 	Notice    *DrainNotice `json:"notice,omitempty"`
@@ -268,7 +272,7 @@
 	Crash     *Crash       `json:"crash,omitempty"`
 }
 
-// write appends a line to the file. j.mu is held.
+// write appends a line to the file. The caller holds j.mu.
 func (j *journal) write(line FileLine) {
 	if j.file == nil {
 		return
--- a/internal/standin/leaf/leaf.go
+++ b/internal/standin/leaf/leaf.go
@@ -1,6 +1,6 @@
-// Package leaf is a stand-in for an upstream: it answers searches over made-up documents and
-// executes orders, and shows over a control listener what it ran. Slots, queue and connections are
-// bounded; faults are set over the control listener.
+// Package leaf is a stand-in for an upstream. It answers searches over synthetic documents and executes
+// orders. Slots, queue and connections are bounded. A control listener sets faults and serves the log
+// of what the leaf ran.
 package leaf
 
 import (
@@ -23,10 +23,10 @@
 	"github.com/burdockplank/burdockplank/internal/standin/listener"
 )
 
-// CrashFunc is what a leaf does at a marked request. It runs on the goroutine of that request.
+// CrashFunc crashes the leaf at a marked request. It runs on the goroutine of that request.
 type CrashFunc func(l *Leaf)
 
-// Leaf owns the listeners, the work and the logs of one upstream.
+// Leaf owns the listeners, the calls and the logs of one upstream. It is safe for concurrent use.
 type Leaf struct {
 	settings Settings
 	log      *zap.Logger
@@ -42,20 +42,20 @@
 	control  net.Listener
 
 	mu sync.Mutex
-	// The fields below are guarded by mu. instance names the present start of the leaf, started is
-	// its time; crashed is true from a crash until the restart after it.
+	// The fields below are guarded by mu. instance is the present incarnation and started the time when
+	// it began; crashed is true from a crash until the restart after it.
 	instance  uint64
 	started   time.Time
 	crashed   bool
 	faults    Faults
 	snapshots []uint64
-	// shards holds the shards of index versions that are partitioned otherwise than the settings say.
+	// shards maps index versions to their shards where these differ from the settings.
 	shards map[uint64][]uint32
-	// previousAnswer is the newest answer to a search.
+	// previousAnswer is the newest answer to a search; the fault MixedShare returns it to a later one.
 	previousAnswer *pb.LeafSearchResponse
 }
 
-// New opens both listeners of a leaf; Run serves them. The settings have been checked.
+// New opens both listeners of a leaf. Run serves them. The caller has checked the settings.
 func New(s Settings, log *zap.Logger, crash CrashFunc) (*Leaf, error) {
 	l, err := newLeaf(s, log, crash)
 	if err != nil {
@@ -93,8 +93,8 @@
 	}, nil
 }
 
-// handler serves LeafService; while the leaf drains, every answer says that the connection closes,
-// which is a GOAWAY on HTTP/2.
+// handler serves LeafService. While the leaf drains, every answer has the header Connection: close,
+// which HTTP/2 sends as GOAWAY.
 func (l *Leaf) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(burdockv1connect.NewLeafServiceHandler(l))
@@ -112,7 +112,7 @@
 // ControlAddr returns the address of the control listener.
 func (l *Leaf) ControlAddr() string { return l.control.Addr().String() }
 
-// Run serves until ctx ends.
+// Run serves both listeners until ctx ends, then closes all connections.
 func (l *Leaf) Run(ctx context.Context) error {
 	defer l.journal.close()
 	g, ctx := errgroup.WithContext(ctx)
@@ -121,13 +121,13 @@
 	return g.Wait()
 }
 
-// Drain refuses new work, says GOAWAY and waits until the work in flight has ended or ctx ends.
+// Drain refuses new calls, sends GOAWAY and waits until the calls in flight have ended or ctx ends.
 func (l *Leaf) Drain(ctx context.Context) {
 	l.mu.Lock()
 	l.faults.Drain = true
 	l.mu.Unlock()
 	if err := l.server.Drain(ctx); err != nil {
-		l.log.Warn("drain ended early", zap.Error(err))
+		l.log.Warn("drain ended before all calls in flight had finished", zap.Error(err))
 	}
 }
 
@@ -138,7 +138,7 @@
 	return l.faults
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults. It returns an error if the listener can't be opened or closed for them.
 func (l *Leaf) SetFaults(f Faults) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,31 +161,32 @@
 	return err
 }
 
-// updateListener refuses new connections where a fault or a crash says so. l.mu is held.
+// updateListener closes the listening socket while a crash or a fault refuses new connections, and opens
+// it otherwise. The caller holds l.mu.
 func (l *Leaf) updateListener() error {
 	return l.listener.SetDown(l.crashed || l.faults.Down || l.faults.RefuseConnections)
 }
 
-// renewIncarnation begins a new incarnation and a cold start. l.mu is held.
+// renewIncarnation begins a new incarnation and a cold start. The caller holds l.mu.
 func (l *Leaf) renewIncarnation() {
 	l.instance, l.started = process.NewIncarnation(), time.Now()
 }
 
-// incarnation returns the number of the present start.
+// incarnation returns the present incarnation.
 func (l *Leaf) incarnation() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.instance
 }
 
-// Snapshots returns the index versions held.
+// Snapshots returns the index versions that the leaf has.
 func (l *Leaf) Snapshots() []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.snapshots)
 }
 
-// SetSnapshots replaces the index versions held. Searches that started go on.
+// SetSnapshots replaces the index versions that the leaf has. Searches that have started go on.
 func (l *Leaf) SetSnapshots(versions []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,7 +199,7 @@
 	return slices.Contains(l.snapshots, version)
 }
 
-// SetShards replaces the shards held of one index version.
+// SetShards replaces the shards that the leaf has of one index version.
 func (l *Leaf) SetShards(version uint64, shards []uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,7 +216,7 @@
 	return slices.Contains(held, shard)
 }
 
-// serviceTime draws the time of work on one call.
+// serviceTime draws the service time of one call.
 func (l *Leaf) serviceTime(f *Faults) time.Duration {
 	l.mu.Lock()
 	age := time.Since(l.started)
--- a/internal/standin/leaf/leaf_test.go
+++ b/internal/standin/leaf/leaf_test.go
@@ -88,7 +88,7 @@
 	is.NoErr(res.Body.Close())
 	is.True(res.Close) // Connection: close on HTTP/1.1
 	is.NoErr(l.SetFaults(Faults{}))
-	is.True(l.incarnation() != incarnation) // back is a restart
+	is.True(l.incarnation() != incarnation) // the end of a drain counts as a restart
 	_, err = http2Client(l).Search(t.Context(), req)
 	is.NoErr(err)
 }
@@ -120,7 +120,7 @@
 	l.Drain(t.Context())
 	running, _ := l.slots.load()
 	is.Equal(running, 0)
-	is.NoErr(<-answered) // the drain cut nothing off
+	is.NoErr(<-answered) // the drain did not end the call
 }
 
 func TestDeadlineAndCancellationReachRunningCalls(t *testing.T) {
@@ -144,7 +144,7 @@
 	_, err := http2Client(l).Execute(late, req)
 	is.Equal(connect.CodeOf(err), connect.CodeDeadlineExceeded)
 	for running, _ := l.slots.load(); running > 0; running, _ = l.slots.load() {
-		time.Sleep(time.Millisecond) // the work ends, though it would take an hour
+		time.Sleep(time.Millisecond) // cancellation ends the calls, which would take an hour
 	}
 }
 
@@ -160,7 +160,7 @@
 	_, err = client.Status(t.Context(), &pb.LeafStatusRequest{})
 	is.Equal(connect.CodeOf(err), connect.CodeUnavailable)
 	is.True(strings.Contains(err.Error(), "connection refused"))
-	is.NoErr(l.SetFaults(Faults{})) // faults don't end the absence
+	is.NoErr(l.SetFaults(Faults{})) // clearing the faults does not end the crash
 	_, err = client.Status(t.Context(), &pb.LeafStatusRequest{})
 	is.True(err != nil)
 	l.restoreAfterCrash()
@@ -172,7 +172,8 @@
 	is.Equal(len(log.Searches), 1) // the marked search started
 }
 
-// TestConcurrentMarkedRequestsCrashLeafOnce runs marked requests that begin before the first has ended the leaf.
+// TestConcurrentMarkedRequestsCrashLeafOnce covers marked requests that start before the first of them has
+// crashed the leaf: requests with the same text count as one crash of the incarnation.
 func TestConcurrentMarkedRequestsCrashLeafOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := newLeaf(Settings{ID: "teachers-0-a", Slots: 3, Queue: new(int)}, zap.NewNop(), func(*Leaf) {})
@@ -182,10 +183,10 @@
 	l.crashIfMarked(f, "second", "go boom")
 	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(1))
 	l.crashIfMarked(f, "third", "another boom")
-	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(2)) // another text has crashes of its own
+	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(2)) // another text counts separately
 	l.renewIncarnation()
 	l.crashIfMarked(f, "fourth", "another boom")
-	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(3)) // so has another start
+	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(3)) // so does another incarnation
 }
 
 func TestControlReplacesFaultsAndClearsLog(t *testing.T) {
@@ -214,7 +215,7 @@
 	log := l.Log()
 	is.Equal(log.Counts.Searches, uint64(0))
 	is.Equal(len(log.Searches), 0)
-	is.Equal(log.Counts.ConnectionsMax, 1) // an open connection goes on counting
+	is.Equal(log.Counts.ConnectionsMax, 1) // an open connection still counts
 }
 
 func TestSettingsRefused(t *testing.T) {
--- a/internal/standin/leaf/load.go
+++ b/internal/standin/leaf/load.go
@@ -7,13 +7,15 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// loadReport tells the load as it was at least lag ago, in steps of lag.
+// loadReport reports the load with a delay: each reported load is at least minAge old and changes at most
+// once per minAge. It is safe for concurrent use.
 type loadReport struct {
 	minAge time.Duration
 	slots  int
 
 	mu sync.Mutex
-	// current is reported now; next was sampled at sampled and is told lag later. Guarded by mu.
+	// current is reported now. next was sampled at sampledAt and is reported minAge later. All three
+	// fields are guarded by mu.
 	current, next *pb.LeafLoad
 	sampledAt     time.Time
 }
@@ -22,8 +24,8 @@
 	return &loadReport{minAge: lag, slots: size, current: &pb.LeafLoad{}, next: &pb.LeafLoad{}}
 }
 
-// report returns the lagging load; the slots are sampled where lag has passed. The message is
-// shared and must not be changed.
+// report returns the delayed load. It samples the slots if minAge has passed since the last sample. The
+// message is shared and must not be changed.
 func (r *loadReport) report(now time.Time, s *slots) *pb.LeafLoad {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/leaf/service.go
+++ b/internal/standin/leaf/service.go
@@ -21,7 +21,7 @@
 	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE:      connect.CodeDeadlineExceeded,
 }
 
-// refuse returns the error of a call that did not start.
+// refuse counts a refusal and returns the error for a call that did not start.
 func (l *Leaf) refuse(reason pb.LeafRefusalReason) error {
 	l.journal.refused(reason)
 	name := strings.ToLower(strings.TrimPrefix(reason.String(), "LEAF_REFUSAL_REASON_"))
@@ -33,7 +33,7 @@
 	return ce
 }
 
-// contextError returns the error of a call whose context ended while it was worked on.
+// contextError returns the error for a call whose context ended while it ran.
 func contextError(err error) error {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return connect.NewError(connect.CodeDeadlineExceeded, err)
@@ -71,7 +71,7 @@
 	return res, nil
 }
 
-// stallSearch logs the search and waits until its caller gives up.
+// stallSearch logs the search and waits until its context ends.
 func (l *Leaf) stallSearch(ctx context.Context, req *pb.LeafSearchRequest, now time.Time) error {
 	entry := l.journal.searchStarted(req, now)
 	<-ctx.Done()
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// acquireSlot waits for a slot. A call that finds no place or whose context ends first is refused,
+// acquireSlot waits for a slot. A call that finds the queue full or whose context ends first is refused,
 // since it has not started.
 func (l *Leaf) acquireSlot(ctx context.Context) error {
 	err := l.slots.acquire(ctx)
@@ -107,7 +107,7 @@
 	return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE)
 }
 
-// answer builds the response of a search, wrong where a fault says so.
+// answer returns the response to a search, with the errors that faults inject.
 func (l *Leaf) answer(req *pb.LeafSearchRequest, f *Faults) *pb.LeafSearchResponse {
 	shard, snapshot := req.GetShard(), req.GetSnapshot()
 	if f.WrongShard {
@@ -128,7 +128,8 @@
 	return res
 }
 
-// maybeEarlierAnswer returns the answer, or that to an earlier search where the fault says so.
+// maybeEarlierAnswer returns res or, in the share of calls that the fault MixedShare selects, the answer to
+// the search before.
 func (l *Leaf) maybeEarlierAnswer(res *pb.LeafSearchResponse, f *Faults) *pb.LeafSearchResponse {
 	l.mu.Lock()
 	earlier := l.previousAnswer
@@ -140,7 +141,7 @@
 	return res
 }
 
-// Execute implements LeafService. It does not deduplicate: each call that starts is one effect.
+// Execute implements LeafService. It does not deduplicate: each call that starts has an effect.
 func (l *Leaf) Execute(ctx context.Context, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
 	from := callerIP(ctx)
 	l.journal.arrived(req.GetRequestId(), from, time.Now())
@@ -200,7 +201,7 @@
 	}, nil
 }
 
-// reportsDrainTo tells whether the caller is to hear that the leaf drains, and notes that it does.
+// reportsDrainTo reports whether the leaf shows itself as draining to the caller, and if so logs it.
 func (l *Leaf) reportsDrainTo(ip string, f *Faults) bool {
 	if !f.reportsDrainTo(ip) {
 		return false
@@ -209,7 +210,7 @@
 	return true
 }
 
-// callerIP returns the IP number that a call comes from, empty where it didn't come over a network.
+// callerIP returns the IP number that a call comes from, or "" if it did not come over a network.
 func callerIP(ctx context.Context) string {
 	info, ok := connect.CallInfoForHandlerContext(ctx)
 	if !ok {
@@ -222,7 +223,7 @@
 	return host
 }
 
-// load returns the load as this leaf tells it.
+// load returns the load that the leaf reports: that of the fault Report, if set, else the delayed load.
 func (l *Leaf) load(f *Faults) *pb.LeafLoad {
 	if f.Report != nil {
 		return &pb.LeafLoad{InFlight: f.Report.InFlight, Utilisation: f.Report.Utilisation}
--- a/internal/standin/leaf/service_test.go
+++ b/internal/standin/leaf/service_test.go
@@ -20,7 +20,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// newTestLeaf returns a leaf without listeners: one slot, a queue of one, exactly 10 ms of work.
+// newTestLeaf returns a leaf without listeners, with one slot, a queue of one and a service time of exactly 10 ms.
 func newTestLeaf(t *testing.T, change func(s *Settings)) *Leaf {
 	t.Helper()
 	queue := 1
@@ -39,7 +39,7 @@
 	return l
 }
 
-// setFaults puts the faults in force on a leaf without listeners.
+// setFaults replaces the faults of a leaf without listeners.
 func setFaults(l *Leaf, f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,7 +220,8 @@
 	is.Equal(strings.Count(string(text), `{"execution":{"ticket":"t1",`), 2)
 }
 
-// The log file tells what went out, not what was asked: a wrong or mixed up answer can be seen there.
+// TestLogFileRecordsDeliveredAnswers checks that the log file records the answer as sent, not the request,
+// so that a wrong or mixed-up answer shows there.
 func TestLogFileRecordsDeliveredAnswers(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "log")
@@ -314,7 +315,7 @@
 		is.True(!seen[h.GetDocument()])
 		seen[h.GetDocument()] = true
 	}
-	is.Equal(len(Hits(3, 2, "math", 20, 4)), 4) // no more than there are documents
+	is.Equal(len(Hits(3, 2, "math", 20, 4)), 4) // at most one hit per document
 	is.True(Hits(3, 2, "other", 1, 1000)[0].GetScore() != hits[0].GetScore())
 	is.True(Hits(3, 3, "math", 1, 1000)[0].GetScore() != hits[0].GetScore())
 }
@@ -369,7 +370,7 @@
 		is.Equal(inFlight(), uint32(0))
 		is.NoErr(l.slots.acquire(t.Context()))
 		time.Sleep(time.Second)
-		is.Equal(inFlight(), uint32(0)) // sampled now, told a lag later
+		is.Equal(inFlight(), uint32(0)) // sampled now, reported one lag later
 		l.slots.release()
 		time.Sleep(999 * time.Millisecond)
 		is.Equal(inFlight(), uint32(0))
--- a/internal/standin/leaf/servicetime.go
+++ b/internal/standin/leaf/servicetime.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// coldFactor is how many times slower than usual calls are at the very start.
+// coldFactor is the factor on the typical service time at the very start.
 const coldFactor = 5.0
 
-// random is a random source for concurrent use.
+// random is a random source that is safe for concurrent use.
 type random struct {
 	mu sync.Mutex
 	// rand is guarded by mu.
@@ -22,7 +22,7 @@
 	return &random{rand: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// chance is true in a share, 0 to 1, of the calls.
+// chance returns true with the probability share, 0 to 1.
 func (r *random) chance(share float64) bool {
 	if share <= 0 {
 		return false
@@ -39,15 +39,15 @@
 	return r.rand.NormFloat64()
 }
 
-// serviceTime draws the time of work on one call. age is the time since the start.
+// serviceTime draws the service time of one call. age is the time since the leaf's start.
 func serviceTime(s *Settings, f *Faults, age time.Duration, r *random) time.Duration {
 	t := float64(s.ServiceTime)
 	if s.ServiceSigma > 0 {
 		t *= math.Exp(s.ServiceSigma * r.normal())
 	}
 	if cold := s.ColdStart.D(); age < cold {
-		left := 1 - float64(age)/float64(cold)
-		t *= 1 + (coldFactor-1)*left
+		remaining := 1 - float64(age)/float64(cold)
+		t *= 1 + (coldFactor-1)*remaining
 	}
 	if f.SlowFactor > 1 && (f.SlowShare == 0 || r.chance(f.SlowShare)) {
 		t *= f.SlowFactor
--- a/internal/standin/leaf/settings.go
+++ b/internal/standin/leaf/settings.go
@@ -21,10 +21,10 @@
 	defaultRestartAfter = time.Second
 )
 
-// anyPort ends an address whose port the system chooses.
+// anyPort is the suffix of an address whose port the operating system chooses.
 const anyPort = ":0"
 
-// Settings describe one leaf.
+// Settings are the settings of one leaf.
 type Settings struct {
 	ID      string `toml:"id"`
 	Zone    string `toml:"zone"`
@@ -32,45 +32,48 @@
 	// Listen and Control are IP:PORT of the LeafService and of the control listener.
 	Listen  string `toml:"listen"`
 	Control string `toml:"control"`
-	// Slots is how many calls are worked on at once, Queue how many wait besides; Connections is
-	// how many connections are accepted in all.
+	// Slots is the number of calls that run at once, Queue the number that may wait besides, Connections
+	// the number of connections that may be open in all.
 	Slots       int  `toml:"slots"`
 	Queue       *int `toml:"queue"`
 	Connections int  `toml:"connections"`
-	// Snapshots are the index versions held at the start, Shards the shards held of each.
+	// Snapshots are the index versions that the leaf has at the start, Shards the shards of each.
 	Snapshots []uint64 `toml:"snapshots"`
 	Shards    []uint32 `toml:"shards"`
 	// Documents is the number of documents in each shard, HitBytes the length in bytes that the
 	// text of a hit is padded to.
 	Documents uint64 `toml:"documents"`
 	HitBytes  int    `toml:"hit_bytes"`
-	// ServiceTime is the median time of work on a call, ServiceSigma the sigma of its lognormal
-	// spread; 0 is no spread.
+	// ServiceTime is the median service time of a call, ServiceSigma the sigma of its lognormal
+	// distribution; 0 is no spread.
 	ServiceTime  settings.Duration `toml:"service_time"`
 	ServiceSigma float64           `toml:"service_sigma"`
-	// ColdStart is how long after a start calls are slower, falling evenly to the usual time.
+	// ColdStart is the time after a start during which calls are slower; the service time falls linearly
+	// to the typical one.
 	ColdStart settings.Duration `toml:"cold_start"`
-	// ConnectDelay is how long a new connection waits before its first byte is read.
+	// ConnectDelay is the time from a connection's start until its first byte is read.
 	ConnectDelay settings.Duration `toml:"connect_delay"`
-	// ReportLag is the least age of the load that is reported.
+	// ReportLag is the minimum age of the reported load.
 	ReportLag settings.Duration `toml:"report_lag"`
 	// Seed sets the random source of service times; 0 derives it from ID.
 	Seed uint64 `toml:"seed"`
-	// SearchLog is how many searches are logged; later ones are only counted. Below 0 none is.
+	// SearchLog is the number of searches that are logged in memory; later ones are only counted. Below 0
+	// none is logged.
 	SearchLog int `toml:"search_log"`
-	// LogFile is a file to which each execution and search start is appended as a line of JSON
-	// before its effect, so that it outlives a kill; none where empty.
+	// LogFile is a file of JSON lines to which each execution and search start is appended before its
+	// effect, so that the line survives a kill; empty is no file.
 	LogFile string `toml:"log_file"`
-	// CrashMark is the crash_mark of the faults in force from the start; none where empty.
+	// CrashMark is the initial CrashMark of the faults; empty is none.
 	CrashMark string `toml:"crash_mark"`
-	// RestartAfter is how long a leaf among many stays away after a crash.
+	// RestartAfter is the time from a crash to the restart of a leaf that shares its process.
 	RestartAfter settings.Duration `toml:"restart_after"`
 }
 
-// Check fills in the defaults and refuses what can't work.
+// Check fills in the defaults and reports invalid values to c.
 func (s *Settings) Check(c *settings.Checker) { s.check(c, "", "") }
 
-// check refuses values; prefix goes before keys and where names the leaf in reasons.
+// check fills in the defaults and reports invalid values to c. prefix goes before keys; where names the
+// leaf in reasons.
 func (s *Settings) check(c *settings.Checker, prefix, where string) {
 	s.fillDefaults()
 	require := func(ok bool, key, reason string, args ...any) {
@@ -117,20 +120,20 @@
 	}
 }
 
-// setDefault sets v to the default where it is zero.
-func setDefault[T comparable](v *T, byDefault T) {
+// setDefault sets *v to defaultValue if it is zero.
+func setDefault[T comparable](v *T, defaultValue T) {
 	var zero T
 	if *v == zero {
-		*v = byDefault
+		*v = defaultValue
 	}
 }
 
-// GroupSettings describe many leaves that run in one process.
+// GroupSettings are the settings of leaves that run in one process.
 type GroupSettings struct {
 	Leaves []Settings `toml:"leaf"`
 }
 
-// Check fills in the defaults and refuses what can't work.
+// Check fills in the defaults and reports invalid values and duplicate ids or addresses to c.
 func (g *GroupSettings) Check(c *settings.Checker) {
 	c.Require(len(g.Leaves) > 0, "leaf", "want at least one [[leaf]]")
 	takenBy := make(map[string]int)
--- a/internal/standin/leaf/slots.go
+++ b/internal/standin/leaf/slots.go
@@ -6,14 +6,15 @@
 	"sync"
 )
 
-// errQueueFull says that all slots and places in the queue are taken.
+// errQueueFull reports that all slots and places in the queue are taken.
 var errQueueFull = errors.New("queue full")
 
-// slots bounds the calls worked on at once and those that wait, first come first served.
+// slots limits the calls that run at once and those that wait. Calls wait in FIFO order. It is safe for
+// concurrent use.
 type slots struct {
 	mu sync.Mutex
-	// The fields below are guarded by mu. A channel of waiting is closed when its call gets a slot;
-	// the oldest is first.
+	// The fields below are guarded by mu. waiting has one channel per waiting call, oldest first, which
+	// is closed when the call gets a slot.
 	size, queue int
 	running     int
 	waiting     []chan struct{}
@@ -23,25 +24,26 @@
 
 func newSlots(size, queue int) *slots { return &slots{size: size, queue: queue} }
 
-// acquire returns with a slot, with errQueueFull, or with the end of ctx.
+// acquire waits for a slot. It returns nil with a slot, errQueueFull, or the error of ctx if that ends first.
 func (s *slots) acquire(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	turn, err := s.acquireOrQueue()
-	if turn == nil {
+	granted, err := s.acquireOrQueue()
+	if granted == nil {
 		return err
 	}
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
-		s.abandon(turn)
+		s.abandon(granted)
 		return ctx.Err()
 	}
 }
 
-// acquireOrQueue takes a free slot (nil, nil) or a place in the queue.
+// acquireOrQueue takes a free slot and returns nil, nil, or takes a place in the queue and returns its
+// channel. It returns errQueueFull if there is neither.
 func (s *slots) acquireOrQueue() (chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,24 +55,24 @@
 	if len(s.waiting) >= s.queue {
 		return nil, errQueueFull
 	}
-	turn := make(chan struct{})
-	s.waiting = append(s.waiting, turn)
+	granted := make(chan struct{})
+	s.waiting = append(s.waiting, granted)
 	s.updateMax()
-	return turn, nil
+	return granted, nil
 }
 
-// updateMax keeps the highest counts. s.mu is held.
+// updateMax updates the highest counts. The caller holds s.mu.
 func (s *slots) updateMax() {
 	s.maxInFlight = max(s.maxInFlight, s.running+len(s.waiting))
 	s.maxQueued = max(s.maxQueued, len(s.waiting))
 }
 
-// abandon gives up a place in the queue, or the slot where it was given at the same moment.
-func (s *slots) abandon(turn chan struct{}) {
+// abandon leaves the queue. If the call got its slot in the meantime, it releases the slot.
+func (s *slots) abandon(granted chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, w := range s.waiting {
-		if w == turn {
+		if w == granted {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return
 		}
@@ -78,14 +80,14 @@
 	s.passOn()
 }
 
-// release gives the slot back.
+// release returns the slot.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.passOn()
 }
 
-// passOn gives a slot to the call that waits longest. s.mu is held.
+// passOn gives a free slot to the call that has waited longest. The caller holds s.mu.
 func (s *slots) passOn() {
 	if len(s.waiting) == 0 {
 		s.running--
@@ -95,7 +97,7 @@
 	s.waiting = s.waiting[1:]
 }
 
-// load returns how many calls run and wait.
+// load returns the numbers of running and waiting calls.
 func (s *slots) load() (running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
