--- a/internal/standin/listener/conn.go
+++ b/internal/standin/listener/conn.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// conn is one counted connection. It counts until it is closed by this end.
+// conn is an accepted connection. The listener counts it until this end closes it.
 type conn struct {
 	net.Conn
 	listener *Listener
-	// readableAt is when the connection is first read.
+	// readableAt is the earliest time of the first read.
 	readableAt time.Time
 	removeOnce sync.Once
 }
@@ -23,19 +23,19 @@
 	return c.Conn.Read(p)
 }
 
-// Close closes the connection and counts it out.
+// Close closes the connection and removes it from the listener's count.
 func (c *conn) Close() error {
 	c.removeOnce.Do(func() { c.listener.remove(c) })
 	return c.Conn.Close()
 }
 
-// reset closes the connection so that the other end sees a reset, and counts it out.
+// reset closes the connection with a TCP reset and removes it from the listener's count.
 func (c *conn) reset() {
 	c.removeOnce.Do(func() { c.listener.remove(c) })
 	reset(c.Conn)
 }
 
-// reset closes a TCP connection with a reset and without its buffered bytes.
+// reset closes a TCP connection with a reset and discards its buffered bytes.
 func reset(nc net.Conn) {
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/standin/listener/listener.go
+++ b/internal/standin/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener is the network side of the stand-ins: a TCP listener that counts all its
-// connections, refuses those beyond a limit or from cut sources, and can go down and come back on
-// its address; and a server on it that tells open connections to go away.
+// Package listener provides the network side of the stand-ins. Listener is a TCP listener that counts
+// its connections, refuses those beyond a limit or from cut sources, and can close and reopen on the
+// same address. Server serves HTTP on it and can send GOAWAY on open connections.
 package listener
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Options are fixed for the life of a Listener.
+// Options are the options of a Listener. They do not change during its life.
 type Options struct {
-	// Limit is how many connections may be open at once, whatever they are used for; 0 is no limit.
+	// Limit is the number of connections that may be open at once, whatever their use; 0 is no limit.
 	Limit int
-	// Delay is how long a new connection stays without being read, in place of a slow handshake.
+	// Delay is the time from accepting a connection to its first read. It simulates a slow handshake.
 	Delay time.Duration
 }
 
@@ -26,14 +26,14 @@
 	Refused uint64
 }
 
-// Listener accepts TCP connections under faults. It implements net.Listener.
+// Listener is a net.Listener for TCP that can inject faults. It is safe for concurrent use.
 type Listener struct {
 	addr net.Addr
 	opts Options
 
 	mu sync.Mutex
-	// The fields below are guarded by mu. inner is nil while the listener is down; change is closed
-	// and replaced when it comes back or is closed.
+	// The fields below are guarded by mu. inner is nil while the listener is down. change is closed and
+	// replaced when the listener reopens or is closed.
 	inner      net.Listener
 	change     chan struct{}
 	closed     bool
@@ -57,7 +57,8 @@
 // Addr returns the address, which stays the same while the listener is down.
 func (l *Listener) Addr() net.Addr { return l.addr }
 
-// Accept returns the next connection that is not refused. While the listener is down it waits.
+// Accept returns the next connection that is not refused. It waits while the listener is down and returns
+// net.ErrClosed after Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		inner, err := l.awaitUp()
@@ -78,7 +79,7 @@
 	}
 }
 
-// awaitUp returns the listening socket, or net.ErrClosed after Close.
+// awaitUp waits while the listener is down and returns the listening socket, or net.ErrClosed after Close.
 func (l *Listener) awaitUp() (net.Listener, error) {
 	for {
 		l.mu.Lock()
@@ -100,7 +101,7 @@
 	return l.inner == inner
 }
 
-// admit counts the connection in, or returns nil where it has to be refused.
+// admit counts the connection and returns it wrapped, or returns nil if it must be refused.
 func (l *Listener) admit(nc net.Conn) *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,8 +116,8 @@
 	return c
 }
 
-// SetDown closes the listening socket, so that new connections are refused, or opens it again.
-// Open connections stay.
+// SetDown closes the listening socket, so that new connections are refused, or reopens it on the same
+// address. Open connections stay open.
 func (l *Listener) SetDown(down bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// SetCut refuses connections from the given source IP numbers and resets those that are open.
+// SetCut replaces the cut sources: it refuses new connections from these IP numbers and resets open ones.
 func (l *Listener) SetCut(sources []string) {
 	cut := make(map[string]bool, len(sources))
 	for _, s := range sources {
@@ -175,14 +176,14 @@
 	return s
 }
 
-// ResetStats starts the counts again; connections that are open go on counting.
+// ResetStats resets the counts. Open connections still count.
 func (l *Listener) ResetStats() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stats = Stats{Max: len(l.open)}
 }
 
-// Close ends Accept for good. Open connections stay.
+// Close closes the listener and ends Accept. Open connections stay open.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,13 +200,13 @@
 	return err
 }
 
-// wake lets awaitUp look again. l.mu is held.
+// wake makes awaitUp check the state again. The caller holds l.mu.
 func (l *Listener) wake() {
 	close(l.change)
 	l.change = make(chan struct{})
 }
 
-// remove counts the connection out.
+// remove removes the connection from the count.
 func (l *Listener) remove(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/listener/listener_test.go
+++ b/internal/standin/listener/listener_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/net/http2"
 )
 
-// open returns a listener whose accepted connections go to the channel.
-func open(t *testing.T, o Options) (*Listener, <-chan net.Conn) {
+// listen returns a listener and the channel that receives its accepted connections.
+func listen(t *testing.T, o Options) (*Listener, <-chan net.Conn) {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0", o)
 	if err != nil {
@@ -41,13 +41,13 @@
 	return d.Dial("tcp", l.Addr().String())
 }
 
-// refused tells whether the listener ends the connection without a byte.
+// refused reports whether the listener closes the connection without sending a byte.
 func refused(c net.Conn) bool {
 	n, err := c.Read(make([]byte, 1))
 	return n == 0 && err != nil
 }
 
-// refusedFrom tells whether a connection from the source is reset, at its opening or after it.
+// refusedFrom reports whether a connection from the source is reset, during or after its opening.
 func refusedFrom(is *is.I, l *Listener, from string) bool {
 	c, err := dial(l, from)
 	if err != nil {
@@ -59,7 +59,7 @@
 
 func TestLimitCountsAllConnectionsUntilClosed(t *testing.T) {
 	is := is.New(t)
-	l, accepted := open(t, Options{Limit: 2})
+	l, accepted := listen(t, Options{Limit: 2})
 	_, err := dial(l, "127.0.0.1")
 	is.NoErr(err)
 	first := <-accepted
@@ -71,13 +71,13 @@
 	is.NoErr(first.Close())
 	_, err = dial(l, "127.0.0.3")
 	is.NoErr(err)
-	<-accepted // the place is free again
+	<-accepted // the closed connection no longer counts
 	is.Equal(l.Stats(), Stats{Now: 2, Max: 2, Refused: 1})
 }
 
 func TestListenerReopensOnSameAddressAfterDown(t *testing.T) {
 	is := is.New(t)
-	l, accepted := open(t, Options{})
+	l, accepted := listen(t, Options{})
 	before, err := dial(l, "127.0.0.1")
 	is.NoErr(err)
 	kept := <-accepted
@@ -86,7 +86,7 @@
 	is.True(errors.Is(err, syscall.ECONNREFUSED))
 	_, err = kept.Write([]byte("x"))
 	is.NoErr(err)
-	is.True(!refused(before)) // open connections stay
+	is.True(!refused(before)) // open connections stay open
 	is.NoErr(l.SetDown(false))
 	_, err = dial(l, "127.0.0.1")
 	is.NoErr(err)
@@ -95,7 +95,7 @@
 
 func TestCutRefusesOneSource(t *testing.T) {
 	is := is.New(t)
-	l, accepted := open(t, Options{})
+	l, accepted := listen(t, Options{})
 	old, err := dial(l, "127.0.0.3")
 	is.NoErr(err)
 	<-accepted
@@ -150,9 +150,9 @@
 func TestConnectDelayPostponesFirstRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		far, near := net.Pipe()
-		c := &conn{Conn: near, readableAt: time.Now().Add(6 * time.Millisecond)}
-		go func() { _, _ = far.Write([]byte("xy")) }()
+		remote, local := net.Pipe()
+		c := &conn{Conn: local, readableAt: time.Now().Add(6 * time.Millisecond)}
+		go func() { _, _ = remote.Write([]byte("xy")) }()
 		start := time.Now()
 		for range 2 {
 			_, err := c.Read(make([]byte, 1))
--- a/internal/standin/listener/server.go
+++ b/internal/standin/listener/server.go
@@ -11,27 +11,27 @@
 	"github.com/burdockplank/burdockplank/internal/rpc"
 )
 
-// Server serves HTTP/1.1 and HTTP/2 without TLS on a Listener. Renew tells all open connections to
-// go away without refusing new ones, which one http.Server can't do: it hands its connections to a
-// chain of them.
+// Server serves HTTP/1.1 and HTTP/2 without TLS on a Listener. GoAway ends all open connections
+// gracefully without refusing new ones. A single http.Server can't do that, so Server uses a sequence of
+// them and passes each new connection to the newest. It is safe for concurrent use.
 type Server struct {
 	listener *Listener
 	handler  http.Handler
 
 	mu sync.Mutex
-	// current takes new connections; older holds those told to go away until they have ended. Both
-	// are guarded by mu.
+	// current takes new connections. draining holds the older generations until their connections have
+	// ended. Both are guarded by mu.
 	current  *generation
 	draining map[*generation]struct{}
 }
 
-// generation is one http.Server of the chain.
+// generation is one http.Server of the sequence and the listener that it accepts from.
 type generation struct {
 	http  *http.Server
 	conns *connQueue
 }
 
-// NewServer returns a server of h; Run serves.
+// NewServer returns a server that serves h on l once Run is called.
 func NewServer(l *Listener, h http.Handler) *Server {
 	s := &Server{listener: l, handler: h, draining: make(map[*generation]struct{})}
 	s.current = s.newGeneration()
@@ -44,7 +44,7 @@
 	return g
 }
 
-// Run accepts connections until ctx ends, then closes the listener and all connections.
+// Run accepts connections until ctx ends, then closes the listener and all connections and returns nil.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() })
 	defer stop()
@@ -61,7 +61,7 @@
 	}
 }
 
-// dispatch gives the connection to the newest generation that takes it.
+// dispatch passes the connection to the current generation. It retries if that one closes meanwhile.
 func (s *Server) dispatch(nc net.Conn) {
 	for {
 		s.mu.Lock()
@@ -83,7 +83,8 @@
 	}()
 }
 
-// Drain is Renew that waits until the calls in flight have finished or ctx ends.
+// Drain does what GoAway does and waits until the calls in flight have finished or ctx ends. It returns
+// the error of ctx if that ends first.
 func (s *Server) Drain(ctx context.Context) error {
 	old := s.replaceCurrent()
 	defer s.forget(old)
@@ -115,7 +116,7 @@
 	s.listener.ResetConns()
 }
 
-// connQueue is the net.Listener of one generation.
+// connQueue is the net.Listener of one generation. Accept returns the connections passed to offer.
 type connQueue struct {
 	addr   net.Addr
 	conns  chan net.Conn
@@ -127,31 +128,31 @@
 	return &connQueue{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// offer hands the connection over, or returns false where the feed is closed.
-func (f *connQueue) offer(nc net.Conn) bool {
+// offer waits until Accept takes the connection and returns true, or returns false if q is closed.
+func (q *connQueue) offer(nc net.Conn) bool {
 	select {
-	case f.conns <- nc:
+	case q.conns <- nc:
 		return true
-	case <-f.closed:
+	case <-q.closed:
 		return false
 	}
 }
 
 // Accept implements net.Listener.
-func (f *connQueue) Accept() (net.Conn, error) {
+func (q *connQueue) Accept() (net.Conn, error) {
 	select {
-	case nc := <-f.conns:
+	case nc := <-q.conns:
 		return nc, nil
-	case <-f.closed:
+	case <-q.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (f *connQueue) Close() error {
-	f.once.Do(func() { close(f.closed) })
+func (q *connQueue) Close() error {
+	q.once.Do(func() { close(q.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *connQueue) Addr() net.Addr { return f.addr }
+func (q *connQueue) Addr() net.Addr { return q.addr }
