--- a/internal/standin/control/control.go
+++ b/internal/standin/control/control.go
@@ -1,5 +1,5 @@
-// Package control holds what the control listeners of the stand-ins share: strict JSON bodies, JSON
-// answers and a server that ends with its context.
+// Package control provides the shared code of the stand-ins' control listeners: strict parsing of JSON
+// bodies, JSON answers and a server that ends with its context.
 package control
 
 import (
@@ -15,14 +15,14 @@
 )
 
 const (
-	// MaxBodyBytes is the longest body that a control request may carry, in bytes.
+	// MaxBodyBytes is the longest body of a control request.
 	MaxBodyBytes = 1 << 20
-	// readHeaderTimeout bounds half a request.
+	// readHeaderTimeout bounds the time to receive a request's header.
 	readHeaderTimeout = 5 * time.Second
 )
 
-// ReadJSON decodes the body of r into v, unknown fields refused. Where it fails it answers 400 and
-// returns false.
+// ReadJSON decodes the body of r into v. If the body has unknown fields, more than one JSON value or
+// more than MaxBodyBytes, or is malformed, it answers 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	dec.DisallowUnknownFields()
@@ -37,7 +37,8 @@
 	return true
 }
 
-// ReadAll returns the body of r. Where it is longer than MaxBody it answers 413 and returns false.
+// ReadAll returns the body of r. If the body can't be read or is longer than MaxBodyBytes, it answers
+// 413 and returns false.
 func ReadAll(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
@@ -47,7 +48,7 @@
 	return body, true
 }
 
-// WriteJSON answers 200 with v.
+// WriteJSON answers 200 with v as indented JSON.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
