--- a/internal/standin/publish/publish.go
+++ b/internal/standin/publish/publish.go
@@ -1,5 +1,5 @@
-// Package publish uploads a signed bundle's directory to the stand-in of the platform, the way an
-// operator's own means of publishing would: sections first, manifest last.
+// Package publish uploads the directory of a signed bundle to the stand-in platform in the order that an
+// operator's publishing tool must keep: sections first, manifest last.
 package publish
 
 import (
@@ -24,7 +24,7 @@
 
 // Client uploads to the control listener of a stand-in platform.
 type Client struct {
-	// Control is IP:PORT.
+	// Control is the IP:PORT of the control listener.
 	Control string
 	// HTTP sends the requests.
 	HTTP *http.Client
@@ -35,8 +35,8 @@
 	return &Client{Control: control, HTTP: &http.Client{Timeout: uploadTimeout}}
 }
 
-// Bundle uploads DIR/sections/<hex> and then DIR/manifest. No section is uploaded after the
-// manifest, so that no reader finds a manifest whose sections are missing.
+// Bundle uploads DIR/sections/<hex> and then DIR/manifest. It stops at the first failure. The manifest
+// goes last so that no reader finds a manifest whose sections are missing.
 func (c *Client) Bundle(ctx context.Context, dir string) error {
 	entries, err := os.ReadDir(filepath.Join(dir, sectionsDir))
 	if err != nil {
@@ -50,7 +50,7 @@
 	return c.file(ctx, "/keys/bundle/manifest", filepath.Join(dir, manifestFile))
 }
 
-// List uploads a file of JSON as the list of VMs and leaves.
+// List uploads a JSON file as the list of VMs and leaves.
 func (c *Client) List(ctx context.Context, file string) error { return c.file(ctx, "/list", file) }
 
 func (c *Client) file(ctx context.Context, path, file string) error {
--- a/internal/standin/publish/publish_test.go
+++ b/internal/standin/publish/publish_test.go
@@ -20,7 +20,7 @@
 		name, refused string
 		want          []string
 	}{
-		{"all taken", "none", []string{"/keys/bundle/section/aa", "/keys/bundle/section/bb", "/keys/bundle/manifest"}},
+		{"all accepted", "none", []string{"/keys/bundle/section/aa", "/keys/bundle/section/bb", "/keys/bundle/manifest"}},
 		{"a section refused", "/keys/bundle/section/bb", []string{"/keys/bundle/section/aa"}},
 	}
 	for _, c := range cases {
@@ -31,18 +31,18 @@
 			for _, f := range []string{"manifest", "sections/aa", "sections/bb"} {
 				is.NoErr(os.WriteFile(filepath.Join(dir, f), []byte(f), 0o644))
 			}
-			var taken []string
+			var accepted []string
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == c.refused {
 					http.Error(w, "no", http.StatusRequestEntityTooLarge)
 					return
 				}
-				taken = append(taken, r.URL.Path)
+				accepted = append(accepted, r.URL.Path)
 			}))
 			defer s.Close()
 			err := NewClient(strings.TrimPrefix(s.URL, "http://")).Bundle(t.Context(), dir)
 			is.Equal(err != nil, c.refused != "none")
-			is.Equal(taken, c.want)
+			is.Equal(accepted, c.want)
 		})
 	}
 }
