--- a/cmd/burdock-standin/commands.go
+++ b/cmd/burdock-standin/commands.go
@@ -17,10 +17,10 @@
 	"github.com/burdockplank/burdockplank/internal/standin/publish"
 )
 
-// drainLimit bounds the drain of leaves at SIGTERM.
-const drainLimit = 10 * time.Second
+// drainTimeout bounds the drain of leaves at SIGTERM.
+const drainTimeout = 10 * time.Second
 
-// newLog returns the log of a stand-in.
+// newLog returns the logger of a stand-in process.
 func (c *cli) newLog() (*zap.Logger, error) {
 	return logging.New("burdock-standin", "", settings.Log{Level: c.LogLevel})
 }
@@ -30,7 +30,7 @@
 	Control string `required:"" placeholder:"IP:PORT" help:"Where operators publish and tests set faults."`
 }
 
-// Run serves the platform until a signal.
+// Run serves the platform until the process gets a signal to end.
 func (cmd *platformCmd) Run(c *cli) error {
 	log, err := c.newLog()
 	if err != nil {
@@ -43,13 +43,14 @@
 	return r.Run(context.Background())
 }
 
-// settingsFlags are the flags of each subcommand with a settings file.
+// settingsFlags are the flags common to the subcommands with a settings file.
 type settingsFlags struct {
 	Settings string `required:"" placeholder:"FILE" help:"TOML settings."`
 	Check    bool   `help:"Load and check the settings, print ok and end."`
 }
 
-// load reads the settings; done is true where only a check was asked for.
+// load reads and checks the settings. done is true if the command has nothing more to do: after an error,
+// or with --check.
 func (f *settingsFlags) load(dst settings.Checked) (done bool, err error) {
 	if err := settings.Load(f.Settings, dst); err != nil {
 		return true, err
@@ -62,7 +63,7 @@
 
 type leafCmd struct{ settingsFlags }
 
-// Run serves one leaf until a signal or a marked request.
+// Run serves one leaf until the process gets a signal to end or a marked request crashes it.
 func (cmd *leafCmd) Run(c *cli) error {
 	var s leaf.Settings
 	if done, err := cmd.load(&s); done {
@@ -73,7 +74,7 @@
 
 type leavesCmd struct{ settingsFlags }
 
-// Run serves many leaves until a signal.
+// Run serves many leaves until the process gets a signal to end. A marked request restarts its leaf only.
 func (cmd *leavesCmd) Run(c *cli) error {
 	var s leaf.GroupSettings
 	if done, err := cmd.load(&s); done {
@@ -96,7 +97,7 @@
 
 type relayCmd struct{ settingsFlags }
 
-// Run forwards until a signal.
+// Run forwards traffic until the process gets a signal to end.
 func (cmd *relayCmd) Run(c *cli) error {
 	var s relay.Settings
 	if done, err := cmd.load(&s); done {
@@ -119,7 +120,7 @@
 	List    string `placeholder:"FILE" help:"JSON list of VMs and leaves, uploaded before the bundle."`
 }
 
-// Validate refuses a command line that names nothing to upload.
+// Validate returns an error if the command line names nothing to upload.
 func (cmd *publishCmd) Validate() error {
 	if cmd.Dir == "" && cmd.List == "" {
 		return eris.New("want --dir, --list or both")
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// Run uploads what is named.
+// Run uploads the list, if given, and then the bundle, if given.
 func (cmd *publishCmd) Run() error {
 	client := publish.NewClient(cmd.Control)
 	ctx := context.Background()
@@ -142,20 +143,20 @@
 	return client.Bundle(ctx, cmd.Dir)
 }
 
-// platformRunner runs the platform.
+// platformRunner returns the runner of a platform process.
 func platformRunner(p *platform.Platform, log *zap.Logger) *process.Runner {
 	return &process.Runner{Log: log, Duties: []process.Duty{{Name: "platform", Run: p.Run}}}
 }
 
-// leavesRunner runs leaves and drains them at SIGTERM.
+// leavesRunner returns the runner of a process of leaves, which drains them at SIGTERM.
 func leavesRunner(g *leaf.Group, log *zap.Logger) *process.Runner {
 	return &process.Runner{
-		Log: log, DrainLimit: drainLimit, Drain: g.Drain,
+		Log: log, DrainLimit: drainTimeout, Drain: g.Drain,
 		Duties: []process.Duty{{Name: "leaves", Run: g.Run}},
 	}
 }
 
-// relayRunner runs a relay.
+// relayRunner returns the runner of a relay process.
 func relayRunner(r *relay.Relay, log *zap.Logger) *process.Runner {
 	return &process.Runner{Log: log, Duties: []process.Duty{{Name: "relay", Run: r.Run}}}
 }
--- a/cmd/burdock-standin/main.go
+++ b/cmd/burdock-standin/main.go
@@ -1,7 +1,7 @@
-// burdock-standin stands in for the systems around burdockplank in tests, demo and bench: the
-// platform and the leaves, and a relay between VMs. It is no product.
+// burdock-standin runs stand-ins for the systems around burdockplank in tests, the demo and benchmarks:
+// the platform, the leaves, and a relay between VMs. It is not meant for production.
 //
-// Exit codes: 0 ok, 1 failure at run time or crash on a marked request, 2 settings or usage refused.
+// Exit codes: 0 ok, 1 failure at run time or crash on a marked request, 2 invalid settings or usage.
 package main
 
 import (
@@ -18,7 +18,7 @@
 // exitFailure is the exit code of a failure at run time.
 const exitFailure = 1
 
-// cli is the command line.
+// cli holds the flags and subcommands of the command line.
 type cli struct {
 	Version  kong.VersionFlag `help:"Print the version and end."`
 	LogLevel string           `help:"debug, info, warn or error." enum:"debug,info,warn,error" default:"info"`
@@ -51,10 +51,10 @@
 	return 0
 }
 
-// exitCode tells refused settings from a failure at run time.
+// exitCode returns settings.ExitCode for invalid settings and exitFailure for other errors.
 func exitCode(err error) int {
-	var refused *settings.Error
-	if errors.As(err, &refused) {
+	var invalid *settings.Error
+	if errors.As(err, &invalid) {
 		return settings.ExitCode
 	}
 	return exitFailure
--- a/cmd/burdock-standin/main_test.go
+++ b/cmd/burdock-standin/main_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// exits runs a command and wants the given exit code: exits CODE PROGRAM ARG...
+// exits runs a command and fails the script unless its exit code is CODE: exits CODE PROGRAM ARG...
 func exits(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: exits CODE PROGRAM ARG...")
--- a/cmd/burdock-standin/wire.go
+++ b/cmd/burdock-standin/wire.go
@@ -12,19 +12,19 @@
 	"github.com/burdockplank/burdockplank/internal/standin/platform"
 )
 
-// initPlatform builds the process of a platform.
+// initPlatform returns the runner of a platform process.
 func initPlatform(o platform.Options, log *zap.Logger) (*process.Runner, error) {
 	wire.Build(platform.New, platformRunner)
 	return nil, nil
 }
 
-// initLeaves builds the process of one or many leaves.
+// initLeaves returns the runner of a process of one or many leaves.
 func initLeaves(s []leaf.Settings, log *zap.Logger, crash leaf.CrashFunc) (*process.Runner, error) {
 	wire.Build(leaf.NewGroup, leavesRunner)
 	return nil, nil
 }
 
-// initRelay builds the process of a relay.
+// initRelay returns the runner of a relay process.
 func initRelay(s relay.Settings, log *zap.Logger) (*process.Runner, error) {
 	wire.Build(relay.New, relayRunner)
 	return nil, nil
--- a/cmd/burdock-standin/wire_gen.go
+++ b/cmd/burdock-standin/wire_gen.go
@@ -16,7 +16,7 @@
 
 // Injectors from wire.go:
 
-// initPlatform builds the process of a platform.
+// initPlatform returns the runner of a platform process.
 func initPlatform(o platform.Options, log *zap.Logger) (*process.Runner, error) {
 	platformPlatform, err := platform.New(o)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return runner, nil
 }
 
-// initLeaves builds the process of one or many leaves.
+// initLeaves returns the runner of a process of one or many leaves.
 func initLeaves(s []leaf.Settings, log *zap.Logger, crash leaf.CrashFunc) (*process.Runner, error) {
 	group, err := leaf.NewGroup(s, log, crash)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return runner, nil
 }
 
-// initRelay builds the process of a relay.
+// initRelay returns the runner of a relay process.
 func initRelay(s relay.Settings, log *zap.Logger) (*process.Runner, error) {
 	relayRelay, err := relay.New(s)
 	if err != nil {
