--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -75,7 +75,7 @@
 			})
 			t.Cleanup(l.Close)
 			c.leaves[id] = l
-			c.store.Enter(l, service, "z", "ready", l.Address())
+			c.store.PutLeaf(l, service, "z", "ready", l.Address())
 		}
 	}
 	c.configure("x")
@@ -88,9 +88,9 @@
 	c.store.Configure(hosted.Config{
 		Version: c.version, Services: []string{"s0", "s1", "s2", "x", "later"}, Connections: 30,
 		Routes: []hosted.Route{
-			{Name: "s", Host: "h", Prefix: "/s/", Idempotent: true, Timeout: 800 * time.Millisecond, Target: 150 * time.Millisecond,
-				Shards: []string{"s0", "s1", "s2"}, Priority: 1, MaxAttempts: 2, Top: 2, LeastPart: 0.6},
-			{Name: "x", Host: "h", Prefix: "/x/", Timeout: 3 * time.Second, Target: 600 * time.Millisecond, Service: single, Priority: 2, MaxAttempts: 2},
+			{Name: "s", Host: "h", Prefix: "/s/", Idempotent: true, Timeout: 800 * time.Millisecond, TargetLatency: 150 * time.Millisecond,
+				Shards: []string{"s0", "s1", "s2"}, Priority: 1, MaxAttempts: 2, TopK: 2, MinShardShare: 0.6},
+			{Name: "x", Host: "h", Prefix: "/x/", Timeout: 3 * time.Second, TargetLatency: 600 * time.Millisecond, Service: single, Priority: 2, MaxAttempts: 2},
 		},
 	})
 }
@@ -265,7 +265,7 @@
 	v := c.start(true)
 	within(t, 3*time.Second, "ready", v.ready)
 	leaf := c.leaves["x-a"]
-	c.store.Enter(leaf, "x", "z", "draining", leaf.Address())
+	c.store.PutLeaf(leaf, "x", "z", "draining", leaf.Address())
 	time.Sleep(time.Second)
 	before := len(leaf.Requests())
 	for i := range 20 {
--- a/internal/soak/again.go
+++ b/internal/soak/again.go
@@ -60,7 +60,7 @@
 	go func() {
 		defer close(done)
 		if wait.For(ctx, entryTTL) {
-			tb.store.Remove(leaf)
+			tb.store.RemoveLeaf(leaf)
 		}
 	}()
 	return func() { <-done }
@@ -88,7 +88,7 @@
 // writeForeign writes entries that no leaf wrote, for a shard that searches use.
 func (tb *testbed) writeForeign(e Event) {
 	for name, value := range foreignEntries(tb.shardInForce(e), tb.trap.Address()) {
-		tb.store.Put(hosted.ForeignKey("foreign-"+name), value)
+		tb.store.Put(hosted.ServerKey("foreign-"+name), value)
 	}
 }
 
@@ -98,7 +98,7 @@
 // trapped describes the connections and requests that reached the trap.
 func (tb *testbed) trapped() []string {
 	var out []string
-	if n := tb.trap.Opened(); n > 0 {
+	if n := tb.trap.ConnectionsOpened(); n > 0 {
 		out = append(out, fmt.Sprintf("%d connections were opened to an address that only foreign entries name", n))
 	}
 	for _, s := range tb.trap.Requests() {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -124,7 +124,7 @@
 		body = "one of " + out.ID
 	}
 	_ = c.conn.SetDeadline(time.Now().Add(callTimeout + time.Second))
-	request := hosted.Ask{ID: out.ID, Method: method, Host: host, Target: out.Target, Body: body, Wait: callTimeout}
+	request := hosted.Request{ID: out.ID, Method: method, Host: host, Target: out.Target, Body: body, Timeout: callTimeout}
 	if err := request.Write(c.conn); err != nil {
 		out.Err = notSent + err.Error()
 		return false
@@ -135,7 +135,7 @@
 		return false
 	}
 	out.setAnswer(a)
-	return a.Keep
+	return a.KeepAlive
 }
 
 // drawRequest draws the kind of the next request and returns its method and path prefix.
@@ -155,7 +155,7 @@
 	c.Status, c.Body = a.Status, a.Body
 	switch {
 	case c.Kind == Search:
-		c.Stamps, c.Missing = a.Parts, a.Missing
+		c.Stamps, c.Missing = a.PartStamps, a.MissingParts
 	case a.Status == http.StatusOK && a.ID != c.ID:
 		c.Stamps = []string{"answer to " + a.ID}
 	default:
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -135,7 +135,7 @@
 	if e.Fault != LeafDrain {
 		wait.For(ctx, entryTTL)
 	}
-	tb.store.Remove(leaf)
+	tb.store.RemoveLeaf(leaf)
 	if e.Fault == LeafAddressReuse {
 		service = singleService(int(e.Pick % singleServices))
 		wait.For(ctx, addressReuseDelay)
@@ -182,7 +182,7 @@
 	case StoreSlow:
 		tb.store.SetFault(hosted.Fault{Delay: 200 * time.Millisecond})
 	case StoreLoseAnswers:
-		tb.store.SetFault(hosted.Fault{Lose: true})
+		tb.store.SetFault(hosted.Fault{DropConnection: true})
 	default:
 		tb.store.Compact()
 		return
--- a/internal/soak/leaves.go
+++ b/internal/soak/leaves.go
@@ -160,6 +160,6 @@
 	case LeafGarble:
 		reply.Truncate = max(1, len(reply.Body)/2)
 	case LeafExtraAnswers:
-		reply.Then = hosted.ForeignAnswer()
+		reply.Trailing = hosted.ForeignAnswer()
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -148,7 +148,7 @@
 // writeEntry writes the store entry of the placement's leaf with the given state. It does nothing if there is no leaf.
 func (tb *testbed) writeEntry(p *placement, state string) {
 	if leaf := p.current(); leaf != nil {
-		tb.store.Enter(leaf, p.service, p.zone, state, p.entry)
+		tb.store.PutLeaf(leaf, p.service, p.zone, state, p.entry)
 	}
 }
 
@@ -162,7 +162,7 @@
 		next.Shards = shardSet((tb.configs[n-1].Shards[0] == shardSet(true)[0]) != reshard)
 	}
 	search, single, order := route("s"), route("v"), route("o")
-	search.Shards, search.Top, search.LeastPart = next.Shards, topRecords, minShardShare
+	search.Shards, search.TopK, search.MinShardShare = next.Shards, topRecords, minShardShare
 	single.Service = next.Service
 	order.Service, order.Idempotent = orderService, false
 	next.At = time.Now()
@@ -176,7 +176,7 @@
 func route(name string) hosted.Route {
 	return hosted.Route{
 		Name: name, Host: host, Prefix: "/" + name + "/", Idempotent: true, Timeout: 1500 * time.Millisecond,
-		Target: 300 * time.Millisecond, Priority: 1, MaxAttempts: 3,
+		TargetLatency: 300 * time.Millisecond, Priority: 1, MaxAttempts: 3,
 	}
 }
 
--- a/internal/standin/hosted/leaf.go
+++ b/internal/standin/hosted/leaf.go
@@ -13,69 +13,72 @@
 	"time"
 )
 
-// Leaf plays a leaf of the platform: it serves one request at a time on a connection, slots of them at
-// once, and refuses what it has no room for. It is safe for concurrent use.
+// Leaf is a stand-in for a leaf of the platform. It serves one request at a time on each connection
+// and as many at once as it has slots, and refuses requests beyond that. It is safe for concurrent
+// use.
 type Leaf struct {
 	ID string
-	// Born is when it started, in Unix milliseconds.
-	Born     int64
-	listener net.Listener
-	slots    chan struct{}
-	ended    sync.WaitGroup
+	// Born is the time of the leaf's start in Unix milliseconds.
+	Born       int64
+	listener   net.Listener
+	slots      chan struct{}
+	goroutines sync.WaitGroup
 
 	mu sync.Mutex
-	// What follows is guarded by mu.
-	script  Script
-	conns   map[net.Conn]struct{}
-	seen    []Seen
-	opened  int
-	running atomic.Int64
+	// The fields below are guarded by mu, except running.
+	script   Script
+	conns    map[net.Conn]struct{}
+	received []ReceivedRequest
+	opened   int
+	running  atomic.Int64
 }
 
-// Seen is a request that reached the leaf.
-type Seen struct {
-	ID, Method, Target, Host, Expected string
-	Remaining                          int
-	Header                             http.Header
-	Body                               []byte
-	Ran                                bool
-	At                                 time.Time
+// ReceivedRequest is a request that reached the leaf. Ran reports whether the leaf ran it.
+type ReceivedRequest struct {
+	ID, Method, Target, Host, ExpectedInstance string
+	Remaining                                  int
+	Header                                     http.Header
+	Body                                       []byte
+	Ran                                        bool
+	At                                         time.Time
 }
 
-// Reply is what a leaf does with a request.
+// Reply is a leaf's reaction to a request.
 type Reply struct {
-	// Delay is how long the work takes.
+	// Delay is the service time.
 	Delay time.Duration
-	// Status is 200 where it is 0.
+	// Status is the status code; 0 stands for 200.
 	Status int
 	Body   []byte
 	Header http.Header
 	// Refuse answers 503 without running the request.
 	Refuse bool
-	// Raw, where set, is written in place of an answer; Then is written after the answer.
-	Raw, Then []byte
-	// Close ends the connection after what was written, Reset with a reset.
+	// Raw, if set, is written in place of an answer. Trailing is written after the answer.
+	Raw, Trailing []byte
+	// Close closes the connection after the answer or Raw. Reset resets it in place of an answer.
 	Close, Reset bool
-	// Truncate cuts the body to as many bytes, under a length that promises more.
+	// Truncate, if above 0, cuts the body to this many bytes; Content-Length still announces the
+	// full body.
 	Truncate int
-	// NoLength sends the body without a length and ends the connection.
+	// NoLength sends the body without a Content-Length and closes the connection.
 	NoLength bool
-	// Early answers before the body was read.
-	Early bool
+	// BeforeBody answers without reading the request's body first.
+	BeforeBody bool
 }
 
-// RequestID returns the attempt's id that a request carries.
+// RequestID returns the id of the attempt, which the request carries in its Request-Id header.
 func RequestID(r *http.Request) string { return r.Header.Get("Request-Id") }
 
-// ForeignAnswer is a success that belongs to another attempt, signed by nobody.
+// ForeignAnswer returns a successful answer to another attempt, with a signature of no known leaf.
 func ForeignAnswer() []byte {
 	return []byte("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nServer-Stamp: other.other\r\nContent-Length: 5\r\n\r\nother")
 }
 
-// Script decides what a leaf does with its n-th request, from 0.
+// Script returns the leaf's reaction to its n-th request, counted from 0.
 type Script func(n int, r *http.Request) Reply
 
-// NewLeaf starts a leaf at a free port of loopback with as many slots. Close ends it.
+// NewLeaf starts a leaf with the given number of slots on a free loopback port. It panics if it
+// can't listen. The caller must Close the leaf.
 func NewLeaf(id string, slots int, script Script) *Leaf {
 	leaf, err := NewLeafAt("127.0.0.1:0", id, slots, script)
 	if err != nil {
@@ -84,18 +87,18 @@
 	return leaf
 }
 
-// NewLeafAt starts a leaf at the address, such as that of one that has ended.
+// NewLeafAt starts a leaf at the address, which may be that of a closed leaf.
 func NewLeafAt(address, id string, slots int, script Script) (*Leaf, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	leaf := &Leaf{ID: id, Born: time.Now().UnixMilli(), listener: l, slots: make(chan struct{}, slots), script: script, conns: make(map[net.Conn]struct{})}
-	leaf.ended.Go(leaf.accept)
+	leaf.goroutines.Go(leaf.accept)
 	return leaf, nil
 }
 
-// Address returns IP:PORT of the leaf.
+// Address returns the IP:PORT of the leaf.
 func (l *Leaf) Address() string { return l.listener.Addr().String() }
 
 // Entry returns the leaf's entry in the store, under servers/ID.
@@ -106,14 +109,14 @@
 	}
 }
 
-// Close ends the leaf and its connections.
+// Close closes the leaf and its connections and waits for their goroutines.
 func (l *Leaf) Close() {
 	_ = l.listener.Close()
 	l.CloseConns()
-	l.ended.Wait()
+	l.goroutines.Wait()
 }
 
-// CloseConns ends all open connections.
+// CloseConns closes all open connections.
 func (l *Leaf) CloseConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,22 +125,22 @@
 	}
 }
 
-// SetScript changes what the leaf does from now on.
+// SetScript replaces the script for all later requests.
 func (l *Leaf) SetScript(s Script) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.script = s
 }
 
-// Requests returns what reached the leaf so far.
-func (l *Leaf) Requests() []Seen {
+// Requests returns the requests that have reached the leaf so far.
+func (l *Leaf) Requests() []ReceivedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Seen(nil), l.seen...)
+	return append([]ReceivedRequest(nil), l.received...)
 }
 
-// Opened returns how many connections were opened so far.
-func (l *Leaf) Opened() int {
+// ConnectionsOpened returns the number of connections accepted so far.
+func (l *Leaf) ConnectionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened
@@ -153,7 +156,7 @@
 		l.conns[c] = struct{}{}
 		l.opened++
 		l.mu.Unlock()
-		l.ended.Go(func() { l.serve(c) })
+		l.goroutines.Go(func() { l.serve(c) })
 	}
 }
 
@@ -176,25 +179,25 @@
 	}
 }
 
-// answer serves one request and tells whether the connection goes on.
+// answer serves one request and reports whether the connection stays open.
 func (l *Leaf) answer(c net.Conn, r *http.Request) bool {
 	l.mu.Lock()
-	reply := l.script(len(l.seen), r)
+	reply := l.script(len(l.received), r)
 	l.mu.Unlock()
 	var body []byte
-	if !reply.Early {
+	if !reply.BeforeBody {
 		body, _ = io.ReadAll(r.Body)
 	}
 	remaining, _ := strconv.Atoi(r.Header.Get("Remaining-Milliseconds"))
-	seen := Seen{
-		ID: RequestID(r), Method: r.Method, Target: r.RequestURI, Host: r.Host, Expected: r.Header.Get("Expected-Instance"),
+	seen := ReceivedRequest{
+		ID: RequestID(r), Method: r.Method, Target: r.RequestURI, Host: r.Host, ExpectedInstance: r.Header.Get("Expected-Instance"),
 		Remaining: remaining, Header: r.Header, Body: body, At: time.Now(),
 	}
-	moved := seen.Expected != "" && seen.Expected != l.ID
-	full := !moved && !reply.Refuse && !l.enter()
+	moved := seen.ExpectedInstance != "" && seen.ExpectedInstance != l.ID
+	full := !moved && !reply.Refuse && !l.acquireSlot()
 	seen.Ran = !moved && !reply.Refuse && !full
 	l.mu.Lock()
-	l.seen = append(l.seen, seen)
+	l.received = append(l.received, seen)
 	l.mu.Unlock()
 	switch {
 	case moved:
@@ -208,7 +211,7 @@
 	return l.write(c, &seen, reply)
 }
 
-func (l *Leaf) enter() bool {
+func (l *Leaf) acquireSlot() bool {
 	select {
 	case l.slots <- struct{}{}:
 		l.running.Add(1)
@@ -218,11 +221,11 @@
 	}
 }
 
-// Stamp is the signature that a leaf puts on an answer to the attempt.
+// Stamp returns the leaf's signature for an answer to the attempt.
 func (l *Leaf) Stamp(id string) string { return l.ID + "." + id }
 
-// write sends the reply and tells whether the connection goes on.
-func (l *Leaf) write(c net.Conn, seen *Seen, reply Reply) bool {
+// write writes the reply and reports whether the connection stays open.
+func (l *Leaf) write(c net.Conn, seen *ReceivedRequest, reply Reply) bool {
 	if reply.Reset {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
@@ -231,11 +234,11 @@
 		_, _ = c.Write(reply.Raw)
 		return !reply.Close
 	}
-	_, err := c.Write(append(l.Answer(seen.ID, reply), reply.Then...))
+	_, err := c.Write(append(l.Answer(seen.ID, reply), reply.Trailing...))
 	return err == nil && !reply.Close && !reply.NoLength && reply.Truncate == 0
 }
 
-// Answer returns an answer to the attempt as it goes over the wire.
+// Answer returns the encoded HTTP answer to the attempt.
 func (l *Leaf) Answer(id string, reply Reply) []byte {
 	status := reply.Status
 	if status == 0 {
--- a/internal/standin/leaf/leaf_test.go
+++ b/internal/standin/leaf/leaf_test.go
@@ -17,7 +17,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-const tryText = `
+const testSettings = `
 id = "teachers-0-a"
 service = "teachers"
 listen = "127.0.0.1:0"
@@ -30,7 +30,7 @@
 func serve(t *testing.T) *Leaf {
 	t.Helper()
 	var s Settings
-	if err := settings.Parse("leaf.toml", []byte(tryText), &s); err != nil {
+	if err := settings.Parse("leaf.toml", []byte(testSettings), &s); err != nil {
 		t.Fatal(err)
 	}
 	l, err := New(s, zap.NewNop(), Restart)
@@ -88,7 +88,7 @@
 	is.NoErr(res.Body.Close())
 	is.True(res.Close) // Connection: close on HTTP/1.1
 	is.NoErr(l.SetFaults(Faults{}))
-	is.True(l.incarnation() != incarnation) // back is a restart
+	is.True(l.incarnation() != incarnation) // the end of a drain counts as a restart
 	_, err = http2Client(l).Search(t.Context(), req)
 	is.NoErr(err)
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestDrainWaitsForTheWorkInFlight(t *testing.T) {
+func TestDrainWaitsForCallsInFlight(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	is.NoErr(l.SetFaults(Faults{HoldExecute: settings.Duration(200 * time.Millisecond)}))
@@ -120,10 +120,10 @@
 	l.Drain(t.Context())
 	running, _ := l.slots.load()
 	is.Equal(running, 0)
-	is.NoErr(<-answered) // the drain cut nothing off
+	is.NoErr(<-answered) // the drain did not end the call
 }
 
-func TestDeadlineAndCancellationTravelToTheWork(t *testing.T) {
+func TestDeadlineAndCancellationReachRunningCalls(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	is.NoErr(l.SetFaults(Faults{HoldExecute: settings.Duration(time.Hour)}))
@@ -144,11 +144,11 @@
 	_, err := http2Client(l).Execute(late, req)
 	is.Equal(connect.CodeOf(err), connect.CodeDeadlineExceeded)
 	for running, _ := l.slots.load(); running > 0; running, _ = l.slots.load() {
-		time.Sleep(time.Millisecond) // the work ends, though it would take an hour
+		time.Sleep(time.Millisecond) // cancellation ends the calls, which would take an hour
 	}
 }
 
-func TestCrashOfOneAmongMany(t *testing.T) {
+func TestCrashInGroupMakesLeafUnreachableUntilRestart(t *testing.T) {
 	is := is.New(t)
 	l := serve(t)
 	incarnation := l.incarnation()
@@ -160,10 +160,10 @@
 	_, err = client.Status(t.Context(), &pb.LeafStatusRequest{})
 	is.Equal(connect.CodeOf(err), connect.CodeUnavailable)
 	is.True(strings.Contains(err.Error(), "connection refused"))
-	is.NoErr(l.SetFaults(Faults{})) // faults don't end the absence
+	is.NoErr(l.SetFaults(Faults{})) // clearing the faults does not end the crash
 	_, err = client.Status(t.Context(), &pb.LeafStatusRequest{})
 	is.True(err != nil)
-	l.comeBack()
+	l.restoreAfterCrash()
 	res, err := client.Status(t.Context(), &pb.LeafStatusRequest{})
 	is.NoErr(err)
 	is.True(res.GetIncarnation() != incarnation)
@@ -172,8 +172,9 @@
 	is.Equal(len(log.Searches), 1) // the marked search started
 }
 
-// TestRequestsBesideEachOtherCrashALeafOnce runs marked requests that begin before the first has ended the leaf.
-func TestRequestsBesideEachOtherCrashALeafOnce(t *testing.T) {
+// TestConcurrentMarkedRequestsCrashLeafOnce covers marked requests that start before the first of them has
+// crashed the leaf: requests with the same text count as one crash of the incarnation.
+func TestConcurrentMarkedRequestsCrashLeafOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := newLeaf(Settings{ID: "teachers-0-a", Slots: 3, Queue: new(int)}, zap.NewNop(), func(*Leaf) {})
 	is.NoErr(err)
@@ -182,10 +183,10 @@
 	l.crashIfMarked(f, "second", "go boom")
 	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(1))
 	l.crashIfMarked(f, "third", "another boom")
-	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(2)) // another text has crashes of its own
-	l.renewInstance()
+	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(2)) // another text counts separately
+	l.renewIncarnation()
 	l.crashIfMarked(f, "fourth", "another boom")
-	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(3)) // so has another start
+	is.Equal(l.journal.snapshot().Counts.Crashes, uint64(3)) // so does another incarnation
 }
 
 func TestControlReplacesFaultsAndClearsLog(t *testing.T) {
@@ -214,16 +215,16 @@
 	log := l.Log()
 	is.Equal(log.Counts.Searches, uint64(0))
 	is.Equal(len(log.Searches), 0)
-	is.Equal(log.Counts.ConnectionsMax, 1) // an open connection goes on counting
+	is.Equal(log.Counts.ConnectionsMax, 1) // an open connection still counts
 }
 
 func TestSettingsRefused(t *testing.T) {
 	cases := []struct{ name, text, want string }{
-		{"no slots", tryText + "slots = -1\n", "f.toml:8: slots: want at least 1, got -1"},
+		{"no slots", testSettings + "slots = -1\n", "f.toml:8: slots: want at least 1, got -1"},
 		{"no id", "service = \"s\"\n", "f.toml: id: want a name of a-z, 0-9, '.' and '-', got \"\""},
-		{"host name", strings.Replace(tryText, "127.0.0.1:0", "localhost:1", 1), "f.toml:4: listen: want IP:PORT, got \"localhost:1\""},
-		{"unknown key", tryText + "slot = 1\n", "f.toml:8: slot: unknown key"},
-		{"negative time", tryText + "cold_start = \"-1s\"\n", "f.toml:8: cold_start: want at least 0, got -1s"},
+		{"host name", strings.Replace(testSettings, "127.0.0.1:0", "localhost:1", 1), "f.toml:4: listen: want IP:PORT, got \"localhost:1\""},
+		{"unknown key", testSettings + "slot = 1\n", "f.toml:8: slot: unknown key"},
+		{"negative time", testSettings + "cold_start = \"-1s\"\n", "f.toml:8: cold_start: want at least 0, got -1s"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -239,7 +240,7 @@
 func TestGroupSettingsRefused(t *testing.T) {
 	is := is.New(t)
 	var g GroupSettings
-	two := "[[leaf]]" + tryText + "[[leaf]]" + tryText
+	two := "[[leaf]]" + testSettings + "[[leaf]]" + testSettings
 	err := settings.Parse("f.toml", []byte(two), &g)
 	is.True(err != nil)
 	is.True(strings.HasSuffix(err.Error(), `leaf.id: [[leaf]] number 2: "teachers-0-a" is taken by number 1`))
--- a/internal/standin/leaf/service.go
+++ b/internal/standin/leaf/service.go
@@ -21,7 +21,7 @@
 	pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE:      connect.CodeDeadlineExceeded,
 }
 
-// refuse returns the error of a call that did not start.
+// refuse counts a refusal and returns the error for a call that did not start.
 func (l *Leaf) refuse(reason pb.LeafRefusalReason) error {
 	l.journal.refused(reason)
 	name := strings.ToLower(strings.TrimPrefix(reason.String(), "LEAF_REFUSAL_REASON_"))
@@ -33,7 +33,7 @@
 	return ce
 }
 
-// contextError returns the error of a call whose context ended while it was worked on.
+// contextError returns the error for a call whose context ended while it ran.
 func contextError(err error) error {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return connect.NewError(connect.CodeDeadlineExceeded, err)
@@ -52,7 +52,7 @@
 	if err := l.refuseSearch(req, from, &f); err != nil {
 		return nil, err
 	}
-	if err := l.takeSlot(ctx); err != nil {
+	if err := l.acquireSlot(ctx); err != nil {
 		return nil, err
 	}
 	defer l.slots.release()
@@ -66,12 +66,12 @@
 		l.journal.searchEnded(entry, SearchFailed)
 		return nil, errInjected()
 	}
-	res := l.mixUp(l.answer(req, &f), &f)
+	res := l.maybeEarlierAnswer(l.answer(req, &f), &f)
 	l.journal.delivered(entry, res)
 	return res, nil
 }
 
-// stallSearch logs the search and waits until its caller gives up.
+// stallSearch logs the search and waits until its context ends.
 func (l *Leaf) stallSearch(ctx context.Context, req *pb.LeafSearchRequest, now time.Time) error {
 	entry := l.journal.searchStarted(req, now)
 	<-ctx.Done()
@@ -82,7 +82,7 @@
 // refuseSearch returns the refusal of a search that must not start, or nil.
 func (l *Leaf) refuseSearch(req *pb.LeafSearchRequest, from string, f *Faults) error {
 	switch {
-	case l.drainsFor(from, f):
+	case l.reportsDrainTo(from, f):
 		return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING)
 	case f.Shed:
 		return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// takeSlot waits for a slot. A call that finds no place or whose context ends first is refused,
+// acquireSlot waits for a slot. A call that finds the queue full or whose context ends first is refused,
 // since it has not started.
-func (l *Leaf) takeSlot(ctx context.Context) error {
+func (l *Leaf) acquireSlot(ctx context.Context) error {
 	err := l.slots.acquire(ctx)
 	switch {
 	case err == nil:
@@ -107,7 +107,7 @@
 	return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DEADLINE)
 }
 
-// answer builds the response of a search, wrong where a fault says so.
+// answer returns the response to a search, with the errors that faults inject.
 func (l *Leaf) answer(req *pb.LeafSearchRequest, f *Faults) *pb.LeafSearchResponse {
 	shard, snapshot := req.GetShard(), req.GetSnapshot()
 	if f.WrongShard {
@@ -124,15 +124,16 @@
 		return res
 	}
 	res.Hits = Hits(shard, snapshot, req.GetQuery(), int(req.GetTopK()), l.settings.Documents)
-	pad(res.Hits, max(l.settings.HitBytes, f.HitBytes))
+	padTexts(res.Hits, max(l.settings.HitBytes, f.HitBytes))
 	return res
 }
 
-// mixUp returns the answer, or that to an earlier search where the fault says so.
-func (l *Leaf) mixUp(res *pb.LeafSearchResponse, f *Faults) *pb.LeafSearchResponse {
+// maybeEarlierAnswer returns res or, in the share of calls that the fault MixedShare selects, the answer to
+// the search before.
+func (l *Leaf) maybeEarlierAnswer(res *pb.LeafSearchResponse, f *Faults) *pb.LeafSearchResponse {
 	l.mu.Lock()
-	earlier := l.earlier
-	l.earlier = res
+	earlier := l.previousAnswer
+	l.previousAnswer = res
 	l.mu.Unlock()
 	if earlier != nil && l.random.chance(f.MixedShare) {
 		return earlier
@@ -140,7 +141,7 @@
 	return res
 }
 
-// Execute implements LeafService. It does not deduplicate: each call that starts is one effect.
+// Execute implements LeafService. It does not deduplicate: each call that starts has an effect.
 func (l *Leaf) Execute(ctx context.Context, req *pb.LeafExecuteRequest) (*pb.LeafExecuteResponse, error) {
 	from := callerIP(ctx)
 	l.journal.arrived(req.GetRequestId(), from, time.Now())
@@ -152,7 +153,7 @@
 	if err := l.refuseOrder(req, from, &f); err != nil {
 		return nil, err
 	}
-	if err := l.takeSlot(ctx); err != nil {
+	if err := l.acquireSlot(ctx); err != nil {
 		return nil, err
 	}
 	defer l.slots.release()
@@ -176,7 +177,7 @@
 // refuseOrder returns the refusal of an order that must not start, or nil.
 func (l *Leaf) refuseOrder(req *pb.LeafExecuteRequest, from string, f *Faults) error {
 	switch {
-	case l.drainsFor(from, f):
+	case l.reportsDrainTo(from, f):
 		return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_DRAINING)
 	case f.Shed:
 		return l.refuse(pb.LeafRefusalReason_LEAF_REFUSAL_REASON_SHED)
@@ -195,21 +196,21 @@
 	}
 	return &pb.LeafStatusResponse{
 		Leaf: l.settings.ID, Incarnation: l.incarnation(), Service: l.settings.Service,
-		Draining: l.drainsFor(callerIP(ctx), &f), Slots: uint32(l.settings.Slots), ConnectionLimit: uint32(l.settings.Connections),
+		Draining: l.reportsDrainTo(callerIP(ctx), &f), Slots: uint32(l.settings.Slots), ConnectionLimit: uint32(l.settings.Connections),
 		Snapshots: l.Snapshots(), Load: l.load(&f),
 	}, nil
 }
 
-// drainsFor tells whether the caller is to hear that the leaf drains, and notes that it does.
-func (l *Leaf) drainsFor(ip string, f *Faults) bool {
-	if !f.drainsFor(ip) {
+// reportsDrainTo reports whether the leaf shows itself as draining to the caller, and if so logs it.
+func (l *Leaf) reportsDrainTo(ip string, f *Faults) bool {
+	if !f.reportsDrainTo(ip) {
 		return false
 	}
-	l.journal.noticed(ip, time.Now())
+	l.journal.drainNotified(ip, time.Now())
 	return true
 }
 
-// callerIP returns the IP number that a call comes from, empty where it didn't come over a network.
+// callerIP returns the IP number that a call comes from, or "" if it did not come over a network.
 func callerIP(ctx context.Context) string {
 	info, ok := connect.CallInfoForHandlerContext(ctx)
 	if !ok {
@@ -222,7 +223,7 @@
 	return host
 }
 
-// load returns the load as this leaf tells it.
+// load returns the load that the leaf reports: that of the fault Report, if set, else the delayed load.
 func (l *Leaf) load(f *Faults) *pb.LeafLoad {
 	if f.Report != nil {
 		return &pb.LeafLoad{InFlight: f.Report.InFlight, Utilisation: f.Report.Utilisation}
--- a/internal/standin/leaf/slots.go
+++ b/internal/standin/leaf/slots.go
@@ -6,14 +6,15 @@
 	"sync"
 )
 
-// errQueueFull says that all slots and places in the queue are taken.
+// errQueueFull reports that all slots and places in the queue are taken.
 var errQueueFull = errors.New("queue full")
 
-// slots bounds the calls worked on at once and those that wait, first come first served.
+// slots limits the calls that run at once and those that wait. Calls wait in FIFO order. It is safe for
+// concurrent use.
 type slots struct {
 	mu sync.Mutex
-	// The fields below are guarded by mu. A channel of waiting is closed when its call gets a slot;
-	// the oldest is first.
+	// The fields below are guarded by mu. waiting has one channel per waiting call, oldest first, which
+	// is closed when the call gets a slot.
 	size, queue int
 	running     int
 	waiting     []chan struct{}
@@ -23,70 +24,71 @@
 
 func newSlots(size, queue int) *slots { return &slots{size: size, queue: queue} }
 
-// acquire returns with a slot, with errQueueFull, or with the end of ctx.
+// acquire waits for a slot. It returns nil with a slot, errQueueFull, or the error of ctx if that ends first.
 func (s *slots) acquire(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	turn, err := s.enter()
-	if turn == nil {
+	granted, err := s.acquireOrQueue()
+	if granted == nil {
 		return err
 	}
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
-		s.abandon(turn)
+		s.abandon(granted)
 		return ctx.Err()
 	}
 }
 
-// enter takes a free slot (nil, nil) or a place in the queue.
-func (s *slots) enter() (chan struct{}, error) {
+// acquireOrQueue takes a free slot and returns nil, nil, or takes a place in the queue and returns its
+// channel. It returns errQueueFull if there is neither.
+func (s *slots) acquireOrQueue() (chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running < s.size {
 		s.running++
-		s.noteMax()
+		s.updateMax()
 		return nil, nil
 	}
 	if len(s.waiting) >= s.queue {
 		return nil, errQueueFull
 	}
-	turn := make(chan struct{})
-	s.waiting = append(s.waiting, turn)
-	s.noteMax()
-	return turn, nil
+	granted := make(chan struct{})
+	s.waiting = append(s.waiting, granted)
+	s.updateMax()
+	return granted, nil
 }
 
-// noteMax keeps the highest counts. s.mu is held.
-func (s *slots) noteMax() {
+// updateMax updates the highest counts. The caller holds s.mu.
+func (s *slots) updateMax() {
 	s.maxInFlight = max(s.maxInFlight, s.running+len(s.waiting))
 	s.maxQueued = max(s.maxQueued, len(s.waiting))
 }
 
-// abandon gives up a place in the queue, or the slot where it was given at the same moment.
-func (s *slots) abandon(turn chan struct{}) {
+// abandon leaves the queue. If the call got its slot in the meantime, it releases the slot.
+func (s *slots) abandon(granted chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, w := range s.waiting {
-		if w == turn {
+		if w == granted {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return
 		}
 	}
-	s.handOn()
+	s.passOn()
 }
 
-// release gives the slot back.
+// release returns the slot.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handOn()
+	s.passOn()
 }
 
-// handOn gives a slot to the call that waits longest. s.mu is held.
-func (s *slots) handOn() {
+// passOn gives a free slot to the call that has waited longest. The caller holds s.mu.
+func (s *slots) passOn() {
 	if len(s.waiting) == 0 {
 		s.running--
 		return
@@ -95,15 +97,15 @@
 	s.waiting = s.waiting[1:]
 }
 
-// load returns how many calls run and wait.
+// load returns the numbers of running and waiting calls.
 func (s *slots) load() (running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running, len(s.waiting)
 }
 
-// highest returns the highest counts since resetMax.
-func (s *slots) highest() (inFlight, queued int) {
+// maxCounts returns the highest counts since resetMax.
+func (s *slots) maxCounts() (inFlight, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxInFlight, s.maxQueued
@@ -113,5 +115,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxInFlight, s.maxQueued = 0, 0
-	s.noteMax()
+	s.updateMax()
 }
--- a/internal/standin/platform/reads.go
+++ b/internal/standin/platform/reads.go
@@ -8,18 +8,18 @@
 	"sync"
 )
 
-// pathKind is the kind of thing that a read asks for.
-type pathKind int
+// readKind classifies reads by what they request.
+type readKind int
 
 const (
-	kindKey pathKind = iota
+	kindKey readKind = iota
 	kindManifest
 	kindSection
 	kindList
 )
 
-// kindOfKey returns the kind of a key's path.
-func kindOfKey(key string) pathKind {
+// kindOfKey returns the kind of a read of the key.
+func kindOfKey(key string) readKind {
 	switch {
 	case key == "bundle/manifest":
 		return kindManifest
@@ -29,7 +29,7 @@
 	return kindKey
 }
 
-// readCounter counts reads.
+// readCounter counts reads. It is safe for concurrent use.
 type readCounter struct {
 	mu sync.Mutex
 	// reads is guarded by mu.
@@ -40,8 +40,8 @@
 	return &readCounter{reads: Reads{BySource: make(map[string]uint64)}}
 }
 
-// arrived counts one read.
-func (c *readCounter) arrived(kind pathKind, r *http.Request, watch bool) {
+// countRead counts one read.
+func (c *readCounter) countRead(kind readKind, r *http.Request, watch bool) {
 	source, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		source = r.RemoteAddr
@@ -65,8 +65,8 @@
 	}
 }
 
-// waiting changes the number of watches that wait.
-func (c *readCounter) waiting(delta int) {
+// addWaiting adds delta to the number of waiting watches.
+func (c *readCounter) addWaiting(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads.WaitingNow += delta
