--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -54,16 +54,16 @@
 // Search tells whether requests of the route go to many shards.
 func (r *Route) Search() bool { return len(r.Shards) > 0 }
 
-// Waits returns how long a caller is kept waiting that said how long it will wait, or 0 where it didn't.
-func (r *Route) Waits(remaining time.Duration) time.Duration {
+// EffectiveTimeout returns how long a caller is kept waiting that said how long it will wait, or 0 where it didn't.
+func (r *Route) EffectiveTimeout(remaining time.Duration) time.Duration {
 	if remaining <= 0 {
 		return r.Timeout
 	}
 	return min(r.Timeout, remaining)
 }
 
-// Needed returns how many shards of the route a successful search covers at least.
-func (r *Route) Needed() int {
+// RequiredShards returns how many shards of the route a successful search covers at least.
+func (r *Route) RequiredShards() int {
 	n := len(r.Shards)
 	for need := 1; need < n; need++ {
 		// The tolerance absorbs the rounding of products such as 0.9 * 10.
@@ -130,6 +130,6 @@
 	return nil
 }
 
-// Used returns the names of the services that a route of single requests leads to, and of those that are
+// UsedServices returns the names of the services that a route of single requests leads to, and of those that are
 // shards of a search. They are not to be changed.
-func (c *Config) Used() (single, shards map[string]bool) { return c.single, c.shards }
+func (c *Config) UsedServices() (single, shards map[string]bool) { return c.single, c.shards }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -34,7 +34,7 @@
 		t.Run(fmt.Sprint(tt), func(t *testing.T) {
 			is := is.New(t)
 			r := &Route{Shards: make([]string, tt.shards), MinShare: tt.share}
-			is.Equal(r.Needed(), tt.want)
+			is.Equal(r.RequiredShards(), tt.want)
 		})
 	}
 }
@@ -42,7 +42,7 @@
 func TestUsed(t *testing.T) {
 	is := is.New(t)
 	c := New(1, []*Route{{Host: "h", Shards: []string{"s1", "s2"}}, {Host: "h", Split: []Weighted{{Service: "x"}}}}, nil, Limits{})
-	single, shards := c.Used()
+	single, shards := c.UsedServices()
 	is.Equal(single, map[string]bool{"x": true})
 	is.Equal(shards, map[string]bool{"s1": true, "s2": true})
 }
--- a/internal/catalog/leaf.go
+++ b/internal/catalog/leaf.go
@@ -10,17 +10,17 @@
 type LeafID struct {
 	// Name is the id under which the leaf registers, which a later start may have again.
 	Name string
-	// Born is when it started by its own clock, in Unix milliseconds; 0 where leaves don't say, and have a new
+	// StartMillis is when it started by its own clock, in Unix milliseconds; 0 where leaves don't say, and have a new
 	// name at each start.
-	Born int64
+	StartMillis int64
 }
 
 // String returns the name, with the start where one is known.
 func (id LeafID) String() string {
-	if id.Born == 0 {
+	if id.StartMillis == 0 {
 		return id.Name
 	}
-	return id.Name + "@" + strconv.FormatInt(id.Born, 10)
+	return id.Name + "@" + strconv.FormatInt(id.StartMillis, 10)
 }
 
 // Leaf is one start of an upstream process, as it registered itself.
--- a/internal/content/store.go
+++ b/internal/content/store.go
@@ -116,8 +116,8 @@
 	return bytes.Compare(digest[:n], cur.Digest[:n]) > 0
 }
 
-// Above tells whether the bundle is higher than one of the version and digest.
-func (o *Offer) Above(version uint64, digest bundle.Digest) bool {
+// HigherThan tells whether the bundle is higher than one of the version and digest.
+func (o *Offer) HigherThan(version uint64, digest bundle.Digest) bool {
 	if o.Version != version {
 		return o.Version > version
 	}
@@ -130,10 +130,10 @@
 	return revision > 0 && (cur == nil || revision > cur.Revision)
 }
 
-// MissingBundle returns the digests of the sections that are not here yet. wanted is false where
+// MissingBundleSections returns the digests of the sections that are not here yet. wanted is false where
 // the bundle is not higher than the one offered; the check of that one has ended then. Signatures are
 // verified first, so that nothing is fetched for a manifest that can't be accepted.
-func (s *Store) MissingBundle(signed *pb.SignedManifest) (missing []bundle.Digest, wanted bool, err error) {
+func (s *Store) MissingBundleSections(signed *pb.SignedManifest) (missing []bundle.Digest, wanted bool, err error) {
 	digest := bundle.ManifestDigest(signed.GetManifest())
 	if cur := s.Offered(); cur != nil && digest == cur.Digest {
 		<-cur.checked
@@ -195,7 +195,7 @@
 func (s *Store) offer(o *Offer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.offered != nil && !o.Above(s.offered.Version, s.offered.Digest) {
+	if s.offered != nil && !o.HigherThan(s.offered.Version, s.offered.Digest) {
 		return false
 	}
 	s.offered = o
@@ -238,9 +238,9 @@
 	return sections
 }
 
-// MissingList returns the digests of the list's sections that are not here yet; wanted is false
+// MissingListSections returns the digests of the list's sections that are not here yet; wanted is false
 // where the list is not higher than the one held.
-func (s *Store) MissingList(m *pb.ListManifest) (missing []bundle.Digest, wanted bool) {
+func (s *Store) MissingListSections(m *pb.ListManifest) (missing []bundle.Digest, wanted bool) {
 	if !s.ListHigher(m.GetRevision()) {
 		return nil, false
 	}
--- a/internal/content/store_test.go
+++ b/internal/content/store_test.go
@@ -68,7 +68,7 @@
 func apply(t *testing.T, s *Store, text []byte) (missing int) {
 	t.Helper()
 	signed := sign(t, text)
-	digests, wanted, err := s.MissingBundle(signed)
+	digests, wanted, err := s.MissingBundleSections(signed)
 	if err != nil || !wanted {
 		t.Fatal(wanted, err)
 	}
@@ -97,7 +97,7 @@
 	s := newStore()
 	apply(t, s, text(5, "", "a"))
 	for _, version := range []int{4, 5} {
-		_, wanted, err := s.MissingBundle(sign(t, text(version, "", "a")))
+		_, wanted, err := s.MissingBundleSections(sign(t, text(version, "", "a")))
 		is.NoErr(err)
 		is.True(!wanted)
 	}
@@ -114,7 +114,7 @@
 	s := newStore()
 	signed := sign(t, text(1, "", "a"))
 	signed.Signatures = nil
-	_, wanted, err := s.MissingBundle(signed)
+	_, wanted, err := s.MissingBundleSections(signed)
 	is.True(err != nil)
 	is.True(!wanted)
 	is.Equal(s.Highest(), uint64(0))
@@ -194,8 +194,8 @@
 	is.Equal(s.BundleHigher(5, below[:8]), below[0] > own[0])
 	is.True(s.BundleHigher(6, below[:8]))
 	is.True(!s.BundleHigher(4, above[:8]))
-	is.True(s.Offered().Above(4, above))
-	is.True(!s.Offered().Above(5, own))
+	is.True(s.Offered().HigherThan(4, above))
+	is.True(!s.Offered().HigherThan(5, own))
 }
 
 func TestListsMoveBySectionsAndNeverBack(t *testing.T) {
@@ -209,7 +209,7 @@
 	s := newStore()
 	is.True(s.ApplyList(listing.New(2, vms(200), nil)))
 	newer := listing.New(3, vms(201), nil)
-	missing, wanted := s.MissingList(newer.Manifest)
+	missing, wanted := s.MissingListSections(newer.Manifest)
 	is.True(wanted)
 	is.Equal(len(missing), 1)
 	_, err := s.ApplyListManifest(newer.Manifest, nil)
@@ -220,6 +220,6 @@
 	is.True(changed)
 	is.Equal(len(s.List().VMs), 201)
 	is.True(!s.ApplyList(listing.New(2, nil, nil)))
-	_, wanted = s.MissingList(nil)
+	_, wanted = s.MissingListSections(nil)
 	is.True(!wanted) // the peer has no list
 }
--- a/internal/delegate/manager.go
+++ b/internal/delegate/manager.go
@@ -109,7 +109,7 @@
 			break
 		}
 		tried = t
-		a, version, why := m.handOver(ctx, t, req, least, route.Waits(req.Remaining))
+		a, version, why := m.handOver(ctx, t, req, least, route.EffectiveTimeout(req.Remaining))
 		if a != nil {
 			a.Route = route
 			m.cfg.Observer.Ended(req, a, &dispatch.Trace{Version: version, Gatherer: t.address})
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -42,7 +42,7 @@
 	}
 	state, start, _ := strings.Cut(state, " ")
 	born, _ := strconv.ParseInt(start, 10, 64)
-	return catalog.Leaf{ID: catalog.LeafID{Name: id, Born: born}, Service: service, Draining: state == "draining"}, true, nil
+	return catalog.Leaf{ID: catalog.LeafID{Name: id, StartMillis: born}, Service: service, Draining: state == "draining"}, true, nil
 }
 
 type fixture struct {
--- a/internal/directory/registration.go
+++ b/internal/directory/registration.go
@@ -39,7 +39,7 @@
 // displace the newer leaf; one that no leaf wrote names no leaf until a good one is in its place. Requires mu.
 func (d *Directory) register(it mirror.Held, leaf catalog.Leaf, err error, now time.Time) registration {
 	known := d.leaves[it.Key]
-	born := leaf.ID.Born
+	born := leaf.ID.StartMillis
 	switch {
 	case err != nil:
 	case born > now.Add(bornAhead).UnixMilli():
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -13,7 +13,7 @@
 
 // start is the only leaf of service x: i-1, started at the given time, at an address of its own.
 func (w *world) start(born int64, b behaviour) {
-	id := catalog.LeafID{Name: "i-1", Born: born}
+	id := catalog.LeafID{Name: "i-1", StartMillis: born}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	leaves := maps.Clone(w.view.Leaves)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -122,7 +122,7 @@
 		events: make(chan event), over: make(chan struct{}),
 		guess: time.Duration(float64(route.Target) * guessPart),
 	}
-	left := route.Waits(req.Remaining)
+	left := route.EffectiveTimeout(req.Remaining)
 	r.deadline = req.Arrived.Add(left - min(answerMargin, left/4))
 	r.ctx, r.cancel = context.WithDeadline(context.WithoutCancel(caller), r.deadline.Add(answerMargin))
 	r.soft = req.Arrived.Add(route.Target - e.wayBack(req, route.Target))
@@ -138,7 +138,7 @@
 	}
 	r.needed = 1
 	if route.Search() {
-		r.needed = route.Needed()
+		r.needed = route.RequiredShards()
 	}
 	r.look()
 	return r
--- a/internal/leafpool/leafpool_test.go
+++ b/internal/leafpool/leafpool_test.go
@@ -339,8 +339,8 @@
 // leaf that doesn't tell its start shows up at another address.
 func TestConnectionsStayWithOneStart(t *testing.T) {
 	for name, again := range map[string]catalog.Leaf{
-		"same address":   {ID: catalog.LeafID{Name: "near", Born: 2}, Service: "x", Address: "near", Zone: "z"},
-		"other address":  {ID: catalog.LeafID{Name: "near", Born: 2}, Service: "x", Address: "other", Zone: "z"},
+		"same address":   {ID: catalog.LeafID{Name: "near", StartMillis: 2}, Service: "x", Address: "near", Zone: "z"},
+		"other address":  {ID: catalog.LeafID{Name: "near", StartMillis: 2}, Service: "x", Address: "other", Zone: "z"},
 		"no start given": {ID: leafID("near"), Service: "x", Address: "other", Zone: "z"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -348,7 +348,7 @@
 			d := newDialer()
 			p := newPool(d, 24)
 			first := nearLeaf
-			first.ID.Born = min(again.ID.Born, 1)
+			first.ID.StartMillis = min(again.ID.StartMillis, 1)
 			set := func(l catalog.Leaf) {
 				p.SetLeaves([]catalog.Leaf{l}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6} })
 			}
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -67,7 +67,7 @@
 	s := shares{vms: len(fleet) + 1}
 	s.unsettled = d.size.unsettled(s.vms, time.Now())
 	if view.Config != nil {
-		s.single, s.shards = view.Config.Used()
+		s.single, s.shards = view.Config.UsedServices()
 	}
 	s.plan = delegate.NewPlan(peers.VM{Address: d.settings.Peers, Zone: d.settings.Zone, Millicores: d.settings.Millicores}, fleet)
 	d.delegate.SetPlan(s.plan)
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -158,10 +158,10 @@
 		msg.Items = append(msg.Items, &pb.FleetItem{Key: it.Key, Revision: it.Revision, Value: it.Value, Deleted: it.Deleted})
 	}
 	for _, t := range troubles {
-		msg.Troubles = append(msg.Troubles, &pb.FleetTrouble{Leaf: t.Leaf.Name, LeafBorn: t.Leaf.Born, Calls: float32(t.Calls), Failed: float32(t.Failed), Slow: float32(t.Slow)})
+		msg.Troubles = append(msg.Troubles, &pb.FleetTrouble{Leaf: t.Leaf.Name, LeafBorn: t.Leaf.StartMillis, Calls: float32(t.Calls), Failed: float32(t.Failed), Slow: float32(t.Slow)})
 	}
 	for k, at := range m.seenCrash {
-		msg.Crashes = append(msg.Crashes, &pb.FleetCrash{Digest: k.digest, Leaf: k.leaf.Name, LeafBorn: k.leaf.Born, AgeMs: now.Sub(at).Milliseconds()})
+		msg.Crashes = append(msg.Crashes, &pb.FleetCrash{Digest: k.digest, Leaf: k.leaf.Name, LeafBorn: k.leaf.StartMillis, AgeMs: now.Sub(at).Milliseconds()})
 	}
 	return msg
 }
@@ -175,7 +175,7 @@
 	}
 	for _, c := range msg.GetCrashes() {
 		m.noteCrash(Crash{
-			Digest: c.GetDigest(), Leaf: catalog.LeafID{Name: c.GetLeaf(), Born: c.GetLeafBorn()},
+			Digest: c.GetDigest(), Leaf: catalog.LeafID{Name: c.GetLeaf(), StartMillis: c.GetLeafBorn()},
 			At: now.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond),
 		})
 	}
@@ -206,7 +206,7 @@
 	var list []replica.Trouble
 	for _, t := range msg.GetTroubles() {
 		list = append(list, replica.Trouble{
-			Leaf:  catalog.LeafID{Name: t.GetLeaf(), Born: t.GetLeafBorn()},
+			Leaf:  catalog.LeafID{Name: t.GetLeaf(), StartMillis: t.GetLeafBorn()},
 			Calls: float64(t.GetCalls()), Failed: float64(t.GetFailed()), Slow: float64(t.GetSlow()),
 		})
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -392,7 +392,7 @@
 	a, _ := n.vm("a", "z", 1)
 	b, _ := n.vm("b", "z", 1)
 	now := time.Now()
-	first, second := catalog.LeafID{Name: "i-1", Born: 1000}, catalog.LeafID{Name: "i-1", Born: 2000}
+	first, second := catalog.LeafID{Name: "i-1", StartMillis: 1000}, catalog.LeafID{Name: "i-1", StartMillis: 2000}
 	a.ReportCrash(Crash{Digest: 7, Leaf: first, At: now})
 	a.ReportCrash(Crash{Digest: 7, Leaf: second, At: now})
 	a.exchange(t.Context(), "b", false)
--- a/internal/spread/fetch.go
+++ b/internal/spread/fetch.go
@@ -74,7 +74,7 @@
 	if signed == nil {
 		return nil
 	}
-	missing, wanted, err := m.cfg.Content.MissingBundle(signed)
+	missing, wanted, err := m.cfg.Content.MissingBundleSections(signed)
 	if err != nil {
 		m.refuse(signed)
 		return err
@@ -136,7 +136,7 @@
 }
 
 func (m *Manager) fetchList(ctx context.Context, peer burdockv1connect.PeerServiceClient, list *pb.ListManifest) error {
-	missing, wanted := m.cfg.Content.MissingList(list)
+	missing, wanted := m.cfg.Content.MissingListSections(list)
 	if !wanted {
 		return nil
 	}
--- a/internal/syncd/feed.go
+++ b/internal/syncd/feed.go
@@ -113,7 +113,7 @@
 // due tells whether the process gets the bundle: a higher one, or the one that is offered again after that sent
 // last was found not to work.
 func (s *feedStream) due(b *content.Offer) bool {
-	return b != nil && (b.Above(s.bundleVersion, s.bundleDigest) || s.brought && b.Digest != s.bundleDigest)
+	return b != nil && (b.HigherThan(s.bundleVersion, s.bundleDigest) || s.brought && b.Digest != s.bundleDigest)
 }
 
 // Report implements the FeedService.
--- a/internal/syncd/reader.go
+++ b/internal/syncd/reader.go
@@ -177,7 +177,7 @@
 		r.m.cfg.Log.Error("manifest on the platform can't be read", zap.Error(err))
 		return nil
 	}
-	missing, wanted, err := r.m.content.MissingBundle(signed)
+	missing, wanted, err := r.m.content.MissingBundleSections(signed)
 	if err == nil && wanted {
 		err = r.takeSections(ctx, signed, missing, came)
 	}
