--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -29,8 +29,8 @@
 	index int
 }
 
-// at returns the path of element i of the array of tables name inside p.
-func (p *path) at(name string, i int) *path { return &path{parent: p, name: name, index: i} }
+// element returns the path of element i of the array of tables name inside p.
+func (p *path) element(name string, i int) *path { return &path{parent: p, name: name, index: i} }
 
 // key returns the dotted path of a key inside p; p may be nil for the top of the text.
 func (p *path) key(name string) string {
@@ -68,8 +68,8 @@
 	c.require(!taken, p, key, "%q stands twice", name)
 }
 
-// within requires lo <= v <= hi; it refuses NaN.
-func (c *checker) within(p *path, key string, v, lo, hi float64) {
+// inRange requires lo <= v <= hi; it refuses NaN.
+func (c *checker) inRange(p *path, key string, v, lo, hi float64) {
 	c.require(v >= lo && v <= hi, p, key, "want a number from %v to %v, got %v", lo, hi, v)
 }
 
@@ -88,18 +88,18 @@
 	c.require(len(raw.Services) > 0, nil, "service", "no service")
 	c.require(len(raw.Callers) > 0, nil, "caller", "no caller")
 	for i := range raw.Services {
-		c.service(b, (*path)(nil).at("service", i), &raw.Services[i])
+		c.service(b, (*path)(nil).element("service", i), &raw.Services[i])
 	}
 	for i := range raw.Callers {
-		c.caller(b, (*path)(nil).at("caller", i), &raw.Callers[i])
+		c.caller(b, (*path)(nil).element("caller", i), &raw.Callers[i])
 	}
 	return b
 }
 
 func (c *checker) limits(l Limits) {
 	p := &path{name: "limits", index: -1}
-	c.within(p, "max_query_bytes", float64(l.MaxQueryBytes), 1, maxQueryBytes)
-	c.within(p, "max_top_k", float64(l.MaxTopK), 1, maxTopK)
+	c.inRange(p, "max_query_bytes", float64(l.MaxQueryBytes), 1, maxQueryBytes)
+	c.inRange(p, "max_top_k", float64(l.MaxTopK), 1, maxTopK)
 	c.timeout(p, "max_timeout", l.MaxTimeout, maxTimeout)
 }
 
--- a/internal/bundle/checkcaller.go
+++ b/internal/bundle/checkcaller.go
@@ -19,9 +19,9 @@
 		c.require(b.Services[s] != nil, p, "services", "unknown service %q", s)
 		c.require(!slices.Contains(raw.Services[:i], s), p, "services", "service %q stands twice", s)
 	}
-	c.within(p, "rate", caller.Rate, 0, maxRate)
-	c.within(p, "burst", float64(caller.Burst), 1, math.MaxInt32)
-	c.within(p, "share", float64(caller.Share), 1, maxShare)
+	c.inRange(p, "rate", caller.Rate, 0, maxRate)
+	c.inRange(p, "burst", float64(caller.Burst), 1, math.MaxInt32)
+	c.inRange(p, "share", float64(caller.Share), 1, maxShare)
 	b.Callers[caller.Name], b.callersByToken[caller.TokenSHA256] = caller, caller
 }
 
--- a/internal/bundle/checkservice.go
+++ b/internal/bundle/checkservice.go
@@ -19,13 +19,13 @@
 	c.require(len(raw.Leaves) > 0, p, "leaf", "service %q has no leaf", s.Name)
 	c.require(len(raw.Snapshots) > 0, p, "snapshot", "service %q has no snapshot", s.Name)
 	for i := range raw.Kinds {
-		c.kind(s, b.Limits, p.at("kind", i), &raw.Kinds[i])
+		c.kind(s, b.Limits, p.element("kind", i), &raw.Kinds[i])
 	}
 	for i := range raw.Leaves {
-		c.leaf(s, p.at("leaf", i), &raw.Leaves[i])
+		c.leaf(s, p.element("leaf", i), &raw.Leaves[i])
 	}
 	for i := range raw.Snapshots {
-		c.snapshot(s, p.at("snapshot", i), &raw.Snapshots[i])
+		c.snapshot(s, p.element("snapshot", i), &raw.Snapshots[i])
 	}
 	slices.SortFunc(s.Snapshots, func(x, y *Snapshot) int {
 		if x.Version > y.Version {
@@ -41,7 +41,7 @@
 	k := raw.resolve()
 	s.Kinds[k.Name] = k
 	c.require(k.Mode == ModeSearch || k.Mode == ModeOrder, p, "mode", "want search or order, got %q", raw.Mode)
-	c.within(p, "weight", float64(k.Weight), 1, maxWeight)
+	c.inRange(p, "weight", float64(k.Weight), 1, maxWeight)
 	c.require(raw.Timeout != nil, p, "timeout", "kind %q has no timeout", k.Name)
 	c.timeout(p, "timeout", k.Timeout, limits.MaxTimeout)
 	if k.Mode == ModeOrder {
@@ -54,26 +54,26 @@
 // orderKind refuses the keys that mean nothing for orders: an order goes to one leaf, once.
 func (c *checker) orderKind(p *path, raw *rawKind) {
 	const reason = "only for mode search"
-	c.require(or(raw.TopK, 0) == 0, p, "top_k", reason)
-	c.require(or(raw.Partial, "") == "", p, "partial", reason)
-	c.require(or(raw.MinCoverage, 0) == 0, p, "min_coverage", reason)
-	c.require(or(raw.EarlyCoverage, 0) == 0, p, "early_coverage", reason)
-	c.require(or(raw.EarlyAfter, 0) == 0, p, "early_after", reason)
-	c.require(or(raw.HedgeBudget, 0) == 0, p, "hedge_budget", "an order is never hedged")
-	c.require(or(raw.RetryBudget, 0) == 0, p, "retry_budget", "an order is never retried")
+	c.require(valueOr(raw.TopK, 0) == 0, p, "top_k", reason)
+	c.require(valueOr(raw.Partial, "") == "", p, "partial", reason)
+	c.require(valueOr(raw.MinCoverage, 0) == 0, p, "min_coverage", reason)
+	c.require(valueOr(raw.EarlyCoverage, 0) == 0, p, "early_coverage", reason)
+	c.require(valueOr(raw.EarlyAfter, 0) == 0, p, "early_after", reason)
+	c.require(valueOr(raw.HedgeBudget, 0) == 0, p, "hedge_budget", "an order is never hedged")
+	c.require(valueOr(raw.RetryBudget, 0) == 0, p, "retry_budget", "an order is never retried")
 }
 
 func (c *checker) searchKind(p *path, limits Limits, k *Kind) {
-	c.within(p, "top_k", float64(k.TopK), 1, float64(limits.MaxTopK))
+	c.inRange(p, "top_k", float64(k.TopK), 1, float64(limits.MaxTopK))
 	c.require(k.Partial == PartialLatency || k.Partial == PartialCoverage, p, "partial",
 		"want latency or coverage, got %q", k.Partial)
-	c.within(p, "min_coverage", k.MinCoverage, 0, 1)
-	c.within(p, "early_coverage", k.EarlyCoverage, 0, 1)
+	c.inRange(p, "min_coverage", k.MinCoverage, 0, 1)
+	c.inRange(p, "early_coverage", k.EarlyCoverage, 0, 1)
 	c.require(k.EarlyCoverage >= k.MinCoverage, p, "early_coverage", "%v is below min_coverage %v",
 		k.EarlyCoverage, k.MinCoverage)
-	c.within(p, "early_after", k.EarlyAfter, 1, 1000)
-	c.within(p, "hedge_budget", k.HedgeBudget, 0, maxHedgeBudget)
-	c.within(p, "retry_budget", k.RetryBudget, 0, maxRetryBudget)
+	c.inRange(p, "early_after", k.EarlyAfter, 1, 1000)
+	c.inRange(p, "hedge_budget", k.HedgeBudget, 0, maxHedgeBudget)
+	c.inRange(p, "retry_budget", k.RetryBudget, 0, maxRetryBudget)
 }
 
 // leaf requires ids and addresses that no other leaf of any service has: evidence about a leaf is
@@ -98,7 +98,7 @@
 	sn := &Snapshot{Version: raw.Version, Shards: make([]Shard, 0, len(raw.Shards))}
 	seen := make(map[uint32]bool, len(raw.Shards))
 	for i := range raw.Shards {
-		c.shard(s, sn, seen, p.at("shard", i), &raw.Shards[i])
+		c.shard(s, sn, seen, p.element("shard", i), &raw.Shards[i])
 	}
 	c.require(sn.Documents() > 0, p, "shard", "snapshot %d has no document", raw.Version)
 	s.Snapshots = append(s.Snapshots, sn)
@@ -109,7 +109,7 @@
 
 func (c *checker) shard(s *Service, sn *Snapshot, seen map[uint32]bool, p *path, raw *rawShard) {
 	c.require(raw.ID != nil, p, "id", "a shard without id")
-	id := or(raw.ID, 0)
+	id := valueOr(raw.ID, 0)
 	c.require(!seen[id], p, "id", "shard %d stands twice", id)
 	c.require(raw.Documents <= maxDocuments, p, "documents", "more than %d documents", uint64(maxDocuments))
 	c.require(len(raw.Leaves) > 0, p, "leaves", "shard %d has no leaf", id)
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -45,11 +45,11 @@
 // Order and comments of the text don't count.
 func Diff(a, b *Bundle) []Change {
 	var d differ
-	d.changed("limits", limitFields(a.Limits), limitFields(b.Limits))
+	d.compareFields("limits", limitFields(a.Limits), limitFields(b.Limits))
 	diffMaps(&d, "caller", a.Callers, b.Callers, callerFields)
 	for _, name := range unionKeys(a.Services, b.Services) {
 		d.service = name
-		d.services(a.Services[name], b.Services[name])
+		d.compareServices(a.Services[name], b.Services[name])
 	}
 	return d.changes
 }
@@ -72,15 +72,15 @@
 func (f fields) String() string {
 	var parts []string
 	for _, x := range f {
-		if x.value != none {
+		if x.value != notApplicable {
 			parts = append(parts, x.name+" "+x.value)
 		}
 	}
 	return strings.Join(parts, ", ")
 }
 
-// changed adds a change if any field differs; a and b have the same names in the same order.
-func (d *differ) changed(subject string, a, b fields) {
+// compareFields adds a change if any field differs; a and b have the same names in the same order.
+func (d *differ) compareFields(subject string, a, b fields) {
 	var parts []string
 	for i := range a {
 		if a[i].value != b[i].value {
@@ -93,17 +93,17 @@
 }
 
 // diffMaps compares two maps of subjects by key.
-func diffMaps[T any](d *differ, kind string, a, b map[string]*T, of func(*T) fields) {
+func diffMaps[T any](d *differ, kind string, a, b map[string]*T, fieldsOf func(*T) fields) {
 	for _, name := range unionKeys(a, b) {
 		subject := fmt.Sprintf("%s %q", kind, name)
 		x, y := a[name], b[name]
 		switch {
 		case x == nil:
-			d.add(Added, subject, of(y).String())
+			d.add(Added, subject, fieldsOf(y).String())
 		case y == nil:
-			d.add(Removed, subject, of(x).String())
+			d.add(Removed, subject, fieldsOf(x).String())
 		default:
-			d.changed(subject, of(x), of(y))
+			d.compareFields(subject, fieldsOf(x), fieldsOf(y))
 		}
 	}
 }
@@ -115,21 +115,21 @@
 	return slices.Compact(keys)
 }
 
-// services compares one service; either side may be nil.
-func (d *differ) services(a, b *Service) {
+// compareServices compares one service; either side may be nil.
+func (d *differ) compareServices(a, b *Service) {
 	switch {
 	case a == nil:
-		d.add(Added, "service", summary(b))
+		d.add(Added, "service", serviceSummary(b))
 		a = &Service{}
 	case b == nil:
-		d.add(Removed, "service", summary(a))
+		d.add(Removed, "service", serviceSummary(a))
 		return
 	}
 	diffMaps(d, "kind", a.Kinds, b.Kinds, kindFields)
 	diffMaps(d, "leaf", a.Leaves, b.Leaves, leafFields)
-	d.snapshots(a, b)
+	d.compareSnapshots(a, b)
 }
 
-func summary(s *Service) string {
+func serviceSummary(s *Service) string {
 	return fmt.Sprintf("%d kinds, %d leaves, %d snapshots", len(s.Kinds), len(s.Leaves), len(s.Snapshots))
 }
--- a/internal/bundle/diff_test.go
+++ b/internal/bundle/diff_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDiffSaysWhatChanges(t *testing.T) {
+func TestDiff(t *testing.T) {
 	tests := []struct {
 		name, old, text string
 		want            []string
--- a/internal/bundle/difffields.go
+++ b/internal/bundle/difffields.go
@@ -17,20 +17,20 @@
 
 func callerFields(c *Caller) fields {
 	return fields{
-		{"token", tokenName(c.TokenSHA256)},
+		{"token", tokenPrefix(c.TokenSHA256)},
 		{"services", strings.Join(slices.Sorted(slices.Values(c.Services)), " ")},
-		{"rate", number(c.Rate)},
+		{"rate", formatNumber(c.Rate)},
 		{"burst", strconv.Itoa(c.Burst)},
 		{"share", strconv.Itoa(c.Share)},
 	}
 }
 
-// tokenNameBytes of a token's hash are enough to tell that it was replaced.
-const tokenNameBytes = 4
+// tokenPrefixBytes of a token's hash are enough to tell that it was replaced.
+const tokenPrefixBytes = 4
 
-func tokenName(d Digest) string { return fmt.Sprintf("%x...", d[:tokenNameBytes]) }
+func tokenPrefix(d Digest) string { return fmt.Sprintf("%x...", d[:tokenPrefixBytes]) }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatNumber(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
 // kindFields has the same names for both modes, so that a change of mode can be shown.
 func kindFields(k *Kind) fields {
@@ -40,25 +40,25 @@
 		{"timeout", k.Timeout.String()},
 		{"top_k", strconv.Itoa(k.TopK)},
 		{"partial", string(k.Partial)},
-		{"min_coverage", number(k.MinCoverage)},
-		{"early_coverage", number(k.EarlyCoverage)},
-		{"early_after", number(k.EarlyAfter)},
-		{"hedge_budget", number(k.HedgeBudget)},
-		{"retry_budget", number(k.RetryBudget)},
+		{"min_coverage", formatNumber(k.MinCoverage)},
+		{"early_coverage", formatNumber(k.EarlyCoverage)},
+		{"early_after", formatNumber(k.EarlyAfter)},
+		{"hedge_budget", formatNumber(k.HedgeBudget)},
+		{"retry_budget", formatNumber(k.RetryBudget)},
 	}
 	if k.Mode == ModeOrder {
-		for i := range f[fieldsOfAllModes:] {
-			f[fieldsOfAllModes+i].value = none
+		for i := range f[commonFieldCount:] {
+			f[commonFieldCount+i].value = notApplicable
 		}
 	}
 	return f
 }
 
-// fieldsOfAllModes is how many of kindFields mean something for orders.
-const fieldsOfAllModes = 3
+// commonFieldCount is how many of kindFields mean something for orders.
+const commonFieldCount = 3
 
-// none is the value of a field that means nothing here.
-const none = "none"
+// notApplicable is the value of a field that means nothing here.
+const notApplicable = "none"
 
 func leafFields(l *Leaf) fields {
 	return fields{
@@ -69,8 +69,8 @@
 	}
 }
 
-// snapshots compares the shard maps, oldest version first.
-func (d *differ) snapshots(a, b *Service) {
+// compareSnapshots compares the shard maps, oldest version first.
+func (d *differ) compareSnapshots(a, b *Service) {
 	var versions []uint64
 	for _, sn := range slices.Concat(a.Snapshots, b.Snapshots) {
 		versions = append(versions, sn.Version)
@@ -85,7 +85,7 @@
 		case y == nil:
 			d.add(Removed, subject, snapshotSummary(x))
 		default:
-			d.shards(subject, x, y)
+			d.compareShards(subject, x, y)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	return n
 }
 
-func (d *differ) shards(snapshot string, a, b *Snapshot) {
+func (d *differ) compareShards(snapshot string, a, b *Snapshot) {
 	x, y := a.byID(), b.byID()
 	var ids []uint32
 	for _, sh := range slices.Concat(a.Shards, b.Shards) {
@@ -117,14 +117,14 @@
 	slices.Sort(ids)
 	for _, id := range slices.Compact(ids) {
 		subject := fmt.Sprintf("%s shard %d", snapshot, id)
-		old, now := x[id], y[id]
+		old, updated := x[id], y[id]
 		switch {
 		case old == nil:
-			d.add(Added, subject, shardDetail(now))
-		case now == nil:
+			d.add(Added, subject, shardDetail(updated))
+		case updated == nil:
 			d.add(Removed, subject, shardDetail(old))
 		default:
-			d.shard(subject, old, now)
+			d.compareShard(subject, old, updated)
 		}
 	}
 }
@@ -141,16 +141,16 @@
 	return fmt.Sprintf("documents %d, leaves %s", s.Documents, strings.Join(s.Leaves, " "))
 }
 
-// shard says which replicas come and go.
-func (d *differ) shard(subject string, a, b *Shard) {
+// compareShard says which replicas come and go.
+func (d *differ) compareShard(subject string, a, b *Shard) {
 	var parts []string
 	if a.Documents != b.Documents {
 		parts = append(parts, fmt.Sprintf("documents %d -> %d", a.Documents, b.Documents))
 	}
-	if gained := without(b.Leaves, a.Leaves); len(gained) > 0 {
+	if gained := difference(b.Leaves, a.Leaves); len(gained) > 0 {
 		parts = append(parts, "gains leaves "+strings.Join(gained, " "))
 	}
-	if lost := without(a.Leaves, b.Leaves); len(lost) > 0 {
+	if lost := difference(a.Leaves, b.Leaves); len(lost) > 0 {
 		parts = append(parts, "loses leaves "+strings.Join(lost, " "))
 	}
 	if len(parts) > 0 {
@@ -158,8 +158,8 @@
 	}
 }
 
-// without returns the elements of a that b lacks, in order.
-func without(a, b []string) []string {
+// difference returns the elements of a that b lacks, in order.
+func difference(a, b []string) []string {
 	var out []string
 	for _, x := range a {
 		if !slices.Contains(b, x) {
--- a/internal/bundle/fixture_test.go
+++ b/internal/bundle/fixture_test.go
@@ -48,12 +48,12 @@
 	return candidate{version, ManifestDigest(manifest), signed, []byte(text)}
 }
 
-// variant returns a text of the version that works and differs by its mark.
-func variant(version uint64, mark int) string {
+// textVariant returns a text of the version that works and differs by its mark.
+func textVariant(version uint64, mark int) string {
 	return strings.Replace(sample, "version = 3", fmt.Sprintf("version = %d # %d", version, mark), 1)
 }
 
-// unworkable returns a text of the version that parses but can't work.
-func unworkable(version uint64) string {
-	return strings.Replace(variant(version, 0), `leaves = ["teachers-0-b"]`, "leaves = []", 1)
+// unworkableText returns a text of the version that parses but can't work.
+func unworkableText(version uint64) string {
+	return strings.Replace(textVariant(version, 0), `leaves = ["teachers-0-b"]`, "leaves = []", 1)
 }
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -12,7 +12,7 @@
 
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(sample))
-	f.Add([]byte(unworkable(3)))
+	f.Add([]byte(unworkableText(3)))
 	f.Add([]byte("version = 1\n[[service]]\n[[service.snapshot]]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		sections := Split(text)
@@ -30,12 +30,12 @@
 			}
 			return
 		}
-		checkWorks(t, b)
+		checkInvariants(t, b)
 	})
 }
 
-// checkWorks requires what the gathers rely on.
-func checkWorks(t *testing.T, b *Bundle) {
+// checkInvariants requires what the gathers rely on.
+func checkInvariants(t *testing.T, b *Bundle) {
 	if b.Version == 0 || len(b.Services) == 0 || len(b.Callers) == 0 {
 		t.Fatal("empty bundle")
 	}
--- a/internal/bundle/metrics.go
+++ b/internal/bundle/metrics.go
@@ -4,11 +4,11 @@
 
 // metrics are the counters of a store.
 type metrics struct {
-	version  prometheus.Gauge
-	applied  prometheus.Counter
-	refused  *prometheus.CounterVec
-	races    prometheus.Counter
-	orphaned prometheus.Counter
+	version          prometheus.Gauge
+	applied          prometheus.Counter
+	refused          *prometheus.CounterVec
+	races            prometheus.Counter
+	parentMismatches prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -25,13 +25,13 @@
 		races: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "burdock_bundle_races_total", Help: "Verified bundles that share their version with another one.",
 		}),
-		orphaned: prometheus.NewCounter(prometheus.CounterOpts{
+		parentMismatches: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "burdock_bundle_parent_mismatch_total",
 			Help: "Bundles put in force whose parent is not the bundle of the version before.",
 		}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.version, m.applied, m.refused, m.races, m.orphaned)
+		reg.MustRegister(m.version, m.applied, m.refused, m.races, m.parentMismatches)
 	}
 	return m
 }
--- a/internal/bundle/parse_test.go
+++ b/internal/bundle/parse_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestSplitCutsAtItsLines(t *testing.T) {
+func TestSplitAtTableHeaders(t *testing.T) {
 	is := is.New(t)
 	var starts []string
 	var joined []byte
--- a/internal/bundle/raw.go
+++ b/internal/bundle/raw.go
@@ -89,8 +89,8 @@
 	Leaves    []string `toml:"leaves"`
 }
 
-// or returns *p, or the default where the key was left out.
-func or[T any](p *T, def T) T {
+// valueOr returns *p, or the default where the key was left out.
+func valueOr[T any](p *T, def T) T {
 	if p == nil {
 		return def
 	}
@@ -99,9 +99,9 @@
 
 func (r *rawLimits) resolve() Limits {
 	return Limits{
-		MaxQueryBytes: or(r.MaxQueryBytes, defaultMaxQueryBytes),
-		MaxTopK:       or(r.MaxTopK, defaultMaxTopK),
-		MaxTimeout:    or(r.MaxTimeout, settings.Duration(defaultMaxTimeout)).D(),
+		MaxQueryBytes: valueOr(r.MaxQueryBytes, defaultMaxQueryBytes),
+		MaxTopK:       valueOr(r.MaxTopK, defaultMaxTopK),
+		MaxTimeout:    valueOr(r.MaxTimeout, settings.Duration(defaultMaxTimeout)).D(),
 	}
 }
 
@@ -111,8 +111,8 @@
 		Name:     r.Name,
 		Services: r.Services,
 		Rate:     r.Rate,
-		Burst:    or(r.Burst, max(1, int(math.Ceil(min(r.Rate, math.MaxInt32))))),
-		Share:    or(r.Share, defaultShare),
+		Burst:    valueOr(r.Burst, max(1, int(math.Ceil(min(r.Rate, math.MaxInt32))))),
+		Share:    valueOr(r.Share, defaultShare),
 	}
 }
 
@@ -120,19 +120,19 @@
 	k := &Kind{
 		Name:    r.Name,
 		Mode:    Mode(r.Mode),
-		Weight:  or(r.Weight, defaultWeight),
-		Timeout: or(r.Timeout, 0).D(),
+		Weight:  valueOr(r.Weight, defaultWeight),
+		Timeout: valueOr(r.Timeout, 0).D(),
 	}
 	if k.Mode == ModeOrder {
 		return k
 	}
-	k.TopK = or(r.TopK, defaultTopK)
-	k.Partial = Partial(or(r.Partial, string(defaultPartial)))
-	k.MinCoverage = or(r.MinCoverage, defaultMinCoverage)
-	k.EarlyCoverage = or(r.EarlyCoverage, max(defaultEarlyCoverage, k.MinCoverage))
-	k.EarlyAfter = or(r.EarlyAfter, defaultEarlyAfter)
-	k.HedgeBudget = or(r.HedgeBudget, defaultHedgeBudget)
-	k.RetryBudget = or(r.RetryBudget, defaultRetryBudget)
+	k.TopK = valueOr(r.TopK, defaultTopK)
+	k.Partial = Partial(valueOr(r.Partial, string(defaultPartial)))
+	k.MinCoverage = valueOr(r.MinCoverage, defaultMinCoverage)
+	k.EarlyCoverage = valueOr(r.EarlyCoverage, max(defaultEarlyCoverage, k.MinCoverage))
+	k.EarlyAfter = valueOr(r.EarlyAfter, defaultEarlyAfter)
+	k.HedgeBudget = valueOr(r.HedgeBudget, defaultHedgeBudget)
+	k.RetryBudget = valueOr(r.RetryBudget, defaultRetryBudget)
 	return k
 }
 
--- a/internal/bundle/sections.go
+++ b/internal/bundle/sections.go
@@ -35,9 +35,9 @@
 
 // The lines before which a text is cut. Their order in the text is free.
 var (
-	cutCaller   = []byte("[[caller]]")
-	cutService  = []byte("[[service]]")
-	cutSnapshot = []byte("[[service.snapshot]]")
+	callerHeader   = []byte("[[caller]]")
+	serviceHeader  = []byte("[[service]]")
+	snapshotHeader = []byte("[[service.snapshot]]")
 )
 
 // Split cuts a text into sections: before the first caller, each service and each snapshot. The
@@ -46,14 +46,14 @@
 func Split(text []byte) [][]byte {
 	var sections [][]byte
 	start, callers := 0, false
-	for at := 0; at < len(text); at = nextLine(text, at) {
-		line := text[at:]
-		isCaller := bytes.HasPrefix(line, cutCaller)
-		cut := isCaller && !callers || bytes.HasPrefix(line, cutService) || bytes.HasPrefix(line, cutSnapshot)
+	for offset := 0; offset < len(text); offset = nextLine(text, offset) {
+		line := text[offset:]
+		isCaller := bytes.HasPrefix(line, callerHeader)
+		cut := isCaller && !callers || bytes.HasPrefix(line, serviceHeader) || bytes.HasPrefix(line, snapshotHeader)
 		callers = callers || isCaller
-		if cut && at > start {
-			sections = append(sections, text[start:at])
-			start = at
+		if cut && offset > start {
+			sections = append(sections, text[start:offset])
+			start = offset
 		}
 	}
 	return append(sections, text[start:])
--- a/internal/bundle/sign.go
+++ b/internal/bundle/sign.go
@@ -13,8 +13,8 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// domain goes before the digest in what is signed, so that a signature is good for nothing else.
-const domain = "burdockplank bundle v1\n"
+// signatureDomain goes before the digest in what is signed, so that a signature is good for nothing else.
+const signatureDomain = "burdockplank bundle v1\n"
 
 // keyIDBytes is how much of a public key's SHA-256 names the key.
 const keyIDBytes = 8
@@ -26,7 +26,7 @@
 }
 
 // signedBytes is what a reviewer's signature covers.
-func signedBytes(d Digest) []byte { return append([]byte(domain), d[:]...) }
+func signedBytes(d Digest) []byte { return append([]byte(signatureDomain), d[:]...) }
 
 // ManifestDigest returns the digest of a bundle: the SHA-256 of its manifest's encoded bytes.
 func ManifestDigest(manifest []byte) Digest { return sha256.Sum256(manifest) }
--- a/internal/bundle/store.go
+++ b/internal/bundle/store.go
@@ -94,7 +94,7 @@
 	err := s.apply(signed, text)
 	var refused *RefusedError
 	if errors.As(err, &refused) {
-		s.note(refused)
+		s.recordRefusal(refused)
 	}
 	return err
 }
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	s.noteRace(m.GetVersion(), d)
+	s.recordRace(m.GetVersion(), d)
 	if known, err := s.compare(m.GetVersion(), d); known || err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	}
 	var parent Digest
 	copy(parent[:], m.GetParent())
-	s.put(&accepted{bundle: b, signed: signed, parent: parent, text: text, since: s.now()})
+	s.activate(&accepted{bundle: b, signed: signed, parent: parent, text: text, since: s.now()})
 	return nil
 }
 
@@ -138,12 +138,12 @@
 	return false, &RefusedError{Reason: RefusedRace, Version: version, Digest: d, cause: err}
 }
 
-// put puts a bundle in force and wakes those who wait for a change.
-func (s *Store) put(a *accepted) {
+// activate puts a bundle in force and wakes those who wait for a change.
+func (s *Store) activate(a *accepted) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.inForce; p != nil && p.bundle.Version+1 == a.bundle.Version && p.bundle.Digest != a.parent {
-		s.metrics.orphaned.Inc()
+		s.metrics.parentMismatches.Inc()
 	}
 	s.inForce = a
 	s.metrics.version.Set(float64(a.bundle.Version))
@@ -152,8 +152,8 @@
 	s.changed = make(chan struct{})
 }
 
-// noteRace remembers a verified bundle and counts it if another one has its version.
-func (s *Store) noteRace(version uint64, d Digest) {
+// recordRace remembers a verified bundle and counts it if another one has its version.
+func (s *Store) recordRace(version uint64, d Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.seen.add(version, d) {
@@ -161,8 +161,8 @@
 	}
 }
 
-// note keeps a refusal for the dump.
-func (s *Store) note(e *RefusedError) {
+// recordRefusal keeps a refusal for the dump.
+func (s *Store) recordRefusal(e *RefusedError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.metrics.refused.WithLabelValues(string(e.Reason)).Inc()
--- a/internal/bundle/store_test.go
+++ b/internal/bundle/store_test.go
@@ -13,20 +13,20 @@
 	"pgregory.net/rapid"
 )
 
-// above tells whether a is higher than b in the order of bundles.
-func above(a, b candidate) bool {
+// higher tells whether a is higher than b in the order of bundles.
+func higher(a, b candidate) bool {
 	return a.version > b.version || a.version == b.version && bytes.Compare(a.digest[:], b.digest[:]) > 0
 }
 
-// pool is a set of bundles on offer, of which some must never be applied.
-type pool struct {
+// offerPool is a set of bundles on offer, of which some must never be applied.
+type offerPool struct {
 	offers []candidate
 	bad    map[Digest]bool
 }
 
-// drawPool draws bundles of few versions, so that versions collide.
-func drawPool(t *rapid.T) pool {
-	p := pool{bad: make(map[Digest]bool)}
+// drawOfferPool draws bundles of few versions, so that versions collide.
+func drawOfferPool(t *rapid.T) offerPool {
+	p := offerPool{bad: make(map[Digest]bool)}
 	n := rapid.IntRange(1, 8).Draw(t, "offers")
 	for mark := range n {
 		version := uint64(rapid.IntRange(1, 4).Draw(t, "version"))
@@ -34,17 +34,17 @@
 		fault := rapid.SampledFrom([]string{"none", "none", "none", "unsigned", "unworkable", "text", "version"}).Draw(t, "fault")
 		switch fault {
 		case "none":
-			c = offer(version, Digest{}, variant(version, mark), reviewer(1))
+			c = offer(version, Digest{}, textVariant(version, mark), reviewer(1))
 		case "unsigned":
-			c = offer(version, Digest{}, variant(version, mark), reviewer(9))
+			c = offer(version, Digest{}, textVariant(version, mark), reviewer(9))
 		case "unworkable":
-			c = offer(version, Digest{}, unworkable(version), reviewer(1))
+			c = offer(version, Digest{}, unworkableText(version), reviewer(1))
 		case "text":
-			c = offer(version, Digest{}, variant(version, mark), reviewer(1))
+			c = offer(version, Digest{}, textVariant(version, mark), reviewer(1))
 			c.text = append([]byte(nil), c.text...)
 			c.text[len(c.text)-2] ^= 1
 		case "version":
-			c = offer(version, Digest{}, variant(version+1, mark), reviewer(1))
+			c = offer(version, Digest{}, textVariant(version+1, mark), reviewer(1))
 		}
 		p.bad[c.digest] = fault != "none"
 		p.offers = append(p.offers, c)
@@ -52,9 +52,9 @@
 	return p
 }
 
-func TestStoresOfOneSetSettleOnOneBundleAndNeverRevert(t *testing.T) {
+func TestStoresConvergeAndNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := drawPool(t)
+		p := drawOfferPool(t)
 		var ends []Digest
 		var races []float64
 		for range 3 {
@@ -78,12 +78,12 @@
 }
 
 // applyAll offers the bundles in order and checks after each that the highest good one is in force.
-func applyAll(t *rapid.T, s *Store, p pool, order []candidate) {
+func applyAll(t *rapid.T, s *Store, p offerPool, order []candidate) {
 	var best candidate
 	for _, c := range order {
 		changed := s.Changed()
 		err := s.Apply(c.signed, c.text)
-		want := !p.bad[c.digest] && above(c, best)
+		want := !p.bad[c.digest] && higher(c, best)
 		if want {
 			best = c
 		}
@@ -96,7 +96,7 @@
 		if closed := isClosed(changed); closed != want {
 			t.Fatalf("change announced %v, want %v", closed, want)
 		}
-		checkHolds(t, s, best)
+		checkInForce(t, s, best)
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-func checkHolds(t *rapid.T, s *Store, best candidate) {
+func checkInForce(t *rapid.T, s *Store, best candidate) {
 	b := s.Current()
 	if best.version == 0 {
 		if b != nil || s.Manifest() != nil || s.Text() != nil {
@@ -125,29 +125,29 @@
 	}
 }
 
-func TestStoreNamesWhyItRefused(t *testing.T) {
-	good := offer(2, Digest{}, variant(2, 0), reviewer(1), reviewer(2))
-	rival := offer(2, Digest{}, variant(2, 1), reviewer(1), reviewer(2))
-	if above(rival, good) {
+func TestStoreRefusalReasons(t *testing.T) {
+	good := offer(2, Digest{}, textVariant(2, 0), reviewer(1), reviewer(2))
+	rival := offer(2, Digest{}, textVariant(2, 1), reviewer(1), reviewer(2))
+	if higher(rival, good) {
 		good, rival = rival, good
 	}
-	otherText := offer(5, Digest{}, variant(5, 0), reviewer(1), reviewer(2))
+	otherText := offer(5, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2))
 	otherText.text = good.text
-	empty := offer(5, Digest{}, variant(5, 0), reviewer(1), reviewer(2))
+	empty := offer(5, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2))
 	empty.signed.Manifest = nil
 	tests := []struct {
 		name   string
 		c      candidate
 		reason RefusalReason
 	}{
-		{"one signature of two", offer(5, Digest{}, variant(5, 0), reviewer(1)), RefusedSignatures},
+		{"one signature of two", offer(5, Digest{}, textVariant(5, 0), reviewer(1)), RefusedSignatures},
 		{"no manifest", empty, RefusedSignatures},
-		{"no version", offer(0, Digest{}, variant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
-		{"text of another version", offer(6, Digest{}, variant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
+		{"no version", offer(0, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
+		{"text of another version", offer(6, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
 		{"text of another bundle", otherText, RefusedSections},
 		{"no TOML", offer(5, Digest{}, "version = ", reviewer(1), reviewer(2)), RefusedSyntax},
-		{"can't work", offer(5, Digest{}, unworkable(5), reviewer(1), reviewer(2)), RefusedUnworkable},
-		{"older", offer(1, Digest{}, variant(1, 0), reviewer(1), reviewer(2)), RefusedOlder},
+		{"can't work", offer(5, Digest{}, unworkableText(5), reviewer(1), reviewer(2)), RefusedUnworkable},
+		{"older", offer(1, Digest{}, textVariant(1, 0), reviewer(1), reviewer(2)), RefusedOlder},
 		{"lower digest", rival, RefusedRace},
 	}
 	for _, tt := range tests {
@@ -173,10 +173,10 @@
 	}
 }
 
-func TestStoreShowsRacesAndForeignParents(t *testing.T) {
+func TestStoreCountsRacesAndParentMismatches(t *testing.T) {
 	is := is.New(t)
-	a, b := offer(2, Digest{}, variant(2, 0), reviewer(1)), offer(2, Digest{}, variant(2, 1), reviewer(1))
-	if above(a, b) {
+	a, b := offer(2, Digest{}, textVariant(2, 0), reviewer(1)), offer(2, Digest{}, textVariant(2, 1), reviewer(1))
+	if higher(a, b) {
 		a, b = b, a
 	}
 	s := NewStore(trustOf(1, reviewer(1)), nil)
@@ -188,18 +188,18 @@
 	is.Equal(s.Dump().(StoreDump).Races[0].Version, uint64(2))
 	is.Equal(len(s.Dump().(StoreDump).Races[0].Digests), 2)
 
-	orphan := offer(3, a.digest, variant(3, 0), reviewer(1))
+	orphan := offer(3, a.digest, textVariant(3, 0), reviewer(1))
 	is.NoErr(s.Apply(orphan.signed, orphan.text)) // applied, for stores must agree whatever they missed
-	is.Equal(testutil.ToFloat64(s.metrics.orphaned), 1.0)
+	is.Equal(testutil.ToFloat64(s.metrics.parentMismatches), 1.0)
 }
 
-func TestStoreUnderConcurrentArrivals(t *testing.T) {
+func TestStoreAppliesConcurrently(t *testing.T) {
 	is := is.New(t)
 	var offers []candidate
 	var best candidate
 	for i := range 24 {
-		c := offer(uint64(1+i/2), Digest{}, variant(uint64(1+i/2), i), reviewer(1))
-		if above(c, best) {
+		c := offer(uint64(1+i/2), Digest{}, textVariant(uint64(1+i/2), i), reviewer(1))
+		if higher(c, best) {
 			best = c
 		}
 		offers = append(offers, c)
--- a/internal/bundle/verify_test.go
+++ b/internal/bundle/verify_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestVerifyRefusesManifestsThatNameNoBundle(t *testing.T) {
+func TestVerifyRefusesInvalidManifests(t *testing.T) {
 	section := make([]byte, 32)
 	extra := new(pb.Manifest)
 	extra.ProtoReflect().SetUnknown([]byte{0xf8, 0x07, 1})
@@ -103,9 +103,9 @@
 	}
 }
 
-func TestSignRefusesWhatNoStoreWouldApply(t *testing.T) {
+func TestSignRefusesUnusableText(t *testing.T) {
 	is := is.New(t)
-	_, err := Sign([]byte(unworkable(3)), Digest{}, reviewer(1))
+	_, err := Sign([]byte(unworkableText(3)), Digest{}, reviewer(1))
 	var pe *ParseError
 	is.True(errors.As(err, &pe))
 	long := "# " + strings.Repeat("x", MaxSectionBytes) + "\n" + sample
