--- a/internal/bundle/advice.go
+++ b/internal/bundle/advice.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Advise returns what a reviewer should look at twice in a bundle that can work: data that the loss
-// of one leaf or of one availability zone would leave uncovered, and leaves without work.
+// Advise returns warnings about a valid bundle for its reviewer: shards that the loss of one leaf or
+// of one availability zone would leave without a replica, and leaves that hold no shard of the newest
+// snapshot. Services come in order of their names.
 func Advise(b *Bundle) []string {
 	var advice []string
 	for _, name := range slices.Sorted(maps.Keys(b.Services)) {
@@ -30,8 +31,8 @@
 	return advice
 }
 
-// replicaRisks counts shards with one replica, shards with several replicas in one zone alone, and
-// leaves that hold a shard.
+// replicaRisks counts the shards with a single replica, the shards whose several replicas are all in
+// one availability zone, and the leaves that hold a shard.
 func replicaRisks(s *Service, sn *Snapshot) (single, oneZone, used int) {
 	leaves := make(map[string]bool)
 	for _, sh := range sn.Shards {
--- a/internal/bundle/bench_test.go
+++ b/internal/bundle/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fleetText returns a bundle of 3,100 leaves in 31 services, near a megabyte.
+// fleetText returns the text of a bundle with 3,100 leaves in 31 services, close to a megabyte.
 func fleetText(version int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version = %d\n", version)
@@ -28,7 +28,7 @@
 	return b.String()
 }
 
-// BenchmarkParse reads a bundle of the two-year size.
+// BenchmarkParse parses a bundle of the size expected in two years.
 func BenchmarkParse(b *testing.B) {
 	text := []byte(fleetText(1))
 	b.SetBytes(int64(len(text)))
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkApply verifies and applies one.
+// BenchmarkApply verifies and applies a bundle of that size.
 func BenchmarkApply(b *testing.B) {
 	c := offer(1, Digest{}, fleetText(1), reviewer(1))
 	for b.Loop() {
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -8,7 +8,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// The bounds of values in a bundle.
+// Limits of the values in a bundle.
 const (
 	maxQueryBytes = 1 << 20
 	maxTopK       = 10_000
@@ -16,23 +16,25 @@
 	maxWeight     = 1000
 	maxShare      = 1000
 	maxRate       = 1e9
-	// maxHedgeBudget and maxRetryBudget bound the extra load that a kind may put on upstreams.
+	// maxHedgeBudget and maxRetryBudget bound the extra load that a kind may put on upstreams, as a
+	// share of its calls.
 	maxHedgeBudget = 0.05
 	maxRetryBudget = 0.10
 )
 
-// path is the place of a table in the text. It is written out only for an error.
+// path is the position of a table in the text. It is formatted only when an error is reported.
 type path struct {
 	parent *path
 	name   string
-	// index in an array of tables, or -1 for a plain table.
+	// index is the position in an array of tables, or -1 for a plain table.
 	index int
 }
 
-// element returns the path of element i of the array of tables name inside p.
+// element returns the path of element i of the array of tables called name inside p.
 func (p *path) element(name string, i int) *path { return &path{parent: p, name: name, index: i} }
 
-// key returns the dotted path of a key inside p; p may be nil for the top of the text.
+// key returns the dotted path of a key inside p, or of p itself if name is empty. A nil p is the top
+// level of the text.
 func (p *path) key(name string) string {
 	if p == nil {
 		return name
@@ -47,14 +49,14 @@
 	return self + "." + name
 }
 
-// checker builds a bundle from its raw form and keeps the first fault found.
+// checker builds a bundle from its raw form and keeps the first error found.
 type checker struct {
 	err *ParseError
-	// leafIDs and addresses are those of all services, for their uniqueness.
+	// leafIDs and addresses hold those of all services, to check that each is unique.
 	leafIDs, addresses map[string]bool
 }
 
-// require notes a fault at the key inside p unless ok holds.
+// require records an error at the key inside p unless ok is true or an error is recorded already.
 func (c *checker) require(ok bool, p *path, key, reason string, args ...any) {
 	if ok || c.err != nil {
 		return
@@ -62,18 +64,18 @@
 	c.err = &ParseError{Key: p.key(key), Reason: fmt.Sprintf(reason, args...), Unworkable: true}
 }
 
-// name requires a usable name that is not yet in use.
+// name requires a valid name that is not taken.
 func (c *checker) name(p *path, key, name string, taken bool) {
 	c.require(settings.ValidName(name), p, key, "want a name of a-z, 0-9, '.' and '-', got %q", name)
 	c.require(!taken, p, key, "%q stands twice", name)
 }
 
-// inRange requires lo <= v <= hi; it refuses NaN.
+// inRange requires lo <= v <= hi. NaN is refused.
 func (c *checker) inRange(p *path, key string, v, lo, hi float64) {
 	c.require(v >= lo && v <= hi, p, key, "want a number from %v to %v, got %v", lo, hi, v)
 }
 
-// bundle checks and builds the whole bundle. The result is of use only where c.err is nil.
+// bundle checks and builds the whole bundle. The result is valid only if c.err is nil.
 func (c *checker) bundle(raw *rawBundle) *Bundle {
 	c.leafIDs, c.addresses = make(map[string]bool), make(map[string]bool)
 	b := &Bundle{
--- a/internal/bundle/checkcaller.go
+++ b/internal/bundle/checkcaller.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// caller checks one caller and adds it to b, whose services are already there.
+// caller checks one caller and adds it to b. The services of b must have been added before.
 func (c *checker) caller(b *Bundle, p *path, raw *rawCaller) {
 	_, taken := b.Callers[raw.Name]
 	c.name(p, "name", raw.Name, taken)
@@ -25,7 +25,7 @@
 	b.Callers[caller.Name], b.callersByToken[caller.TokenSHA256] = caller, caller
 }
 
-// token requires the hex of a SHA-256 that is not the one of the empty token.
+// token decodes a hex SHA-256 and refuses the one of the empty token.
 func (c *checker) token(p *path, text string) (d Digest) {
 	raw, err := hex.DecodeString(text)
 	c.require(err == nil && len(raw) == len(d), p, "token_sha256", "want the SHA-256 of the token in 64 hex digits")
--- a/internal/bundle/checkservice.go
+++ b/internal/bundle/checkservice.go
@@ -51,7 +51,7 @@
 	c.searchKind(p, limits, k)
 }
 
-// orderKind refuses the keys that mean nothing for orders: an order goes to one leaf, once.
+// orderKind refuses the keys that do not apply to orders: an order is sent once, to one leaf.
 func (c *checker) orderKind(p *path, raw *rawKind) {
 	const reason = "only for mode search"
 	c.require(valueOr(raw.TopK, 0) == 0, p, "top_k", reason)
@@ -76,8 +76,8 @@
 	c.inRange(p, "retry_budget", k.RetryBudget, 0, maxRetryBudget)
 }
 
-// leaf requires ids and addresses that no other leaf of any service has: evidence about a leaf is
-// spread by its id alone, and a connection limit belongs to one address.
+// leaf requires an id and an address that are unique among the leaves of all services: evidence about
+// a leaf is spread by its id alone, and a connection limit belongs to one address.
 func (c *checker) leaf(s *Service, p *path, raw *rawLeaf) {
 	c.name(p, "id", raw.ID, c.leafIDs[raw.ID])
 	c.name(p, "zone", raw.Zone, false)
@@ -104,7 +104,7 @@
 	s.Snapshots = append(s.Snapshots, sn)
 }
 
-// maxDocuments keeps the sum over all shards of a snapshot from overflowing.
+// maxDocuments bounds the documents of a shard, so that the sum over a snapshot does not overflow.
 const maxDocuments = 1 << 40
 
 func (c *checker) shard(s *Service, sn *Snapshot, seen map[uint32]bool, p *path, raw *rawShard) {
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Change is one difference between two bundles, in words for a reviewer.
+// Change is one difference between two bundles, described for a reviewer.
 type Change struct {
-	// Service is empty for limits and callers.
+	// Service is the name of the service, empty for limits and callers.
 	Service string `json:"service,omitempty"`
 	// Subject names what differs, such as `leaf "teachers-0-a"`.
 	Subject string `json:"subject"`
 	// Action is added, removed or changed.
 	Action Action `json:"action"`
-	// Detail says what it is or what changed in it. It holds no token hash.
+	// Detail describes the subject, or what changed in it. It holds no complete token hash.
 	Detail string `json:"detail"`
 }
 
-// Action is what happened to a subject.
+// Action is the kind of a change.
 type Action string
 
 // The actions of a change.
@@ -29,7 +29,7 @@
 	Changed Action = "changed"
 )
 
-// String returns the change in one line.
+// String formats the change as one line.
 func (c Change) String() string {
 	s := fmt.Sprintf("%s %s", c.Subject, c.Action)
 	if c.Service != "" {
@@ -41,8 +41,8 @@
 	return s
 }
 
-// Diff returns what changes from a to b: limits, callers, then each service in order of its name.
-// Order and comments of the text don't count.
+// Diff returns the changes from a to b: limits, callers, then services, both in order of their names.
+// The order of the text and its comments are ignored.
 func Diff(a, b *Bundle) []Change {
 	var d differ
 	d.compareFields("limits", limitFields(a.Limits), limitFields(b.Limits))
@@ -54,7 +54,7 @@
 	return d.changes
 }
 
-// differ collects the changes; service is the one under comparison.
+// differ collects changes. service is the name of the service under comparison.
 type differ struct {
 	service string
 	changes []Change
@@ -64,7 +64,7 @@
 	d.changes = append(d.changes, Change{Service: d.service, Subject: subject, Action: action, Detail: detail})
 }
 
-// fields are the values of a subject, in the order in which they are shown.
+// fields holds the values of a subject in display order.
 type fields []field
 
 type field struct{ name, value string }
@@ -79,7 +79,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// compareFields adds a change if any field differs; a and b have the same names in the same order.
+// compareFields adds a change if any field differs. a and b must have the same names in the same order.
 func (d *differ) compareFields(subject string, a, b fields) {
 	var parts []string
 	for i := range a {
@@ -92,7 +92,7 @@
 	}
 }
 
-// diffMaps compares two maps of subjects by key.
+// diffMaps compares two maps of subjects by key. fieldsOf returns the fields of a subject.
 func diffMaps[T any](d *differ, kind string, a, b map[string]*T, fieldsOf func(*T) fields) {
 	for _, name := range unionKeys(a, b) {
 		subject := fmt.Sprintf("%s %q", kind, name)
@@ -108,14 +108,14 @@
 	}
 }
 
-// unionKeys returns the keys of both maps in order, each once.
+// unionKeys returns the sorted keys of both maps without duplicates.
 func unionKeys[K ~string, T any](a, b map[K]*T) []K {
 	keys := slices.AppendSeq(slices.Collect(maps.Keys(a)), maps.Keys(b))
 	slices.Sort(keys)
 	return slices.Compact(keys)
 }
 
-// compareServices compares one service; either side may be nil.
+// compareServices compares two versions of one service. Either may be nil.
 func (d *differ) compareServices(a, b *Service) {
 	switch {
 	case a == nil:
--- a/internal/bundle/difffields.go
+++ b/internal/bundle/difffields.go
@@ -25,14 +25,14 @@
 	}
 }
 
-// tokenPrefixBytes of a token's hash are enough to tell that it was replaced.
+// tokenPrefixBytes is how many bytes of a token's hash are shown: enough to see that it was replaced.
 const tokenPrefixBytes = 4
 
 func tokenPrefix(d Digest) string { return fmt.Sprintf("%x...", d[:tokenPrefixBytes]) }
 
 func formatNumber(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// kindFields has the same names for both modes, so that a change of mode can be shown.
+// kindFields returns the same names for both modes, so that a change of mode can be compared.
 func kindFields(k *Kind) fields {
 	f := fields{
 		{"mode", string(k.Mode)},
@@ -54,10 +54,10 @@
 	return f
 }
 
-// commonFieldCount is how many of kindFields mean something for orders.
+// commonFieldCount is how many of the leading kindFields apply to both modes.
 const commonFieldCount = 3
 
-// notApplicable is the value of a field that means nothing here.
+// notApplicable is the value of a field that does not apply to the mode of a kind.
 const notApplicable = "none"
 
 func leafFields(l *Leaf) fields {
@@ -69,7 +69,7 @@
 	}
 }
 
-// compareSnapshots compares the shard maps, oldest version first.
+// compareSnapshots compares the shard maps, lowest version first.
 func (d *differ) compareSnapshots(a, b *Service) {
 	var versions []uint64
 	for _, sn := range slices.Concat(a.Snapshots, b.Snapshots) {
@@ -95,7 +95,7 @@
 		s.replicas(false), s.replicas(true))
 }
 
-// replicas returns the largest or the smallest number of leaves that a shard has.
+// replicas returns the largest or the smallest number of replicas of a shard.
 func (s *Snapshot) replicas(largest bool) int {
 	n := len(s.Shards[0].Leaves)
 	for i := range s.Shards {
@@ -141,7 +141,7 @@
 	return fmt.Sprintf("documents %d, leaves %s", s.Documents, strings.Join(s.Leaves, " "))
 }
 
-// compareShard says which replicas come and go.
+// compareShard adds a change if the documents or the replicas differ.
 func (d *differ) compareShard(subject string, a, b *Shard) {
 	var parts []string
 	if a.Documents != b.Documents {
@@ -158,7 +158,7 @@
 	}
 }
 
-// difference returns the elements of a that b lacks, in order.
+// difference returns the sorted elements of a that are not in b.
 func difference(a, b []string) []string {
 	var out []string
 	for _, x := range a {
--- a/internal/bundle/dump.go
+++ b/internal/bundle/dump.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// DumpDuty is the name in a dump under which each daemon shows its store.
+// DumpDuty is the key of the store in a daemon's dump.
 const DumpDuty = "bundle"
 
-// StoreDump is the state of a store as the operators' dump shows it.
+// StoreDump is the state of a store in an operators' dump.
 type StoreDump struct {
-	// Version is 0 where no bundle is in force.
+	// Version is the version of the bundle in force, or 0 if there is none.
 	Version  uint64        `json:"version"`
 	Digest   string        `json:"digest,omitempty"`
 	Parent   string        `json:"parent,omitempty"`
@@ -22,13 +22,13 @@
 	Refusals []RefusalDump `json:"refusals,omitempty"`
 }
 
-// RaceDump names the different bundles that were seen of one version.
+// RaceDump lists the digests of different verified bundles that share one version.
 type RaceDump struct {
 	Version uint64   `json:"version"`
 	Digests []string `json:"digests"`
 }
 
-// RefusalDump is the newest refusal of one reason.
+// RefusalDump is the newest refusal for one reason.
 type RefusalDump struct {
 	Reason  RefusalReason `json:"reason"`
 	Version uint64        `json:"version"`
@@ -37,8 +37,8 @@
 	At      time.Time     `json:"at"`
 }
 
-// Dump implements operator.Dumper. Signers are the key ids that the manifest carries, whether or
-// not each of them is a trusted reviewer's.
+// Dump implements operator.Dumper. It returns a StoreDump. Signers lists all key ids in the manifest,
+// including those of reviewers who are not trusted.
 func (s *Store) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	return r
 }
 
-// refusalDumps returns the refusals by reason; the caller holds mu.
+// refusalDumps returns the refusals sorted by reason. The caller must hold mu.
 func (s *Store) refusalDumps() []RefusalDump {
 	var out []RefusalDump
 	for _, r := range s.refusals {
--- a/internal/bundle/errors.go
+++ b/internal/bundle/errors.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// ParseError says why a bundle's text is refused.
+// ParseError reports why a bundle's text is refused.
 type ParseError struct {
-	// Line counts from 1; 0 where no line is to blame.
+	// Line counts from 1. It is 0 if the error has no line.
 	Line int
-	// Key is the dotted path, with indices from 0 into arrays of tables.
+	// Key is the dotted path of the key, with indices from 0 for arrays of tables.
 	Key    string
 	Reason string
-	// Unworkable is true where the text could be read but the bundle could not work.
+	// Unworkable is true if the text could be decoded but its values break a rule.
 	Unworkable bool
 }
 
-// Error implements error in one line.
+// Error formats the error as one line.
 func (e *ParseError) Error() string {
 	var b strings.Builder
 	b.WriteString("bundle")
@@ -30,31 +30,33 @@
 	return b.String()
 }
 
-// RefusalReason is why a bundle was not applied. It is a metric label.
+// RefusalReason classifies why a bundle was not applied. It is the value of a metric label.
 type RefusalReason string
 
 // The reasons for not applying a bundle.
 const (
-	// RefusedManifest is a manifest that can't be decoded or used.
+	// RefusedManifest is a manifest that can't be decoded, is invalid or has another version than its
+	// text.
 	RefusedManifest RefusalReason = "manifest"
-	// RefusedSignatures is a manifest with too few good signatures.
+	// RefusedSignatures is a manifest with too few valid signatures of trusted reviewers, or with too
+	// many signatures to check.
 	RefusedSignatures RefusalReason = "signatures"
-	// RefusedSections is a text that the manifest doesn't name.
+	// RefusedSections is a text whose sections differ from those in the manifest.
 	RefusedSections RefusalReason = "sections"
 	// RefusedSyntax is a text that can't be parsed.
 	RefusedSyntax RefusalReason = "syntax"
-	// RefusedUnworkable is a text that parses but can't work.
+	// RefusedUnworkable is a text that can be decoded but whose values break a rule.
 	RefusedUnworkable RefusalReason = "unworkable"
-	// RefusedOlder is a bundle of a lower version than one that was applied.
+	// RefusedOlder is a bundle of a lower version than the one in force.
 	RefusedOlder RefusalReason = "older"
-	// RefusedRace is the bundle with the lower digest of two that have one version.
+	// RefusedRace is a bundle that shares its version with the one in force and has the lower digest.
 	RefusedRace RefusalReason = "race_lost"
 )
 
-// RefusedError says why a bundle was not applied; the bundle in force stays.
+// RefusedError reports why a bundle was not applied. The bundle in force is unchanged.
 type RefusedError struct {
 	Reason RefusalReason
-	// Version and Digest of the refused bundle; zero where its manifest couldn't be read.
+	// Version and Digest identify the refused bundle. Each is zero if it could not be read.
 	Version uint64
 	Digest  Digest
 	cause   error
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		sections := Split(text)
 		if !bytes.Equal(bytes.Join(sections, nil), text) {
-			t.Fatal("sections don't give the text back")
+			t.Fatal("joined sections differ from the text")
 		}
 		b, err := Parse(text)
 		if err != nil {
@@ -34,7 +34,7 @@
 	})
 }
 
-// checkInvariants requires what the gathers rely on.
+// checkInvariants checks the properties of a bundle that the gather processes rely on.
 func checkInvariants(t *testing.T, b *Bundle) {
 	if b.Version == 0 || len(b.Services) == 0 || len(b.Callers) == 0 {
 		t.Fatal("empty bundle")
@@ -63,7 +63,7 @@
 	}
 }
 
-// FuzzManifest gives the decoding of manifests bytes of any kind, unsigned and signed.
+// FuzzManifest decodes and applies manifests of arbitrary bytes, unsigned and signed.
 func FuzzManifest(f *testing.F) {
 	good := offer(3, Digest{}, sample, reviewer(1))
 	encoded, err := proto.Marshal(good.signed)
@@ -78,7 +78,7 @@
 		if proto.Unmarshal(data, &foreign) == nil {
 			_, d, err := Verify(&foreign, trust)
 			if err == nil && d != good.digest {
-				t.Fatal("a forged manifest was taken")
+				t.Fatal("a forged manifest was accepted")
 			}
 		}
 		signed := &pb.SignedManifest{Manifest: data}
@@ -92,7 +92,7 @@
 			t.Fatalf("refused without a typed reason: %v", err)
 		}
 		if (err == nil) != (s.Current() != nil) {
-			t.Fatal("in force and refused")
+			t.Fatal("a bundle is in force after an error, or none after success")
 		}
 	})
 }
--- a/internal/bundle/history.go
+++ b/internal/bundle/history.go
@@ -3,15 +3,16 @@
 import "slices"
 
 const (
-	// historyVersions is how many versions a store remembers to notice races.
+	// historyVersions is how many versions a store keeps to detect races.
 	historyVersions = 64
-	// historyDigests is how many bundles of one version it remembers.
+	// historyDigests is how many bundles of one version a store keeps.
 	historyDigests = 16
 )
 
-// history remembers the verified bundles of recent versions, each once. Its owner guards it.
+// history holds the digests of verified bundles of the highest versions, each once. It is not safe for
+// concurrent use: its owner guards it.
 type history struct {
-	// byVersion is ordered by version, lowest first.
+	// byVersion is sorted by version, lowest first.
 	byVersion []versionDigests
 }
 
@@ -20,7 +21,7 @@
 	digests []Digest
 }
 
-// add remembers a bundle and tells whether it is new and shares its version with another one.
+// add records a bundle and reports whether it is new and shares its version with another one.
 func (h *history) add(version uint64, d Digest) (race bool) {
 	i, found := slices.BinarySearchFunc(h.byVersion, version, func(v versionDigests, want uint64) int {
 		switch {
@@ -46,7 +47,7 @@
 	return true
 }
 
-// races returns the versions that more than one bundle has, lowest first.
+// races returns the versions shared by several bundles, lowest first.
 func (h *history) races() []versionDigests {
 	var out []versionDigests
 	for _, v := range h.byVersion {
--- a/internal/bundle/metrics.go
+++ b/internal/bundle/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the counters of a store.
+// metrics holds the metrics of a store.
 type metrics struct {
 	version          prometheus.Gauge
 	applied          prometheus.Counter
--- a/internal/bundle/model.go
+++ b/internal/bundle/model.go
@@ -1,5 +1,6 @@
-// Package bundle holds the versioned configuration bundle: its model, strict parsing and checks,
-// its split into content-addressed sections, signatures, and the store that never goes back.
+// Package bundle implements the versioned configuration bundle: its model, strict parsing and checks,
+// its split into content-addressed sections, signatures, and a store that never goes back to a lower
+// version.
 package bundle
 
 import "time"
@@ -7,7 +8,7 @@
 // Digest is the SHA-256 of a manifest's encoded bytes, or of a section.
 type Digest [32]byte
 
-// Bundle is a checked bundle. It is immutable; processes share one pointer.
+// Bundle is a checked bundle. It is immutable and shared by pointer within a process.
 type Bundle struct {
 	Version  uint64
 	Digest   Digest
@@ -15,35 +16,36 @@
 	Callers  map[string]*Caller
 	Services map[string]*Service
 
-	// callersByToken finds a caller by the SHA-256 of its token.
+	// callersByToken holds the callers by the SHA-256 of their token.
 	callersByToken map[Digest]*Caller
 }
 
-// Limits hold for all services.
+// Limits bounds the requests to all services.
 type Limits struct {
-	// MaxQueryBytes is the longest query or order payload taken.
+	// MaxQueryBytes is the largest size of a query or an order payload.
 	MaxQueryBytes int
-	// MaxTopK is the largest number of hits a caller may ask for.
+	// MaxTopK is the largest number of hits a caller may request.
 	MaxTopK int
-	// MaxTimeout is the longest deadline a caller may ask for.
+	// MaxTimeout is the longest timeout a caller may request.
 	MaxTimeout time.Duration
 }
 
-// Caller is who may ask. The bundle holds only the hash of its token.
+// Caller is a client that may send requests. The bundle holds only the hash of its token.
 type Caller struct {
 	Name        string
 	TokenSHA256 Digest
-	// Services the caller may use.
+	// Services lists the names of the services that the caller may use.
 	Services []string
-	// Rate is the caller's allowance at one entry, in requests a second; 0 is no limit of its own.
+	// Rate is the caller's rate limit at one entry process, in requests per second. 0 means no limit of
+	// its own.
 	Rate float64
-	// Burst is the size of the allowance's bucket, in requests.
+	// Burst is the size of the token bucket of the rate limit, in requests.
 	Burst int
 	// Share is the caller's weight in fair queueing among callers, 1 by default.
 	Share int
 }
 
-// Mode tells searches from orders.
+// Mode distinguishes searches from orders.
 type Mode string
 
 // The modes of a kind.
@@ -52,12 +54,13 @@
 	ModeOrder  Mode = "order"
 )
 
-// Partial says what a kind of search does when shards are late.
+// Partial is the policy of a kind of search for late shards.
 type Partial string
 
 // The policies for partial answers.
 const (
-	// PartialLatency answers early, once MinCoverage is reached and stragglers are hedged in vain.
+	// PartialLatency answers before the deadline without the late shards, once EarlyCoverage is
+	// reached and the stragglers, which are hedged, have not answered within EarlyAfter.
 	PartialLatency Partial = "latency"
 	// PartialCoverage waits for every shard until the deadline.
 	PartialCoverage Partial = "coverage"
@@ -67,24 +70,24 @@
 type Kind struct {
 	Name string
 	Mode Mode
-	// Weight orders kinds under overload; heavier kinds go first.
+	// Weight is the priority of the kind under overload. Kinds with a higher weight go first.
 	Weight int
-	// Timeout is used where the caller gives none.
+	// Timeout applies if the caller gives none.
 	Timeout time.Duration
-	// TopK is the number of hits where the caller gives none.
+	// TopK is the number of hits if the caller gives none.
 	TopK int
 	// Partial is the policy for late shards.
 	Partial Partial
-	// MinCoverage is the share of documents, 0 to 1, below which an answer counts as failed.
+	// MinCoverage is the share of documents, 0 to 1, below which a search fails.
 	MinCoverage float64
 	// EarlyCoverage is the share of documents from which PartialLatency may answer early.
 	EarlyCoverage float64
-	// EarlyAfter is how long PartialLatency waits for stragglers before it answers early, counted
-	// as a multiple of the service's usual time of the slowest shard.
+	// EarlyAfter is how long PartialLatency waits for stragglers before it answers early, as a
+	// multiple of the service's typical time of the slowest shard.
 	EarlyAfter float64
-	// HedgeBudget is the share of extra calls that hedges may make, 0 to 0.05.
+	// HedgeBudget is the share of extra calls allowed for hedges, 0 to 0.05.
 	HedgeBudget float64
-	// RetryBudget is the share of extra calls that retries may make, 0 to 0.10.
+	// RetryBudget is the share of extra calls allowed for retries, 0 to 0.10.
 	RetryBudget float64
 }
 
@@ -101,11 +104,11 @@
 type Leaf struct {
 	ID   string
 	Zone string
-	// Address is HOST:PORT, host an IP number.
+	// Address is IP:PORT.
 	Address string
-	// Slots is how many calls it works on at once.
+	// Slots is how many calls the leaf runs concurrently.
 	Slots int
-	// Connections is how many connections it accepts in all.
+	// Connections is how many connections the leaf accepts from all VMs together.
 	Connections int
 }
 
@@ -119,7 +122,7 @@
 type Shard struct {
 	ID        uint32
 	Documents uint64
-	// Leaves hold a replica each, by their ids.
+	// Leaves lists the ids of the leaves that hold a replica.
 	Leaves []string
 }
 
@@ -145,7 +148,7 @@
 	return n
 }
 
-// MayUse tells whether the caller may use the service.
+// MayUse reports whether the caller may use the service.
 func (c *Caller) MayUse(service string) bool {
 	for _, s := range c.Services {
 		if s == service {
--- a/internal/bundle/parse.go
+++ b/internal/bundle/parse.go
@@ -7,11 +7,11 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// MaxTextBytes is the longest text of a bundle.
+// MaxTextBytes is the largest size of a bundle's text.
 const MaxTextBytes = 4 << 20
 
-// Parse reads a bundle's text strictly, fills in the defaults and checks that the bundle can work.
-// The error is a *ParseError. The Digest of the result is zero: only a manifest gives it.
+// Parse decodes a bundle's text strictly, fills in the defaults and checks the rules. The error is a
+// *ParseError. The Digest of the result is zero, since it is that of a manifest.
 func Parse(text []byte) (*Bundle, error) {
 	if len(text) > MaxTextBytes {
 		return nil, &ParseError{Reason: "longer than 4 MiB"}
@@ -37,7 +37,8 @@
 	return &ParseError{Reason: err.Error()}
 }
 
-// nearestLine returns the line of the key, or of the nearest table around it.
+// nearestLine returns the line of the key or, if it is absent, of the innermost enclosing table. It
+// returns 0 if there is neither.
 func nearestLine(text []byte, key string) int {
 	for key != "" {
 		if line := settings.LineOf(text, key); line > 0 {
--- a/internal/bundle/parse_test.go
+++ b/internal/bundle/parse_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// sample is a small bundle that works; tests replace lines of it.
+// sample is the text of a small valid bundle. Tests replace lines of it.
 const sample = `version = 3
 [limits]
 max_query_bytes = 2048
@@ -105,7 +105,7 @@
 		old, text  string
 		line       int
 		key        string
-		reason     string // a part of it
+		reason     string // a substring
 		unworkable bool
 	}{
 		{"no TOML", "[limits]", "[limits", 2, "", "expected", false},
--- a/internal/bundle/raw.go
+++ b/internal/bundle/raw.go
@@ -7,7 +7,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// The defaults of keys that a bundle's text may leave out.
+// Defaults of the optional keys of a bundle's text.
 const (
 	defaultMaxQueryBytes = 4096
 	defaultMaxTopK       = 100
@@ -23,7 +23,7 @@
 	defaultRetryBudget   = 0.10
 )
 
-// rawBundle is a bundle's text as decoded. Pointers tell a key left out from a zero.
+// rawBundle is the decoded text of a bundle. Pointers distinguish an absent key from a zero value.
 type rawBundle struct {
 	Version  uint64       `toml:"version"`
 	Limits   rawLimits    `toml:"limits"`
@@ -31,7 +31,8 @@
 	Services []rawService `toml:"service"`
 }
 
-// Check does nothing: the rules are checked in check.go, which knows indices.
+// Check implements settings.Checked. It does nothing: the checker in check.go checks the rules, since
+// it knows the indices of array elements.
 func (*rawBundle) Check(*settings.Checker) {}
 
 type rawLimits struct {
@@ -89,7 +90,7 @@
 	Leaves    []string `toml:"leaves"`
 }
 
-// valueOr returns *p, or the default where the key was left out.
+// valueOr returns *p, or def if the key was absent.
 func valueOr[T any](p *T, def T) T {
 	if p == nil {
 		return def
@@ -105,7 +106,7 @@
 	}
 }
 
-// resolve leaves the token to the check, which must name its line.
+// resolve returns the caller without its token, which the checker decodes to report errors at its key.
 func (r *rawCaller) resolve() *Caller {
 	return &Caller{
 		Name:     r.Name,
--- a/internal/bundle/sections.go
+++ b/internal/bundle/sections.go
@@ -9,16 +9,16 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// MaxSectionBytes is the longest section: the platform's values end at a mebibyte.
+// MaxSectionBytes is the largest size of a section, which is the platform's limit of a value, 1 MiB.
 const MaxSectionBytes = 1 << 20
 
-// emptySHA256 is the SHA-256 of no bytes.
+// emptySHA256 is the SHA-256 of the empty string.
 var emptySHA256 = Digest(sha256.Sum256(nil))
 
 // String returns the digest in hex.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// IsZero tells whether the digest stands for none.
+// IsZero reports whether the digest is zero, which means none.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
 // ParseDigest reads a digest in hex.
@@ -33,16 +33,16 @@
 // SectionDigest returns the digest that names a section.
 func SectionDigest(section []byte) Digest { return sha256.Sum256(section) }
 
-// The lines before which a text is cut. Their order in the text is free.
+// The table headers before which a text is split. Tables may come in any order.
 var (
 	callerHeader   = []byte("[[caller]]")
 	serviceHeader  = []byte("[[service]]")
 	snapshotHeader = []byte("[[service.snapshot]]")
 )
 
-// Split cuts a text into sections: before the first caller, each service and each snapshot. The
+// Split splits a text into sections: before the first caller, each service and each snapshot. The
 // concatenation of the sections is the text. The rule is part of the format: every release must
-// cut alike.
+// split at the same places.
 func Split(text []byte) [][]byte {
 	var sections [][]byte
 	start, callers := 0, false
@@ -59,7 +59,7 @@
 	return append(sections, text[start:])
 }
 
-// nextLine returns the offset after the line break that follows at, or the text's end.
+// nextLine returns the offset after the first line break from offset at on, or the length of the text.
 func nextLine(text []byte, at int) int {
 	n := bytes.IndexByte(text[at:], '\n')
 	if n < 0 {
@@ -68,8 +68,9 @@
 	return at + n + 1
 }
 
-// Assemble puts the manifest's sections together, whatever order they come in and whatever else is
-// among them. It refuses a missing section and a text that is too long.
+// Assemble joins the manifest's sections to the text. The sections may be in any order, and ones that
+// the manifest does not name are ignored. It returns an error if a section is missing or the text is
+// longer than MaxTextBytes.
 func Assemble(m *pb.Manifest, sections [][]byte) ([]byte, error) {
 	byDigest := make(map[Digest][]byte, len(sections))
 	for _, s := range sections {
@@ -92,7 +93,7 @@
 	return text, nil
 }
 
-// checkSections refuses a text that is not the one the manifest names.
+// checkSections returns an error if the sections of text differ from the manifest's.
 func checkSections(m *pb.Manifest, text []byte) error {
 	sections := Split(text)
 	if len(sections) != len(m.GetSections()) {
--- a/internal/bundle/sign.go
+++ b/internal/bundle/sign.go
@@ -13,26 +13,27 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// signatureDomain goes before the digest in what is signed, so that a signature is good for nothing else.
+// signatureDomain precedes the digest in the signed bytes, so that a signature of a bundle is valid for
+// nothing else.
 const signatureDomain = "burdockplank bundle v1\n"
 
-// keyIDBytes is how much of a public key's SHA-256 names the key.
+// keyIDBytes is how many bytes of a public key's SHA-256 form its id.
 const keyIDBytes = 8
 
-// KeyID names a reviewer's public key: the first 8 bytes of its SHA-256, in hex.
+// KeyID returns the id of a reviewer's public key: the first 8 bytes of its SHA-256, in hex.
 func KeyID(public ed25519.PublicKey) string {
 	sum := sha256.Sum256(public)
 	return hex.EncodeToString(sum[:keyIDBytes])
 }
 
-// signedBytes is what a reviewer's signature covers.
+// signedBytes returns the message that a reviewer signs for the digest.
 func signedBytes(d Digest) []byte { return append([]byte(signatureDomain), d[:]...) }
 
 // ManifestDigest returns the digest of a bundle: the SHA-256 of its manifest's encoded bytes.
 func ManifestDigest(manifest []byte) Digest { return sha256.Sum256(manifest) }
 
-// Sign makes the manifest of a text and signs it with each key. The parent is the digest of the
-// bundle before, zero for the first. A text that could not be applied is refused.
+// Sign creates the manifest of a text and signs it with each key. The parent is the digest of the
+// previous bundle, zero for the first. Sign refuses a text that no store would apply.
 func Sign(text []byte, parent Digest, keys ...ed25519.PrivateKey) (*pb.SignedManifest, error) {
 	b, err := Parse(text)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return signed, nil
 }
 
-// encodeManifest makes the manifest of a text that was parsed before.
+// encodeManifest returns the encoded manifest of a text. It does not parse the text.
 func encodeManifest(version uint64, parent Digest, text []byte) ([]byte, error) {
 	m := &pb.Manifest{Version: version}
 	if !parent.IsZero() {
@@ -67,7 +68,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m)
 }
 
-// AddSignature adds the key's signature to a signed manifest, in place of an earlier one of the key.
+// AddSignature adds the key's signature to a signed manifest and replaces an earlier one of the same key.
 func AddSignature(signed *pb.SignedManifest, key ed25519.PrivateKey) error {
 	if len(key) != ed25519.PrivateKeySize {
 		return errors.New("not an ed25519 private key")
--- a/internal/bundle/store.go
+++ b/internal/bundle/store.go
@@ -12,32 +12,32 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// Store holds the bundle in force. Bundles are ordered by version, then digest; the store only
-// ever moves up that order, so all stores that saw the same bundles hold the same one, whatever the
-// order of arrival. It is safe for concurrent use.
+// Store holds the bundle in force. Bundles are ordered by version, then digest. The store only moves
+// to a higher bundle, so all stores that received the same bundles hold the same one, regardless of
+// the order of arrival. It is safe for concurrent use.
 type Store struct {
 	metrics *metrics
 	now     func() time.Time
-	// verify checks a manifest; it is set at the start.
+	// verify checks and decodes a manifest. It is immutable.
 	verify func(*pb.SignedManifest) (*pb.Manifest, Digest, error)
 
-	// applying serializes Apply, so that parsing doesn't hold mu.
+	// applying serializes Apply, so that mu is not held while a text is parsed.
 	applying sync.Mutex
 
 	mu sync.Mutex
-	// inForce is nil until the first bundle; guarded by mu.
+	// inForce is nil before the first bundle; guarded by mu.
 	inForce *accepted
 	// changed is closed and replaced at each change; guarded by mu.
 	changed chan struct{}
-	// seen remembers the bundles of recent versions; guarded by mu.
+	// seen is the history of verified bundles; guarded by mu.
 	seen history
-	// refusals holds the newest refusal of each reason; guarded by mu.
+	// refusals holds the newest refusal for each reason; guarded by mu.
 	refusals map[RefusalReason]Refusal
-	// last is the reason of the newest refusal, empty for none; guarded by mu.
+	// last is the reason for the newest refusal, empty if there is none; guarded by mu.
 	last RefusalReason
 }
 
-// accepted is a bundle in force with what it came from. It is immutable.
+// accepted is a bundle in force with its manifest and text. It is immutable.
 type accepted struct {
 	bundle *Bundle
 	signed *pb.SignedManifest
@@ -46,7 +46,7 @@
 	since  time.Time
 }
 
-// Refusal is a bundle that was not applied.
+// Refusal describes a bundle that was not applied.
 type Refusal struct {
 	Reason  RefusalReason
 	Version uint64
@@ -55,14 +55,14 @@
 	At      time.Time
 }
 
-// NewStore returns an empty store that applies only what the trust verifies. Its metrics go to reg
-// unless that is nil.
+// NewStore returns an empty store that applies only bundles whose signatures satisfy trust. Its metrics
+// are registered in reg unless reg is nil.
 func NewStore(trust Trust, reg prometheus.Registerer) *Store {
 	return newStore(reg, func(s *pb.SignedManifest) (*pb.Manifest, Digest, error) { return Verify(s, trust) })
 }
 
-// NewFollowerStore returns an empty store for a process that takes its bundles from the
-// burdock-sync of its own VM, which has verified the signatures.
+// NewFollowerStore returns an empty store for a process that receives its bundles from burdock-sync on
+// its own VM. It does not verify signatures, since burdock-sync has done so.
 func NewFollowerStore(reg prometheus.Registerer) *Store {
 	return newStore(reg, func(s *pb.SignedManifest) (*pb.Manifest, Digest, error) {
 		d := ManifestDigest(s.GetManifest())
@@ -85,9 +85,10 @@
 	}
 }
 
-// Apply verifies and checks a bundle and puts it in force if it is higher than the one in force.
-// It returns nil for the bundle that is in force already. A refusal is a *RefusedError and leaves
-// the bundle in force as it was. The store keeps signed and text: the caller must not change them.
+// Apply verifies and checks a bundle and puts it in force if it is higher than the one in force. It
+// returns nil for the bundle that is in force already. If the bundle is refused, the error is a
+// *RefusedError and the bundle in force is unchanged. The store retains signed and text: the caller
+// must not modify them.
 func (s *Store) Apply(signed *pb.SignedManifest, text []byte) error {
 	s.applying.Lock()
 	defer s.applying.Unlock()
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// compare tells whether the bundle is the one in force, and refuses one that is lower.
+// compare reports whether the bundle is the one in force. It returns a *RefusedError for a lower one.
 func (s *Store) compare(version uint64, d Digest) (known bool, err error) {
 	cur := s.Current()
 	switch {
@@ -138,7 +139,7 @@
 	return false, &RefusedError{Reason: RefusedRace, Version: version, Digest: d, cause: err}
 }
 
-// activate puts a bundle in force and wakes those who wait for a change.
+// activate puts a bundle in force and notifies the waiters of Changed.
 func (s *Store) activate(a *accepted) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +153,7 @@
 	s.changed = make(chan struct{})
 }
 
-// recordRace remembers a verified bundle and counts it if another one has its version.
+// recordRace adds a verified bundle to the history and counts a race if another one has its version.
 func (s *Store) recordRace(version uint64, d Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +162,7 @@
 	}
 }
 
-// recordRefusal keeps a refusal for the dump.
+// recordRefusal counts a refusal and keeps it for the dump.
 func (s *Store) recordRefusal(e *RefusedError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// Manifest returns the signed manifest of the bundle in force, or nil. It must not be changed.
+// Manifest returns the signed manifest of the bundle in force, or nil. The caller must not modify it.
 func (s *Store) Manifest() *pb.SignedManifest {
 	if a := s.accepted(); a != nil {
 		return a.signed
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// Text returns the text of the bundle in force, or nil. It must not be changed.
+// Text returns the text of the bundle in force, or nil. The caller must not modify it.
 func (s *Store) Text() []byte {
 	if a := s.accepted(); a != nil {
 		return a.text
@@ -194,14 +195,14 @@
 	return nil
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next bundle is put in force.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// LastRefusal returns the newest refusal and whether there was one.
+// LastRefusal returns the newest refusal and reports whether there was one.
 func (s *Store) LastRefusal() (Refusal, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/bundle/store_test.go
+++ b/internal/bundle/store_test.go
@@ -13,18 +13,18 @@
 	"pgregory.net/rapid"
 )
 
-// higher tells whether a is higher than b in the order of bundles.
+// higher reports whether a is higher than b in the order of bundles.
 func higher(a, b candidate) bool {
 	return a.version > b.version || a.version == b.version && bytes.Compare(a.digest[:], b.digest[:]) > 0
 }
 
-// offerPool is a set of bundles on offer, of which some must never be applied.
+// offerPool is a set of bundles to offer. Those whose digest is in bad must never be applied.
 type offerPool struct {
 	offers []candidate
 	bad    map[Digest]bool
 }
 
-// drawOfferPool draws bundles of few versions, so that versions collide.
+// drawOfferPool draws bundles of few versions, so that several share a version.
 func drawOfferPool(t *rapid.T) offerPool {
 	p := offerPool{bad: make(map[Digest]bool)}
 	n := rapid.IntRange(1, 8).Draw(t, "offers")
@@ -77,7 +77,7 @@
 	})
 }
 
-// applyAll offers the bundles in order and checks after each that the highest good one is in force.
+// applyAll applies the bundles in order and checks after each that the highest valid one is in force.
 func applyAll(t *rapid.T, s *Store, p offerPool, order []candidate) {
 	var best candidate
 	for _, c := range order {
@@ -94,7 +94,7 @@
 			t.Fatalf("version %d, %s: not refused", c.version, c.digest)
 		}
 		if closed := isClosed(changed); closed != want {
-			t.Fatalf("change announced %v, want %v", closed, want)
+			t.Fatalf("Changed closed: %v, want %v", closed, want)
 		}
 		checkInForce(t, s, best)
 	}
@@ -182,14 +182,14 @@
 	s := NewStore(trustOf(1, reviewer(1)), nil)
 	is.NoErr(s.Apply(a.signed, a.text))
 	is.NoErr(s.Apply(b.signed, b.text)) // the higher digest wins
-	is.NoErr(s.Apply(b.signed, b.text)) // again, no news
+	is.NoErr(s.Apply(b.signed, b.text)) // repeated, no change
 	is.Equal(testutil.ToFloat64(s.metrics.races), 1.0)
 	is.Equal(testutil.ToFloat64(s.metrics.applied), 2.0)
 	is.Equal(s.Dump().(StoreDump).Races[0].Version, uint64(2))
 	is.Equal(len(s.Dump().(StoreDump).Races[0].Digests), 2)
 
 	orphan := offer(3, a.digest, textVariant(3, 0), reviewer(1))
-	is.NoErr(s.Apply(orphan.signed, orphan.text)) // applied, for stores must agree whatever they missed
+	is.NoErr(s.Apply(orphan.signed, orphan.text)) // applied, since stores must converge even if they missed the parent
 	is.Equal(testutil.ToFloat64(s.metrics.parentMismatches), 1.0)
 }
 
--- a/internal/bundle/trust.go
+++ b/internal/bundle/trust.go
@@ -8,9 +8,9 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// TrustSettings is the settings table [trust]: whose signatures make a bundle good.
+// TrustSettings is the settings table [trust]: the reviewers whose signatures are required on a bundle.
 type TrustSettings struct {
-	// Threshold is how many distinct reviewers must have signed.
+	// Threshold is the number of distinct reviewers that must have signed.
 	Threshold int                `toml:"threshold"`
 	Reviewers []ReviewerSettings `toml:"reviewer"`
 }
@@ -22,7 +22,8 @@
 	PublicKey string `toml:"public_key"`
 }
 
-// Check refuses keys that can't be read or are listed twice, and a threshold that can't be met.
+// Check refuses public keys that can't be decoded, have another id or are listed twice, and a threshold
+// below 1 or above the number of reviewers.
 func (t TrustSettings) Check(c *settings.Checker) {
 	distinct := make(map[string]bool)
 	for i, r := range t.Reviewers {
@@ -37,7 +38,7 @@
 	c.Require(t.Threshold <= len(t.Reviewers), "trust.threshold", "%d can't be met by %d reviewers", t.Threshold, len(t.Reviewers))
 }
 
-// Trust returns what Verify takes. It skips keys that Check refuses.
+// Trust returns the settings in the form that Verify takes. It skips public keys that can't be decoded.
 func (t TrustSettings) Trust() Trust {
 	trust := Trust{Threshold: t.Threshold, Reviewers: make(map[string]ed25519.PublicKey)}
 	for _, r := range t.Reviewers {
--- a/internal/bundle/verify.go
+++ b/internal/bundle/verify.go
@@ -9,22 +9,23 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// The bounds of a manifest, so that a hostile one costs little.
+// Limits of a manifest, which bound the cost of a hostile one.
 const (
 	maxManifestBytes = 1 << 20
 	maxSignatures    = 64
 )
 
-// Trust says whose signatures count and how many are needed.
+// Trust holds the reviewers whose signatures count and how many of them must sign.
 type Trust struct {
 	// Threshold is the number of distinct reviewers that must have signed; at least 1.
 	Threshold int
-	// Reviewers holds the public keys by KeyID.
+	// Reviewers holds the public keys by their KeyID.
 	Reviewers map[string]ed25519.PublicKey
 }
 
-// Verify checks the signatures of a manifest and decodes it. Each reviewer counts once, however
-// many signatures or key ids it has. The error is a *RefusedError.
+// Verify checks the signatures of a manifest and decodes it. Each reviewer counts once, even with
+// several signatures or key ids. The digest is returned with an error as well. The error is a
+// *RefusedError.
 func Verify(signed *pb.SignedManifest, trust Trust) (*pb.Manifest, Digest, error) {
 	d := ManifestDigest(signed.GetManifest())
 	if err := trust.check(signed); err != nil {
@@ -39,10 +40,10 @@
 	return m, d, nil
 }
 
-// check requires good signatures of enough distinct reviewers.
+// check requires valid signatures of at least Threshold distinct reviewers.
 func (t Trust) check(signed *pb.SignedManifest) *RefusedError {
 	if t.Threshold < 1 {
-		return refuse(RefusedSignatures, "the threshold is %d: nothing can be trusted", t.Threshold)
+		return refuse(RefusedSignatures, "signature threshold is %d, want 1 or more", t.Threshold)
 	}
 	if n := len(signed.GetSignatures()); n > maxSignatures {
 		return refuse(RefusedSignatures, "%d signatures, at most %d are read", n, maxSignatures)
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// Signers returns the key ids of the reviewers whose signatures are good, each reviewer once.
+// Signers returns the key ids of the reviewers with a valid signature, each reviewer once.
 func (t Trust) Signers(signed *pb.SignedManifest) []string {
 	message := signedBytes(ManifestDigest(signed.GetManifest()))
 	counted := make(map[string]bool)
@@ -73,7 +74,7 @@
 	return good
 }
 
-// decodeManifest reads a manifest's bytes and refuses one that can't name a bundle.
+// decodeManifest decodes a manifest and refuses one that is too large or invalid.
 func decodeManifest(encoded []byte) (*pb.Manifest, *RefusedError) {
 	if len(encoded) > maxManifestBytes {
 		return nil, refuse(RefusedManifest, "manifest of %d bytes, at most %d are read", len(encoded), maxManifestBytes)
@@ -91,7 +92,7 @@
 
 func checkManifest(m *pb.Manifest) *RefusedError {
 	if len(m.ProtoReflect().GetUnknown()) > 0 {
-		return refuse(RefusedManifest, "manifest has fields that this release doesn't know")
+		return refuse(RefusedManifest, "manifest has fields unknown to this release")
 	}
 	if m.GetVersion() < 1 {
 		return refuse(RefusedManifest, "manifest without version")
@@ -110,9 +111,9 @@
 	return nil
 }
 
-// Open reads a bundle whose signatures were verified before, such as one that comes from the
-// burdock-sync of the same VM: it checks that the text is the one the manifest names, parses it and
-// sets the Digest. The error is a *RefusedError.
+// Open parses a bundle whose signatures were verified before, such as one received from burdock-sync on
+// the same VM. It checks that the sections of the text are those in the manifest and sets the Digest.
+// The error is a *RefusedError.
 func Open(signed *pb.SignedManifest, text []byte) (*Bundle, error) {
 	m, err := decodeManifest(signed.GetManifest())
 	d := ManifestDigest(signed.GetManifest())
@@ -138,7 +139,7 @@
 		return nil, refused(RefusedSyntax, err)
 	}
 	if b.Version != m.GetVersion() {
-		return nil, refused(RefusedManifest, fmt.Errorf("text says version %d", b.Version))
+		return nil, refused(RefusedManifest, fmt.Errorf("text has version %d, which differs from the manifest", b.Version))
 	}
 	b.Digest = d
 	return b, nil
--- a/internal/bundle/verify_test.go
+++ b/internal/bundle/verify_test.go
@@ -110,7 +110,7 @@
 	is.True(errors.As(err, &pe))
 	long := "# " + strings.Repeat("x", MaxSectionBytes) + "\n" + sample
 	_, err = Sign([]byte(long), Digest{}, reviewer(1))
-	is.True(err != nil) // a section that the platform can't hold
+	is.True(err != nil) // a section over the platform's limit of a value
 }
 
 func TestAssembleTakesSectionsInAnyOrder(t *testing.T) {
