--- a/internal/settings/line.go
+++ b/internal/settings/line.go
@@ -13,7 +13,7 @@
 // key without indices finds the last element that has it.
 func LineOf(data []byte, key string) int {
 	line := 0
-	walk(data, func(at keyPath, k keyNode, _ *unstable.Node) bool {
+	walkKeys(data, func(at keyPath, k keyInText, _ *unstable.Node) bool {
 		if at.plain == key || at.indexed == key {
 			line = lineAt(data, k.offset)
 		}
@@ -42,18 +42,18 @@
 	return keyPath{p.plain, p.indexed + "[" + strconv.Itoa(i) + "]"}
 }
 
-// keyNode is a key as it stands in the text, with the offset of its first part.
-type keyNode struct {
+// keyInText is a key as it stands in the text, with the offset of its first part.
+type keyInText struct {
 	names  []string
 	offset uint32
 }
 
 // visitor is called for each table header, with a nil value, and for each key with its value. It
 // returns false to end the walk.
-type visitor func(at keyPath, key keyNode, value *unstable.Node) bool
+type visitor func(at keyPath, key keyInText, value *unstable.Node) bool
 
-// walk visits the keys of a TOML text in order, up to the first syntax error.
-func walk(data []byte, visit visitor) {
+// walkKeys visits the keys of a TOML text in order, up to the first syntax error.
+func walkKeys(data []byte, visit visitor) {
 	var p unstable.Parser
 	p.Reset(data)
 	arrays := make(arrayCounts)
@@ -67,7 +67,7 @@
 			table = arrays.path(key.names)
 			more = visit(table, key, nil)
 		case unstable.ArrayTable:
-			table = arrays.next(key.names)
+			table = arrays.append(key.names)
 			more = visit(table, key, nil)
 		case unstable.KeyValue:
 			more = walkKeyValue(table, e, visit)
@@ -118,8 +118,8 @@
 	return p
 }
 
-// next counts a new element of an array of tables and returns its path.
-func (a arrayCounts) next(names []string) keyPath {
+// append counts a new element of an array of tables and returns its path.
+func (a arrayCounts) append(names []string) keyPath {
 	last := len(names) - 1
 	p := a.path(names[:last]).join(names[last:])
 	i := a[p.indexed]
@@ -128,8 +128,8 @@
 }
 
 // keyOf returns an expression's key.
-func keyOf(e *unstable.Node) keyNode {
-	var k keyNode
+func keyOf(e *unstable.Node) keyInText {
+	var k keyInText
 	it := e.Key()
 	for it.Next() {
 		n := it.Node()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,7 +39,7 @@
 name = "b"
 `
 
-func TestParseNamesFileLineAndKey(t *testing.T) {
+func TestParseErrorsNameFileLineAndKey(t *testing.T) {
 	tests := []struct {
 		name, text string
 		want       Error
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestParseReads(t *testing.T) {
+func TestParse(t *testing.T) {
 	is := is.New(t)
 	var s fakeSettings
 	is.NoErr(Parse("f.toml", []byte(goodSettings), &s))
--- a/internal/settings/text.go
+++ b/internal/settings/text.go
@@ -14,7 +14,7 @@
 	durations := make(map[string]bool)
 	durationKeys(reflect.TypeOf(dst), "", durations)
 	var refused *Error
-	walk(data, func(at keyPath, k keyNode, value *unstable.Node) bool {
+	walkKeys(data, func(at keyPath, k keyInText, value *unstable.Node) bool {
 		reason := ""
 		switch {
 		case strings.ToLower(at.plain) != at.plain:
