--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Duration is a time.Duration written as text, such as "250ms".
+// Duration is a time.Duration that is encoded as text such as "250ms".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -22,12 +22,12 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D returns the standard type.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
 var durationType = reflect.TypeFor[Duration]()
 
-// durationKeys adds the dotted keys of all durations in t to keys.
+// durationKeys adds the dotted keys of all Duration fields in t to keys, each with the prefix.
 func durationKeys(t reflect.Type, prefix string, keys map[string]bool) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
--- a/internal/settings/line.go
+++ b/internal/settings/line.go
@@ -8,9 +8,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// LineOf returns the line, from 1, at which the dotted key stands in data, or 0 where it is absent.
-// An element of an array of tables is named by its index, as in "service[2].leaf[0].address"; a
-// key without indices finds the last element that has it.
+// LineOf returns the line of the dotted key in data, counted from 1, or 0 if the key is absent. An
+// element of an array of tables is given by its index, as in "service[2].leaf[0].address". A key
+// without indices matches the last element that has it.
 func LineOf(data []byte, key string) int {
 	line := 0
 	walkKeys(data, func(at keyPath, k keyInText, _ *unstable.Node) bool {
@@ -22,10 +22,10 @@
 	return line
 }
 
-// lineAt returns the line, from 1, of an offset.
+// lineAt returns the line of an offset, counted from 1.
 func lineAt(data []byte, offset uint32) int { return bytes.Count(data[:offset], []byte("\n")) + 1 }
 
-// keyPath is a key's dotted path, without and with the indices of arrays of tables.
+// keyPath is the dotted path of a key: plain is without the indices of arrays of tables, indexed with them.
 type keyPath struct{ plain, indexed string }
 
 // join returns the path of a key inside the table p.
@@ -42,17 +42,17 @@
 	return keyPath{p.plain, p.indexed + "[" + strconv.Itoa(i) + "]"}
 }
 
-// keyInText is a key as it stands in the text, with the offset of its first part.
+// keyInText is a key as written in the text, with the offset of its first name.
 type keyInText struct {
 	names  []string
 	offset uint32
 }
 
-// visitor is called for each table header, with a nil value, and for each key with its value. It
-// returns false to end the walk.
+// visitor is called for each table header with a nil value, and for each key with its value. It
+// returns false to stop walkKeys.
 type visitor func(at keyPath, key keyInText, value *unstable.Node) bool
 
-// walkKeys visits the keys of a TOML text in order, up to the first syntax error.
+// walkKeys calls visit for the keys of a TOML text in order, up to the first syntax error.
 func walkKeys(data []byte, visit visitor) {
 	var p unstable.Parser
 	p.Reset(data)
@@ -78,7 +78,8 @@
 	}
 }
 
-// walkKeyValue visits a key and the keys of inline tables in its value.
+// walkKeyValue visits a key and the keys of inline tables in its value. It returns false if the visitor
+// stopped the walk.
 func walkKeyValue(table keyPath, e *unstable.Node, visit visitor) bool {
 	key := keyOf(e)
 	at := table.join(key.names)
@@ -103,10 +104,10 @@
 	return more
 }
 
-// arrayCounts holds the number of elements so far by the indexed path of each array of tables.
+// arrayCounts holds the number of elements read so far, by the indexed path of each array of tables.
 type arrayCounts map[string]int
 
-// path resolves a table's names against the newest element of each array on the way.
+// path returns the path of a table. Names of arrays of tables resolve to their last element.
 func (a arrayCounts) path(names []string) keyPath {
 	var p keyPath
 	for _, n := range names {
@@ -118,7 +119,7 @@
 	return p
 }
 
-// append counts a new element of an array of tables and returns its path.
+// append adds an element to an array of tables and returns its path.
 func (a arrayCounts) append(names []string) keyPath {
 	last := len(names) - 1
 	p := a.path(names[:last]).join(names[last:])
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the TOML settings of a program strictly: an unknown key, a wrong type, a
-// value out of range or a contradiction gives one line naming file, line and key.
+// Package settings reads the TOML settings of a program strictly. An unknown key, a wrong type, a value
+// out of range or a contradiction is reported in one line with file, line and key.
 package settings
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ExitCode is the exit code of a program whose settings are refused.
+// ExitCode is the exit code of a program that refuses its settings.
 const ExitCode = 2
 
-// Error names the place in a file of settings that is refused.
+// Error reports why a settings file is refused, and where.
 type Error struct {
 	File string
-	// Line counts from 1; 0 where the key is absent.
+	// Line counts from 1. It is 0 if the key is absent or the error has no line.
 	Line int
-	// Key is the dotted path of the key.
+	// Key is the dotted path of the key, empty if the error has no key.
 	Key    string
 	Reason string
 }
 
-// Error implements error in one line.
+// Error formats the error as one line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(e.File)
@@ -39,13 +39,14 @@
 	return b.String()
 }
 
-// Checker collects the first refused value of a set of settings.
+// Checker records the first refused value of a set of settings.
 type Checker struct {
 	key    string
 	reason string
 }
 
-// Require refuses key for the reason unless ok holds. Only the first refusal is kept.
+// Require refuses the value of key unless ok is true. Only the first refusal is recorded. The reason is a
+// format string for args.
 func (c *Checker) Require(ok bool, key, reason string, args ...any) {
 	if ok || c.key != "" {
 		return
@@ -53,12 +54,12 @@
 	c.key, c.reason = key, fmt.Sprintf(reason, args...)
 }
 
-// Checked is a set of settings that can check itself. Check is called after defaults and file.
+// Checked is a set of settings with rules. Check is called after the file is decoded over the defaults.
 type Checked interface {
 	Check(c *Checker)
 }
 
-// Load reads the file over the defaults that dst already holds, then checks the result.
+// Load decodes the file over the defaults in dst and checks the result. The error is an *Error.
 func Load(file string, dst Checked) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return Parse(file, data, dst)
 }
 
-// Parse is Load for text that is already read; file only names it in errors.
+// Parse is like Load for text that is already in memory. The name file is used only in errors.
 func Parse(file string, data []byte, dst Checked) error {
 	if err := checkText(data, dst); err != nil {
 		err.File = file
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// CheckValues checks values that don't come from a text alone; file only names them in errors.
+// CheckValues checks values that do not come from a text alone. The name file is used only in errors,
+// which have no line.
 func CheckValues(file string, v Checked) error {
 	if err := check(v); err != nil {
 		err.File = file
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// check returns the first refused value, without file and line.
+// check returns the first refused value as an error without file and line, or nil.
 func check(v Checked) *Error {
 	var c Checker
 	v.Check(&c)
@@ -104,7 +106,7 @@
 	return &Error{Key: c.key, Reason: c.reason}
 }
 
-// decodeError finds line and key in the errors of the TOML library.
+// decodeError converts an error of the TOML library to an *Error with its line and key.
 func decodeError(file string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
--- a/internal/settings/text.go
+++ b/internal/settings/text.go
@@ -7,9 +7,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// checkText refuses what the TOML library would take unseen. All keys are lower case, and the
-// library would read "Version" as "version", so that the last of the two wins. A bare number for a
-// Duration would be read as nanoseconds.
+// checkText refuses text that the TOML library accepts but reads differently from its author's intent.
+// All keys are lower case: the library would decode "Version" as "version", and the last of the two
+// would win. A bare number for a Duration would be decoded as nanoseconds.
 func checkText(data []byte, dst any) *Error {
 	durations := make(map[string]bool)
 	durationKeys(reflect.TypeOf(dst), "", durations)
