--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the operator's configuration and the list of leaves as plain types, free of
-// any wire format, and selects the route of a request.
+// Package catalog holds the operator's configuration and the list of leaves as plain types that do not
+// depend on a wire format, and selects the route of a request.
 package catalog
 
 import (
@@ -9,52 +9,55 @@
 	"time"
 )
 
-// Config is one version of the operator's configuration. It is never changed once built.
+// Config is one version of the operator's configuration. It is immutable.
 type Config struct {
-	// Version is the operator's number; versions rise in uneven steps.
+	// Version is the operator's number of the configuration. It rises in uneven steps.
 	Version  uint64
 	Services map[string]Service
 	Limits   Limits
-	// routes by host, longest prefix first.
-	routes map[string][]*Route
-	count  int
-	// single and shards are the services of single requests and of searches.
+	// routes holds the routes by host, longest prefix first.
+	routes     map[string][]*Route
+	routeCount int
+	// single and shardServices are the services of single requests and of searches.
 	single, shards map[string]bool
 }
 
-// Route says where requests of one host and path prefix go.
+// Route is the policy for requests of one host and path prefix, and the services that they go to.
 type Route struct {
 	Name, Host, Prefix string
-	// Idempotent requests may run more than once; all others at most once for each client attempt.
+	// Idempotent is set if a request may run more than once. Any other request runs at most once for
+	// each client attempt.
 	Idempotent bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for an answer.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth most to the caller.
+	// Target is the target latency: an answer within it has the highest value for the caller.
 	Target time.Duration
-	// MaxAttempts is how many leaves one client attempt may reach, for each shard of a search.
+	// MaxAttempts is how many leaves one client attempt may reach, for each shard in a search.
 	MaxAttempts int
-	// Priority is the rank of the route, 0 first.
+	// Priority is the priority of the route. 0 is the highest.
 	Priority int
-	// Split names the services of a single request with their weights; one entry where there is no split.
+	// Split holds the services of a single request with their weights. It has one entry if the requests
+	// are not split.
 	Split []Weighted
-	// Shards are the services of a search; empty for a single request.
+	// Shards holds the services of a search, one for each shard. It is empty for a single request.
 	Shards []string
-	// TopK is how many records a search returns.
+	// TopK is the number of records that a search returns.
 	TopK int
-	// MinShare is the least share of shards, from 0 to 1, that a successful search covers.
+	// MinShare is the minimum share of shards, 0 to 1, that a successful search covers.
 	MinShare float64
 }
 
-// Weighted is a service with its part of the requests.
+// Weighted is a service with its weight in a split of requests.
 type Weighted struct {
 	Service string
 	Weight  float64
 }
 
-// Search tells whether requests of the route go to many shards.
+// Search reports whether requests of the route are searches over shards.
 func (r *Route) Search() bool { return len(r.Shards) > 0 }
 
-// EffectiveTimeout returns how long a caller is kept waiting that said how long it will wait, or 0 where it didn't.
+// EffectiveTimeout returns how long a caller waits at most: the lower of Timeout and the remaining time
+// that the caller gave. A remaining time of 0 or less means that it gave none.
 func (r *Route) EffectiveTimeout(remaining time.Duration) time.Duration {
 	if remaining <= 0 {
 		return r.Timeout
@@ -62,43 +65,43 @@
 	return min(r.Timeout, remaining)
 }
 
-// RequiredShards returns how many shards of the route a successful search covers at least.
+// RequiredShards returns the minimum number of shards that a successful search covers.
 func (r *Route) RequiredShards() int {
 	n := len(r.Shards)
 	for need := 1; need < n; need++ {
 		// The tolerance absorbs the rounding of products such as 0.9 * 10.
-		if float64(need) >= r.MinShare*float64(n)-shareRounding {
+		if float64(need) >= r.MinShare*float64(n)-shareTolerance {
 			return need
 		}
 	}
 	return n
 }
 
-// shareRounding is far below one shard in any fleet and far above the error of a product.
-const shareRounding = 1e-9
+// shareTolerance is far below one shard in any fleet and far above the rounding error of a product.
+const shareTolerance = 1e-9
 
-// Service is a group of leaves that answer alike.
+// Service is a group of leaves that give the same answers.
 type Service struct {
 	Name string
-	// HealthPath is the path of the leaf's health check.
+	// HealthPath is the path of the leaves' health check.
 	HealthPath string
-	// ConnectionLimit is how many connections a leaf takes from all callers together.
+	// ConnectionLimit is how many connections a leaf accepts from all callers together.
 	ConnectionLimit int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests and connections of a caller.
 type Limits struct {
 	MaxHeaderBytes, MaxBodyBytes int
-	// HeaderTimeout is how long a caller may take to send the head of a request.
+	// HeaderTimeout is how long a caller may take to send the header of a request.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a caller's connection may stay idle.
+	// IdleTimeout is how long a caller's connection may be idle.
 	IdleTimeout time.Duration
 }
 
-// New builds a configuration of the routes and services.
+// New returns a configuration with the routes and services.
 func New(version uint64, routes []*Route, services []Service, limits Limits) *Config {
 	c := &Config{Version: version, Limits: limits, Services: make(map[string]Service, len(services)),
-		routes: make(map[string][]*Route), count: len(routes), single: make(map[string]bool), shards: make(map[string]bool)}
+		routes: make(map[string][]*Route), routeCount: len(routes), single: make(map[string]bool), shards: make(map[string]bool)}
 	for _, s := range services {
 		c.Services[s.Name] = s
 	}
@@ -117,10 +120,10 @@
 	return c
 }
 
-// Routes returns how many routes there are.
-func (c *Config) Routes() int { return c.count }
+// Routes returns the number of routes.
+func (c *Config) Routes() int { return c.routeCount }
 
-// Match returns the route of the host whose prefix is the longest that begins the path, or nil.
+// Match returns the route of the host with the longest prefix of the path, or nil if none matches.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.routes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -130,6 +133,6 @@
 	return nil
 }
 
-// UsedServices returns the names of the services that a route of single requests leads to, and of those that are
-// shards of a search. They are not to be changed.
+// UsedServices returns the names of the services that routes of single requests go to, and of those
+// that are shards of searches. The caller must not modify the maps.
 func (c *Config) UsedServices() (single, shards map[string]bool) { return c.single, c.shards }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -22,14 +22,14 @@
 	is.Equal(c.Routes(), 3)
 }
 
-func TestNeeded(t *testing.T) {
+func TestRequiredShards(t *testing.T) {
 	for _, tt := range []struct {
 		shards int
 		share  float64
 		want   int
 	}{
 		{10, 0.89, 9}, {10, 0.9, 9}, {10, 0.75, 8}, {36, 0.95, 35}, {36, 0.85, 31}, {54, 0.95, 52}, {3, 0, 1}, {3, 1, 3}, {1, 0.5, 1},
-		{10, 0.7, 7}, // 0.7 * 10 is a little above 7
+		{10, 0.7, 7}, // 0.7 * 10 rounds to slightly above 7
 	} {
 		t.Run(fmt.Sprint(tt), func(t *testing.T) {
 			is := is.New(t)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestUsed(t *testing.T) {
+func TestUsedServices(t *testing.T) {
 	is := is.New(t)
 	c := New(1, []*Route{{Host: "h", Shards: []string{"s1", "s2"}}, {Host: "h", Split: []Weighted{{Service: "x"}}}}, nil, Limits{})
 	single, shards := c.UsedServices()
--- a/internal/catalog/leaf.go
+++ b/internal/catalog/leaf.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// LeafID names one start of a leaf. What was learned of one start says nothing of the next, which knows and
-// holds nothing of before.
+// LeafID identifies one start of a leaf. State learned about one start does not apply to the next, which
+// keeps no state of earlier ones.
 type LeafID struct {
-	// Name is the id under which the leaf registers, which a later start may have again.
+	// Name is the id that the leaf registers with. A later start may reuse it.
 	Name string
-	// StartMillis is when it started by its own clock, in Unix milliseconds; 0 where leaves don't say, and have a new
-	// name at each start.
+	// StartMillis is the start time by the leaf's own clock, in Unix milliseconds. It is 0 if leaves do
+	// not report it; they have a new name at each start then.
 	StartMillis int64
 }
 
-// String returns the name, with the start where one is known.
+// String returns the name, followed by "@" and StartMillis if it is known.
 func (id LeafID) String() string {
 	if id.StartMillis == 0 {
 		return id.Name
@@ -29,10 +29,10 @@
 	Service string
 	Address string
 	Zone    string
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the leaf runs concurrently.
 	Slots int
-	// Draining is set once the leaf has announced its end.
+	// Draining is set once the leaf has announced its shutdown.
 	Draining bool
-	// Warmup is how much longer the leaf is slow after its start, as of its registration.
+	// Warmup is the remaining time, at registration, for which the leaf is slow after its start.
 	Warmup time.Duration
 }
