--- a/internal/content/store.go
+++ b/internal/content/store.go
@@ -37,9 +37,9 @@
 	// force, or one whose text is being checked. held is the bundle in force, nil before the first; before is
 	// the one that it replaced, whose sections peers may still ask for. list is nil before the first. All are
 	// guarded by mu.
-	offered      *Offer
-	held, before *Bundle
-	list         *listing.List
+	offered           *Offer
+	inForce, previous *Bundle
+	list              *listing.List
 	// highest version of a bundle whose signatures were good; guarded by mu.
 	highest uint64
 }
@@ -69,8 +69,8 @@
 	return &Store{bundles: bundles, trust: trust, changed: changed}
 }
 
-// from returns the offer of a bundle, nil for none.
-func (b *Bundle) from() *Offer {
+// offerOrNil returns the offer of a bundle, nil for none.
+func (b *Bundle) offerOrNil() *Offer {
 	if b == nil {
 		return nil
 	}
@@ -81,7 +81,7 @@
 func (s *Store) Bundle() *Bundle {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.inForce
 }
 
 // Offered returns the highest bundle that others may have, or nil.
@@ -176,12 +176,12 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := bundle.Assemble(m, s.withHeld(m.GetSections(), fetched))
+	text, err := bundle.Assemble(m, s.withStored(m.GetSections(), fetched))
 	if err != nil {
 		return nil, eris.Wrapf(err, "sync.content: assemble bundle version %d", m.GetVersion())
 	}
 	o := &Offer{
-		Version: m.GetVersion(), Digest: digest, Signed: signed, Text: text, sections: cut(text),
+		Version: m.GetVersion(), Digest: digest, Signed: signed, Text: text, sections: sectionsByDigest(text),
 		checked: make(chan struct{}),
 	}
 	if !s.offer(o) {
@@ -214,7 +214,7 @@
 	}
 	next := &Bundle{Bundle: s.bundles.Current(), offer: o}
 	s.mu.Lock()
-	s.held, s.before = next, s.held
+	s.inForce, s.previous = next, s.inForce
 	s.mu.Unlock()
 	s.changed.Fire()
 	return true, nil
@@ -227,10 +227,10 @@
 	if s.offered != o {
 		return
 	}
-	s.offered = s.held.from()
+	s.offered = s.inForce.offerOrNil()
 }
 
-func cut(text []byte) map[bundle.Digest][]byte {
+func sectionsByDigest(text []byte) map[bundle.Digest][]byte {
 	sections := make(map[bundle.Digest][]byte)
 	for _, sec := range bundle.Split(text) {
 		sections[bundle.SectionDigest(sec)] = sec
@@ -250,7 +250,7 @@
 // ApplyListManifest takes a list from the fetched sections and those held.
 func (s *Store) ApplyListManifest(m *pb.ListManifest, fetched [][]byte) (bool, error) {
 	sections := make(map[bundle.Digest][]byte)
-	for _, sec := range s.withHeld(m.GetSections(), fetched) {
+	for _, sec := range s.withStored(m.GetSections(), fetched) {
 		sections[bundle.SectionDigest(sec)] = sec
 	}
 	l, err := listing.Assemble(m, sections)
@@ -278,7 +278,7 @@
 func (s *Store) Section(d bundle.Digest) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, o := range []*Offer{s.offered, s.held.from(), s.before.from()} {
+	for _, o := range []*Offer{s.offered, s.inForce.offerOrNil(), s.previous.offerOrNil()} {
 		if o == nil {
 			continue
 		}
@@ -310,8 +310,8 @@
 	return out
 }
 
-// withHeld adds the held ones of the named sections to fetched.
-func (s *Store) withHeld(named [][]byte, fetched [][]byte) [][]byte {
+// withStored adds the held ones of the named sections to fetched.
+func (s *Store) withStored(named [][]byte, fetched [][]byte) [][]byte {
 	all := slices.Clone(fetched)
 	for _, raw := range named {
 		if len(raw) != len(bundle.Digest{}) {
--- a/internal/content/store_test.go
+++ b/internal/content/store_test.go
@@ -44,8 +44,8 @@
 	return signed
 }
 
-// pick returns the sections of a text that are named.
-func pick(text []byte, digests []bundle.Digest) (out [][]byte) {
+// selectSections returns the sections of a text that are named.
+func selectSections(text []byte, digests []bundle.Digest) (out [][]byte) {
 	for _, sec := range bundle.Split(text) {
 		for _, d := range digests {
 			if bundle.SectionDigest(sec) == d {
@@ -56,8 +56,8 @@
 	return out
 }
 
-// take offers a bundle and puts it in force.
-func take(s *Store, signed *pb.SignedManifest, fetched [][]byte) (bool, error) {
+// offerAndApply offers a bundle and puts it in force.
+func offerAndApply(s *Store, signed *pb.SignedManifest, fetched [][]byte) (bool, error) {
 	o, err := s.OfferBundle(signed, fetched)
 	if o == nil {
 		return false, err
@@ -72,7 +72,7 @@
 	if err != nil || !wanted {
 		t.Fatal(wanted, err)
 	}
-	if changed, err := take(s, signed, pick(text, digests)); err != nil || !changed {
+	if changed, err := offerAndApply(s, signed, selectSections(text, digests)); err != nil || !changed {
 		t.Fatal(changed, err)
 	}
 	return len(digests)
@@ -102,14 +102,14 @@
 		is.True(!wanted)
 	}
 	old := text(4, "", "a")
-	changed, err := take(s, sign(t, old), bundle.Split(old))
+	changed, err := offerAndApply(s, sign(t, old), bundle.Split(old))
 	is.NoErr(err) // a stale platform is no fault of the bundle
 	is.True(!changed)
 	is.Equal(s.Bundle().Version, uint64(5))
 	is.Equal(s.Highest(), uint64(5))
 }
 
-func TestWhatIsNotSignedIsNeverFetched(t *testing.T) {
+func TestUnsignedManifestIsNotFetched(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	signed := sign(t, text(1, "", "a"))
@@ -120,11 +120,11 @@
 	is.Equal(s.Highest(), uint64(0))
 }
 
-func TestAPeerThatLacksSectionsIsNoRefusal(t *testing.T) {
+func TestMissingSectionsAreNoRefusal(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	one := text(1, "", "a")
-	_, err := take(s, sign(t, one), [][]byte{[]byte("junk")})
+	_, err := offerAndApply(s, sign(t, one), [][]byte{[]byte("junk")})
 	is.True(err != nil)
 	apply(t, s, one) // another peer has them
 }
@@ -149,7 +149,7 @@
 	is.True(changed)
 
 	bad := bytes.Replace(text(3, "", "a"), []byte("leaves = [\"a-0-a\"]"), []byte("leaves = [\"none\"]"), 1)
-	o, err = s.OfferBundle(signAnyway(t, 3, bad), bundle.Split(bad))
+	o, err = s.OfferBundle(signUnchecked(t, 3, bad), bundle.Split(bad))
 	is.NoErr(err)
 	for _, sec := range bundle.Split(bad) {
 		_, held := s.Section(bundle.SectionDigest(sec))
@@ -161,8 +161,8 @@
 	is.True(s.BundleHigher(3, nil)) // another one of the version may come
 }
 
-// signAnyway signs a text that can't work.
-func signAnyway(t *testing.T, version uint64, text []byte) *pb.SignedManifest {
+// signUnchecked signs a text that can't work.
+func signUnchecked(t *testing.T, version uint64, text []byte) *pb.SignedManifest {
 	t.Helper()
 	m := &pb.Manifest{Version: version}
 	for _, sec := range bundle.Split(text) {
@@ -198,7 +198,7 @@
 	is.True(!s.Offered().HigherThan(5, own))
 }
 
-func TestListsMoveBySectionsAndNeverBack(t *testing.T) {
+func TestListsAreFetchedBySectionAndNeverRevert(t *testing.T) {
 	is := is.New(t)
 	vms := func(n int) (out []*pb.Vm) {
 		for i := range n {
