--- a/internal/content/store.go
+++ b/internal/content/store.go
@@ -1,6 +1,6 @@
-// Package content keeps what a sync holds of the platform: the bundle in force and the list of VMs
-// and upstreams, both as sections named by their SHA-256. It says which sections of a newer one are
-// missing, and it never goes back to a lower one.
+// Package content stores the platform's content in a sync process: the bundle in force and the list of
+// VMs and upstreams, both as sections addressed by their SHA-256. It determines which sections of a
+// newer bundle or list are missing, and it never goes back to a lower one.
 package content
 
 import (
@@ -17,59 +17,59 @@
 	"github.com/burdockplank/burdockplank/internal/notify"
 )
 
-// Bundles is where bundles are checked and put in force; *bundle.Store implements it.
+// Bundles checks bundles and puts them in force. *bundle.Store implements it.
 type Bundles interface {
 	Apply(signed *pb.SignedManifest, text []byte) error
 	Current() *bundle.Bundle
 }
 
-// Store is the content of one sync. It is safe for concurrent use.
+// Store holds the content of one sync process. It is safe for concurrent use.
 type Store struct {
 	bundles Bundles
 	trust   bundle.Trust
 	changed *notify.Notifier
 
-	// applying serializes changes, so that bundles and held go together.
+	// applying serializes changes, so that bundles and inForce stay consistent.
 	applying sync.Mutex
 
 	mu sync.Mutex
-	// offered is the highest bundle whose signatures and sections are good, nil before the first: the one in
-	// force, or one whose text is being checked. held is the bundle in force, nil before the first; before is
-	// the one that it replaced, whose sections peers may still ask for. list is nil before the first. All are
-	// guarded by mu.
+	// offered is the highest bundle with valid signatures and sections, nil before the first: the one in
+	// force, or one whose text is being checked. inForce is the bundle in force, nil before the first.
+	// previous is the one that it replaced, whose sections peers may still request. list is nil before the
+	// first. All are guarded by mu.
 	offered           *Offer
 	inForce, previous *Bundle
 	list              *listing.List
-	// highest version of a bundle whose signatures were good; guarded by mu.
+	// highest is the highest version of a bundle with valid signatures; guarded by mu.
 	highest uint64
 }
 
-// Offer is a bundle whose signatures and sections are good. Whether it can work each process checks for itself, so
-// that peers and the processes of the VM get it without a wait for the check here: at each VM on its way it takes as
-// long as all else together. It is immutable.
+// Offer is a bundle with valid signatures and sections. Each process checks its text for itself, so that peers and
+// the processes of the VM receive it without waiting for the check here, which at each VM on the way takes as long as
+// all other steps together. It is immutable.
 type Offer struct {
 	Version  uint64
 	Digest   bundle.Digest
 	Signed   *pb.SignedManifest
 	Text     []byte
 	sections map[bundle.Digest][]byte
-	// checked is closed at the end of the check here.
+	// checked is closed when the check of the text in this process has ended.
 	checked chan struct{}
 }
 
-// Bundle is a bundle in force with the offer that it came from. It is immutable.
+// Bundle is a bundle in force with its offer. It is immutable.
 type Bundle struct {
 	*bundle.Bundle
 	offer *Offer
 }
 
-// New returns an empty store over bundles, which nobody else may apply to. It fires changed after
-// each change.
+// New returns an empty store over bundles. No other code may apply bundles to it. The store fires changed
+// after each change.
 func New(bundles Bundles, trust bundle.Trust, changed *notify.Notifier) *Store {
 	return &Store{bundles: bundles, trust: trust, changed: changed}
 }
 
-// offerOrNil returns the offer of a bundle, nil for none.
+// offerOrNil returns the offer of b, or nil if b is nil.
 func (b *Bundle) offerOrNil() *Offer {
 	if b == nil {
 		return nil
@@ -84,7 +84,7 @@
 	return s.inForce
 }
 
-// Offered returns the highest bundle that others may have, or nil.
+// Offered returns the highest bundle that peers and processes of the VM may receive, or nil.
 func (s *Store) Offered() *Offer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,15 +98,15 @@
 	return s.list
 }
 
-// Highest returns the highest version of a bundle with good signatures that was heard of.
+// Highest returns the highest version of a bundle whose signatures were verified, or 0.
 func (s *Store) Highest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.highest
 }
 
-// BundleHigher tells whether a bundle of the version and digest, of which a prefix is enough, is
-// higher than the one offered.
+// BundleHigher reports whether a bundle of the version and digest is higher than the one offered. The
+// digest may be a prefix.
 func (s *Store) BundleHigher(version uint64, digest []byte) bool {
 	cur := s.Offered()
 	if cur == nil || version != cur.Version {
@@ -116,7 +116,7 @@
 	return bytes.Compare(digest[:n], cur.Digest[:n]) > 0
 }
 
-// HigherThan tells whether the bundle is higher than one of the version and digest.
+// HigherThan reports whether the bundle is higher than one of the version and digest.
 func (o *Offer) HigherThan(version uint64, digest bundle.Digest) bool {
 	if o.Version != version {
 		return o.Version > version
@@ -124,15 +124,16 @@
 	return bytes.Compare(o.Digest[:], digest[:]) > 0
 }
 
-// ListHigher tells whether a list of the revision is higher than the one held.
+// ListHigher reports whether a list of the revision is higher than the stored one.
 func (s *Store) ListHigher(revision uint64) bool {
 	cur := s.List()
 	return revision > 0 && (cur == nil || revision > cur.Revision)
 }
 
-// MissingBundleSections returns the digests of the sections that are not here yet. wanted is false where
-// the bundle is not higher than the one offered; the check of that one has ended then. Signatures are
-// verified first, so that nothing is fetched for a manifest that can't be accepted.
+// MissingBundleSections returns the digests of the sections that are not stored yet. wanted is false if the
+// bundle is not higher than the one offered. If it is the one offered, MissingBundleSections returns after
+// the check of its text has ended. Signatures are verified first, so that nothing is fetched for a manifest
+// that can't be accepted.
 func (s *Store) MissingBundleSections(signed *pb.SignedManifest) (missing []bundle.Digest, wanted bool, err error) {
 	digest := bundle.ManifestDigest(signed.GetManifest())
 	if cur := s.Offered(); cur != nil && digest == cur.Digest {
@@ -141,12 +142,12 @@
 	}
 	m, _, err := bundle.Verify(signed, s.trust)
 	if err != nil {
-		// The store of bundles keeps the refusal for operators.
+		// Apply fails on the signatures, too, and records the refusal for operators.
 		return nil, false, s.bundles.Apply(signed, nil)
 	}
 	s.noteHighest(m.GetVersion())
 	if !s.BundleHigher(m.GetVersion(), digest[:]) {
-		// Noted as a race or as an old version.
+		// Apply records it as a race or as an older version.
 		err = s.bundles.Apply(signed, nil)
 		return nil, false, ignoreOlder(err)
 	}
@@ -159,8 +160,8 @@
 	s.highest = max(s.highest, version)
 }
 
-// ignoreOlder drops the refusal of a bundle that is merely not higher: a stale platform or peer is
-// no fault of the bundle.
+// ignoreOlder returns nil for the refusal of a bundle that is only not higher: a stale platform or peer
+// is not an error of the bundle. It returns any other error unchanged.
 func ignoreOlder(err error) error {
 	var refused *bundle.RefusedError
 	if errors.As(err, &refused) && (refused.Reason == bundle.RefusedOlder || refused.Reason == bundle.RefusedRace) {
@@ -169,8 +170,8 @@
 	return err
 }
 
-// OfferBundle puts a bundle's text together from the fetched sections and those held. From then on others may have
-// it; ApplyOffer has to follow. The offer is nil where the bundle is not higher than the one offered.
+// OfferBundle assembles a bundle's text from the fetched and the stored sections. From then on Offered returns it,
+// and the caller must call ApplyOffer. The offer is nil if the bundle is not higher than the one offered.
 func (s *Store) OfferBundle(signed *pb.SignedManifest, fetched [][]byte) (*Offer, error) {
 	m, digest, err := bundle.Verify(signed, s.trust)
 	if err != nil {
@@ -191,7 +192,7 @@
 	return o, nil
 }
 
-// offer makes o the bundle that others may have, if it is higher.
+// offer makes o the offered bundle if it is higher, and reports whether it was.
 func (s *Store) offer(o *Offer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,8 +203,8 @@
 	return true
 }
 
-// ApplyOffer checks whether an offered bundle can work and puts it in force. One that can't isn't offered any
-// more. It is called once for each offer, and returns whether the bundle in force changed.
+// ApplyOffer checks the text of an offered bundle and puts it in force. A bundle that is refused is withdrawn.
+// ApplyOffer must be called once for each offer. It reports whether the bundle in force changed.
 func (s *Store) ApplyOffer(o *Offer) (bool, error) {
 	defer close(o.checked)
 	s.applying.Lock()
@@ -220,7 +221,7 @@
 	return true, nil
 }
 
-// withdraw takes an offer back; the bundle in force is offered again.
+// withdraw replaces the offer o by the bundle in force. It does nothing if another bundle is offered.
 func (s *Store) withdraw(o *Offer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,8 +239,8 @@
 	return sections
 }
 
-// MissingListSections returns the digests of the list's sections that are not here yet; wanted is false
-// where the list is not higher than the one held.
+// MissingListSections returns the digests of the list's sections that are not stored yet. wanted is false
+// if the list is not higher than the stored one.
 func (s *Store) MissingListSections(m *pb.ListManifest) (missing []bundle.Digest, wanted bool) {
 	if !s.ListHigher(m.GetRevision()) {
 		return nil, false
@@ -247,7 +248,8 @@
 	return s.missing(m.GetSections()), true
 }
 
-// ApplyListManifest takes a list from the fetched sections and those held.
+// ApplyListManifest assembles a list from the fetched and the stored sections and applies it. It reports
+// whether the list changed.
 func (s *Store) ApplyListManifest(m *pb.ListManifest, fetched [][]byte) (bool, error) {
 	sections := make(map[bundle.Digest][]byte)
 	for _, sec := range s.withStored(m.GetSections(), fetched) {
@@ -260,7 +262,7 @@
 	return s.ApplyList(l), nil
 }
 
-// ApplyList takes a list if it is higher than the one held, and tells whether it was.
+// ApplyList stores a list if it is higher than the stored one, and reports whether it was.
 func (s *Store) ApplyList(l *listing.List) bool {
 	s.applying.Lock()
 	defer s.applying.Unlock()
@@ -274,7 +276,7 @@
 	return true
 }
 
-// Section returns a section and whether it is held.
+// Section returns the section with the digest and reports whether it is stored.
 func (s *Store) Section(d bundle.Digest) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -293,13 +295,13 @@
 	return sec, ok
 }
 
-// missing returns the named digests, each once, of which no section is held.
+// missing returns the digests in named without a stored section, each once. It skips invalid digests.
 func (s *Store) missing(named [][]byte) []bundle.Digest {
 	var out []bundle.Digest
 	seen := make(map[bundle.Digest]bool)
 	for _, raw := range named {
 		if len(raw) != len(bundle.Digest{}) {
-			continue // refused when the whole is put together
+			continue // Assemble refuses it
 		}
 		d := bundle.Digest(raw)
 		if _, held := s.Section(d); !held && !seen[d] {
@@ -310,7 +312,7 @@
 	return out
 }
 
-// withStored adds the held ones of the named sections to fetched.
+// withStored returns fetched with the stored sections whose digests are in named.
 func (s *Store) withStored(named [][]byte, fetched [][]byte) [][]byte {
 	all := slices.Clone(fetched)
 	for _, raw := range named {
--- a/internal/content/store_test.go
+++ b/internal/content/store_test.go
@@ -23,7 +23,7 @@
 	return New(bundle.NewStore(trust, nil), trust, notify.New())
 }
 
-// text has one service a name; salt changes the first caller alone.
+// text returns the text of a bundle with the named services. Another salt changes only the caller.
 func text(version int, salt string, services ...string) []byte {
 	out := fmt.Sprintf("version = %d\n[limits]\nmax_query_bytes = 4096\nmax_top_k = 100\nmax_timeout = \"10s\"\n", version)
 	out += fmt.Sprintf("[[caller]]\nname = \"desk%s\"\ntoken_sha256 = \"%064d\"\nservices = [\"%s\"]\n", salt, 7, services[0])
@@ -44,7 +44,7 @@
 	return signed
 }
 
-// selectSections returns the sections of a text that are named.
+// selectSections returns the sections of a text with the given digests.
 func selectSections(text []byte, digests []bundle.Digest) (out [][]byte) {
 	for _, sec := range bundle.Split(text) {
 		for _, d := range digests {
@@ -81,14 +81,14 @@
 func TestOnlyChangedSectionsAreMissing(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
-	is.Equal(apply(t, s, text(1, "", "a", "b", "c")), 8) // head, callers, and two for each service
-	is.Equal(apply(t, s, text(2, "", "a", "b", "c")), 1) // the head has the version
+	is.Equal(apply(t, s, text(1, "", "a", "b", "c")), 8) // limits, callers, and two for each service
+	is.Equal(apply(t, s, text(2, "", "a", "b", "c")), 1) // the first section has the version
 	is.Equal(apply(t, s, text(3, "-x", "a", "b", "c")), 2)
 	is.Equal(apply(t, s, text(4, "-x", "a", "c")), 1)
 	is.Equal(s.Bundle().Version, uint64(4))
 	for _, sec := range bundle.Split(text(3, "-x", "a", "b", "c")) {
 		_, held := s.Section(bundle.SectionDigest(sec))
-		is.True(held) // peers that still fetch the version before find it
+		is.True(held) // peers may still fetch the previous version
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	old := text(4, "", "a")
 	changed, err := offerAndApply(s, sign(t, old), bundle.Split(old))
-	is.NoErr(err) // a stale platform is no fault of the bundle
+	is.NoErr(err) // a stale platform is not an error of the bundle
 	is.True(!changed)
 	is.Equal(s.Bundle().Version, uint64(5))
 	is.Equal(s.Highest(), uint64(5))
@@ -126,11 +126,11 @@
 	one := text(1, "", "a")
 	_, err := offerAndApply(s, sign(t, one), [][]byte{[]byte("junk")})
 	is.True(err != nil)
-	apply(t, s, one) // another peer has them
+	apply(t, s, one) // as if another peer had the sections
 }
 
-// TestOfferIsThereBeforeItsCheck guards against a bundle in force too late: peers have it while it is checked here,
-// and one that can't work is offered no longer.
+// TestOfferIsThereBeforeItsCheck guards against a delay at each VM on the way of a bundle: it is offered while its
+// text is still checked, and withdrawn if the check refuses it.
 func TestOfferIsThereBeforeItsCheck(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
@@ -158,10 +158,10 @@
 	_, err = s.ApplyOffer(o)
 	is.True(err != nil)
 	is.Equal(s.Offered().Version, uint64(2))
-	is.True(s.BundleHigher(3, nil)) // another one of the version may come
+	is.True(s.BundleHigher(3, nil)) // another bundle of the version is accepted
 }
 
-// signUnchecked signs a text that can't work.
+// signUnchecked signs a text without checking it.
 func signUnchecked(t *testing.T, version uint64, text []byte) *pb.SignedManifest {
 	t.Helper()
 	m := &pb.Manifest{Version: version}
@@ -184,7 +184,7 @@
 	is := is.New(t)
 	s := newStore()
 	is.True(s.BundleHigher(1, nil))
-	is.True(!s.BundleHigher(0, nil)) // the peer has none
+	is.True(!s.BundleHigher(0, nil)) // the peer has no bundle
 	apply(t, s, text(5, "", "a"))
 	own := s.Bundle().Digest
 	above, below := own, own
@@ -213,7 +213,7 @@
 	is.True(wanted)
 	is.Equal(len(missing), 1)
 	_, err := s.ApplyListManifest(newer.Manifest, nil)
-	is.True(err != nil) // not whole
+	is.True(err != nil) // a section is missing
 	is.Equal(s.List().Revision, uint64(2))
 	changed, err := s.ApplyListManifest(newer.Manifest, [][]byte{newer.Sections[missing[0]]})
 	is.NoErr(err)
