--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// chunkSize is the most bytes read at once.
-	chunkSize = 32 << 10
-	// maxQueued is how many chunks may wait for their delay in one direction.
-	maxQueued = 256
+	// chunkBytes is the most bytes read at once.
+	chunkBytes = 32 << 10
+	// maxQueuedChunks is how many chunks may wait for their delay in one direction.
+	maxQueuedChunks = 256
 )
 
 // link is one TCP connection through the relay.
@@ -24,15 +24,15 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu. server is nil until it is dialled. silent says that a rule
 	// silences the link now, lost that it is silent for good.
-	server *net.TCPConn
-	silent bool
-	lost   bool
-	closed bool
-	delay  time.Duration
+	server            *net.TCPConn
+	silent            bool
+	permanentlySilent bool
+	closed            bool
+	delay             time.Duration
 }
 
 // apply sets what the rules say now.
-func (k *link) apply(v verdict, lost bool) {
+func (k *link) apply(v effect, silencePermanently bool) {
 	if v.cut {
 		k.reset()
 		return
@@ -40,11 +40,11 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.silent, k.delay = v.silence, v.delay
-	k.lost = k.lost || lost
+	k.permanentlySilent = k.permanentlySilent || silencePermanently
 }
 
-// connected notes the connection to the target; it returns false where the link ended meanwhile.
-func (k *link) connected(server *net.TCPConn) bool {
+// setServer notes the connection to the target; it returns false where the link ended meanwhile.
+func (k *link) setServer(server *net.TCPConn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.closed {
@@ -54,18 +54,18 @@
 	return true
 }
 
-// pass tells whether bytes or an end may go on now. Where they may not the link is silent for good,
+// allowForward tells whether bytes or an end may go on now. Where they may not the link is silent for good,
 // since its streams have lost them.
-func (k *link) pass() bool {
+func (k *link) allowForward() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lost = k.lost || k.silent
-	return !k.lost
+	k.permanentlySilent = k.permanentlySilent || k.silent
+	return !k.permanentlySilent
 }
 
-// due returns when bytes that came now may go on. The first bytes pay for the round trip by which a
+// deliverAt returns when bytes that came now may go on. The first bytes pay for the round trip by which a
 // real connection is opened, since the client's own opening ends at the relay.
-func (k *link) due() time.Time {
+func (k *link) deliverAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	sent := time.Now()
@@ -75,8 +75,8 @@
 	return sent.Add(k.delay)
 }
 
-// ended tells whether the link was reset.
-func (k *link) ended() bool {
+// isClosed tells whether the link was reset.
+func (k *link) isClosed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.closed
@@ -101,8 +101,8 @@
 // discard reads the client's bytes away until it closes.
 func (k *link) discard() { _, _ = io.Copy(io.Discard, k.client) }
 
-// carry moves bytes in both directions until both have ended.
-func (k *link) carry() {
+// forward moves bytes in both directions until both have ended.
+func (k *link) forward() {
 	var wg sync.WaitGroup
 	wg.Go(func() { k.pipe(k.client, k.server) })
 	wg.Go(func() { k.pipe(k.server, k.client) })
@@ -113,20 +113,20 @@
 
 // chunk is what one read brought.
 type chunk struct {
-	data []byte
-	err  error
-	due  time.Time
+	data      []byte
+	err       error
+	deliverAt time.Time
 }
 
 // pipe moves one direction, each chunk after its delay.
 func (k *link) pipe(src, dst *net.TCPConn) {
-	queue := make(chan chunk, maxQueued)
+	queue := make(chan chunk, maxQueuedChunks)
 	go k.read(src, queue)
 	for c := range queue {
-		if wait := time.Until(c.due); wait > 0 {
+		if wait := time.Until(c.deliverAt); wait > 0 {
 			time.Sleep(wait)
 		}
-		if !k.pass() {
+		if !k.allowForward() {
 			continue
 		}
 		k.write(c, dst)
@@ -136,14 +136,14 @@
 // read sends what src brings to the queue, its end last.
 func (k *link) read(src *net.TCPConn, queue chan<- chunk) {
 	defer close(queue)
-	buf := make([]byte, chunkSize)
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			queue <- chunk{data: append([]byte(nil), buf[:n]...), due: k.due()}
+			queue <- chunk{data: append([]byte(nil), buf[:n]...), deliverAt: k.deliverAt()}
 		}
 		if err != nil {
-			queue <- chunk{err: err, due: k.due()}
+			queue <- chunk{err: err, deliverAt: k.deliverAt()}
 			return
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -112,15 +112,15 @@
 	old := r.rules
 	r.rules = slices.Clone(rules)
 	for k := range r.links {
-		k.apply(judge(rules, k.from, k.to), silencesEstablished(old, rules, k.from, k.to))
+		k.apply(evaluate(rules, k.from, k.to), silencesEstablished(old, rules, k.from, k.to))
 	}
 }
 
-// judge returns what the rules say of a pair of addresses now.
-func (r *Relay) judge(from, to string) verdict {
+// evaluate returns what the rules say of a pair of addresses now.
+func (r *Relay) evaluate(from, to string) effect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return judge(r.rules, from, to)
+	return evaluate(r.rules, from, to)
 }
 
 // add registers a new connection under the rules in force.
@@ -128,7 +128,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.links[k] = struct{}{}
-	k.apply(judge(r.rules, k.from, k.to), false)
+	k.apply(evaluate(r.rules, k.from, k.to), false)
 }
 
 // remove forgets a connection that has ended.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,9 +23,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo serves TCP and UDP on one port: it first tells a client its own IP number and then sends
+// startEcho serves TCP and UDP on one port: it first tells a client its own IP number and then sends
 // back what comes. The counter holds the TCP connections accepted.
-func echo(t *testing.T) (string, *atomic.Int32) {
+func startEcho(t *testing.T) (string, *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 		}
 	}()
 	go func() {
-		buf := make([]byte, maxPacket)
+		buf := make([]byte, maxPacketBytes)
 		for {
 			n, from, err := u.ReadFrom(buf)
 			if err != nil {
@@ -64,10 +64,10 @@
 	return l.Addr().String(), accepted
 }
 
-// start runs a relay of TCP and UDP to an echo, whose accepted connections it counts.
-func start(t *testing.T) (*Relay, *atomic.Int32) {
+// startRelay runs a relay of TCP and UDP to an echo, whose accepted connections it counts.
+func startRelay(t *testing.T) (*Relay, *atomic.Int32) {
 	t.Helper()
-	target, accepted := echo(t)
+	target, accepted := startEcho(t)
 	r, err := New(Settings{Control: "127.0.0.1:0", Forwards: []Forward{
 		{Listen: relayIP + ":0", Target: target, Networks: []Network{TCP, UDP}},
 	}})
@@ -86,14 +86,14 @@
 	return r, accepted
 }
 
-func open(r *Relay, from string) (net.Conn, error) {
+func dialRelay(r *Relay, from string) (net.Conn, error) {
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	return d.Dial("tcp", r.tcp[0].listener.Addr().String())
 }
 
-// greeted opens a connection and reads the target's greeting.
-func greeted(is *is.I, r *Relay, from string) net.Conn {
-	c, err := open(r, from)
+// dialGreeted opens a connection and reads the target's greeting.
+func dialGreeted(is *is.I, r *Relay, from string) net.Conn {
+	c, err := dialRelay(r, from)
 	is.NoErr(err)
 	expect(is, c, from+"\n")
 	return c
@@ -114,9 +114,9 @@
 	expect(is, c, text)
 }
 
-// cutOff tells whether a new connection brings no byte.
-func cutOff(r *Relay, from string) bool {
-	c, err := open(r, from)
+// isCutOff tells whether a new connection brings no byte.
+func isCutOff(r *Relay, from string) bool {
+	c, err := dialRelay(r, from)
 	if err != nil {
 		return true
 	}
@@ -124,14 +124,14 @@
 	return n == 0 && err != nil
 }
 
-// lost returns how many links are silent for good.
-func lost(r *Relay) int {
+// countPermanentlySilent returns how many links are silent for good.
+func countPermanentlySilent(r *Relay) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for k := range r.links {
 		k.mu.Lock()
-		if k.lost {
+		if k.permanentlySilent {
 			n++
 		}
 		k.mu.Unlock()
@@ -139,24 +139,24 @@
 	return n
 }
 
-// awaitLost waits until n links have swallowed something.
-func awaitLost(r *Relay, n int) {
-	for lost(r) != n {
+// awaitPermanentlySilent waits until n links have swallowed something.
+func awaitPermanentlySilent(r *Relay, n int) {
+	for countPermanentlySilent(r) != n {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// rest returns all that still comes after the client cuts its link off.
-func rest(r *Relay, c net.Conn) string {
+// remainingAfterCut returns all that still comes after the client cuts its link off.
+func remainingAfterCut(r *Relay, c net.Conn) string {
 	r.SetRules([]Rule{{From: Any, To: Any, Mode: ModeCut}})
 	data, _ := io.ReadAll(c)
 	return string(data)
 }
 
-func TestForwardsWithTheClientsOwnAddress(t *testing.T) {
+func TestForwardKeepsClientAddress(t *testing.T) {
 	is := is.New(t)
-	r, _ := start(t)
-	c := greeted(is, r, clientIP)
+	r, _ := startRelay(t)
+	c := dialGreeted(is, r, clientIP)
 	exchange(is, c, "hello")
 	is.NoErr(c.(*net.TCPConn).CloseWrite())
 	data, err := io.ReadAll(c) // an orderly end passes as one
@@ -174,69 +174,69 @@
 
 func TestCutResetsOneSourceOnly(t *testing.T) {
 	is := is.New(t)
-	r, accepted := start(t)
-	cut, kept := greeted(is, r, clientIP), greeted(is, r, otherIP)
+	r, accepted := startRelay(t)
+	cut, kept := dialGreeted(is, r, clientIP), dialGreeted(is, r, otherIP)
 	r.SetRules([]Rule{{From: clientIP, To: relayIP, Mode: ModeCut}})
 	_, err := io.ReadAll(cut)
 	is.True(err != nil) // a reset, no orderly end
-	is.True(cutOff(r, clientIP))
+	is.True(isCutOff(r, clientIP))
 	exchange(is, kept, "hello")
 	r.SetRules(nil)
-	greeted(is, r, clientIP)
+	dialGreeted(is, r, clientIP)
 	is.Equal(accepted.Load(), int32(3)) // the one that was cut off never reached the target
 }
 
-func TestSilenceSwallowsAndKeepsOpen(t *testing.T) {
+func TestSilenceDropsBytesAndKeepsConnectionsOpen(t *testing.T) {
 	is := is.New(t)
-	r, accepted := start(t)
-	used, idle := greeted(is, r, clientIP), greeted(is, r, clientIP)
+	r, accepted := startRelay(t)
+	used, idle := dialGreeted(is, r, clientIP), dialGreeted(is, r, clientIP)
 	r.SetRules([]Rule{{From: clientIP, To: relayIP, Mode: ModeSilence}})
 	_, err := io.WriteString(used, "swallowed")
 	is.NoErr(err)
-	fresh, err := open(r, clientIP)
+	fresh, err := dialRelay(r, clientIP)
 	is.NoErr(err)
-	awaitLost(r, 2)
+	awaitPermanentlySilent(r, 2)
 	r.SetRules(nil)
 	exchange(is, idle, "hello") // it lost nothing
 	_, err = io.WriteString(used, "swallowed too")
 	is.NoErr(err)
-	greeted(is, r, clientIP)
+	dialGreeted(is, r, clientIP)
 	is.Equal(accepted.Load(), int32(3)) // the one opened under silence never reached the target
-	is.Equal(lost(r), 2)
-	is.Equal(rest(r, used)+rest(r, fresh), "")
+	is.Equal(countPermanentlySilent(r), 2)
+	is.Equal(remainingAfterCut(r, used)+remainingAfterCut(r, fresh), "")
 }
 
-func TestSilenceEstablishedLeavesNewOnes(t *testing.T) {
+func TestSilenceEstablishedPassesNewConnections(t *testing.T) {
 	is := is.New(t)
-	r, _ := start(t)
-	old := greeted(is, r, clientIP)
+	r, _ := startRelay(t)
+	old := dialGreeted(is, r, clientIP)
 	rule := Rule{From: clientIP, To: Any, Mode: ModeSilenceEstablished}
 	r.SetRules([]Rule{rule})
-	is.Equal(lost(r), 1)
-	fresh := greeted(is, r, clientIP)
+	is.Equal(countPermanentlySilent(r), 1)
+	fresh := dialGreeted(is, r, clientIP)
 	r.SetRules([]Rule{rule, {From: otherIP, To: Any, Mode: ModeCut}})
 	exchange(is, fresh, "hello") // the rule stood before
 	r.SetRules(nil)
 	_, err := io.WriteString(old, "swallowed")
 	is.NoErr(err)
-	is.Equal(lost(r), 1)
-	is.Equal(rest(r, old), "")
+	is.Equal(countPermanentlySilent(r), 1)
+	is.Equal(remainingAfterCut(r, old), "")
 }
 
-func TestDelayOfTCP(t *testing.T) {
+func TestTCPDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := &link{opened: time.Now()}
-		k.apply(verdict{delay: time.Millisecond}, false)
-		is.Equal(time.Until(k.due()), 3*time.Millisecond) // opening took a round trip
+		k.apply(effect{delay: time.Millisecond}, false)
+		is.Equal(time.Until(k.deliverAt()), 3*time.Millisecond) // opening took a round trip
 		time.Sleep(10 * time.Millisecond)
-		is.Equal(time.Until(k.due()), time.Millisecond)
-		k.apply(verdict{}, false)
-		is.Equal(time.Until(k.due()), time.Duration(0))
+		is.Equal(time.Until(k.deliverAt()), time.Millisecond)
+		k.apply(effect{}, false)
+		is.Equal(time.Until(k.deliverAt()), time.Duration(0))
 	})
 }
 
-func TestRulesOnUDP(t *testing.T) {
+func TestUDPRules(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := &Relay{}
@@ -244,7 +244,7 @@
 		got := make(chan string, 10)
 		pass := func() {
 			packet := []byte("x")
-			f.pass(&net.UDPAddr{IP: net.ParseIP(clientIP)}, packet, func(p []byte) { got <- string(p) })
+			f.forward(&net.UDPAddr{IP: net.ParseIP(clientIP)}, packet, func(p []byte) { got <- string(p) })
 			packet[0] = 'y' // the buffer is used again
 		}
 		for _, m := range []Mode{ModeCut, ModeSilence} {
--- a/internal/relay/rule.go
+++ b/internal/relay/rule.go
@@ -59,16 +59,16 @@
 	return nil
 }
 
-// verdict is what the rules say of one pair of addresses.
-type verdict struct {
+// effect is what the rules say of one pair of addresses.
+type effect struct {
 	cut     bool
 	silence bool
 	delay   time.Duration
 }
 
-// judge applies the first matching rule that cuts or silences and the first that delays.
-func judge(rules []Rule, from, to string) verdict {
-	var v verdict
+// evaluate applies the first matching rule that cuts or silences and the first that delays.
+func evaluate(rules []Rule, from, to string) effect {
+	var v effect
 	decided := false
 	for i := range rules {
 		r := &rules[i]
--- a/internal/relay/tcp.go
+++ b/internal/relay/tcp.go
@@ -34,19 +34,19 @@
 		if err != nil {
 			return
 		}
-		f.relay.wg.Go(func() { f.serve(c) })
+		f.relay.wg.Go(func() { f.handle(c) })
 	}
 }
 
-// serve carries one connection to its end.
-func (f *tcpForward) serve(client *net.TCPConn) {
+// handle carries one connection to its end.
+func (f *tcpForward) handle(client *net.TCPConn) {
 	k := &link{from: hostOf(client.RemoteAddr()), to: f.to, client: client, opened: time.Now()}
 	f.relay.add(k)
 	defer f.relay.remove(k)
-	if k.ended() {
+	if k.isClosed() {
 		return
 	}
-	if !k.pass() {
+	if !k.allowForward() {
 		k.discard()
 		return
 	}
@@ -55,11 +55,11 @@
 		k.reset()
 		return
 	}
-	if !k.connected(server) {
+	if !k.setServer(server) {
 		resetConn(server)
 		return
 	}
-	k.carry()
+	k.forward()
 }
 
 // dial connects to the target from the client's own IP number, so that the target sees who calls.
--- a/internal/relay/udp.go
+++ b/internal/relay/udp.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxPacket is the longest UDP packet.
-	maxPacket = 64 << 10
-	// flowIdle is how long a UDP flow is kept without a packet from its client.
-	flowIdle = time.Minute
+	// maxPacketBytes is the longest UDP packet.
+	maxPacketBytes = 64 << 10
+	// flowIdleTimeout is how long a UDP flow is kept without a packet from its client.
+	flowIdleTimeout = time.Minute
 )
 
 // udpForward takes packets of one address on.
@@ -55,7 +55,7 @@
 
 // run takes packets on until the socket is closed.
 func (f *udpForward) run() {
-	buf := make([]byte, maxPacket)
+	buf := make([]byte, maxPacketBytes)
 	for {
 		n, client, err := f.conn.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -68,13 +68,13 @@
 		if err != nil {
 			continue
 		}
-		f.pass(client, buf[:n], func(p []byte) { _, _ = flow.server.Write(p) })
+		f.forward(client, buf[:n], func(p []byte) { _, _ = flow.server.Write(p) })
 	}
 }
 
-// pass sends a copy of the packet on unless the rules drop it, after their delay.
-func (f *udpForward) pass(client *net.UDPAddr, packet []byte, send func([]byte)) {
-	v := f.relay.judge(client.IP.String(), f.to)
+// forward sends a copy of the packet on unless the rules drop it, after their delay.
+func (f *udpForward) forward(client *net.UDPAddr, packet []byte, send func([]byte)) {
+	v := f.relay.evaluate(client.IP.String(), f.to)
 	if v.cut || v.silence {
 		return
 	}
@@ -104,15 +104,15 @@
 	}
 	flow := &udpFlow{client: client, server: server, last: time.Now()}
 	f.flows[key] = flow
-	f.relay.wg.Go(func() { f.replies(flow) })
+	f.relay.wg.Go(func() { f.forwardReplies(flow) })
 	return flow, nil
 }
 
-// replies sends the target's packets back to the client until the flow is closed or idle.
-func (f *udpForward) replies(flow *udpFlow) {
-	buf := make([]byte, maxPacket)
+// forwardReplies sends the target's packets back to the client until the flow is closed or idle.
+func (f *udpForward) forwardReplies(flow *udpFlow) {
+	buf := make([]byte, maxPacketBytes)
 	for {
-		_ = flow.server.SetReadDeadline(time.Now().Add(flowIdle))
+		_ = flow.server.SetReadDeadline(time.Now().Add(flowIdleTimeout))
 		n, err := flow.server.Read(buf)
 		if errors.Is(err, net.ErrClosed) || f.expire(flow) {
 			return
@@ -120,7 +120,7 @@
 		if err != nil {
 			continue
 		}
-		f.pass(flow.client, buf[:n], func(p []byte) { _, _ = f.conn.WriteToUDP(p, flow.client) })
+		f.forward(flow.client, buf[:n], func(p []byte) { _, _ = f.conn.WriteToUDP(p, flow.client) })
 	}
 }
 
@@ -128,7 +128,7 @@
 func (f *udpForward) expire(flow *udpFlow) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(flow.last) < flowIdle {
+	if time.Since(flow.last) < flowIdleTimeout {
 		return false
 	}
 	delete(f.flows, flow.client.String())
