--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// chunkBytes is the most bytes read at once.
+	// chunkBytes is the size of the read buffer.
 	chunkBytes = 32 << 10
-	// maxQueuedChunks is how many chunks may wait for their delay in one direction.
+	// maxQueuedChunks is how many chunks may wait for their delivery time in one direction.
 	maxQueuedChunks = 256
 )
 
@@ -22,8 +22,8 @@
 	opened   time.Time
 
 	mu sync.Mutex
-	// The fields below are guarded by mu. server is nil until it is dialled. silent says that a rule
-	// silences the link now, lost that it is silent for good.
+	// The fields below are guarded by mu. server is nil until it is dialled. silent is set while a rule
+	// silences the link, permanentlySilent once the link has lost data or ModeSilenceEstablished matched it.
 	server            *net.TCPConn
 	silent            bool
 	permanentlySilent bool
@@ -31,7 +31,7 @@
 	delay             time.Duration
 }
 
-// apply sets what the rules say now.
+// apply applies the effect of the current rules. silencePermanently makes the link permanently silent.
 func (k *link) apply(v effect, silencePermanently bool) {
 	if v.cut {
 		k.reset()
@@ -43,7 +43,7 @@
 	k.permanentlySilent = k.permanentlySilent || silencePermanently
 }
 
-// setServer notes the connection to the target; it returns false where the link ended meanwhile.
+// setServer sets the connection to the target. It returns false if the link was reset meanwhile.
 func (k *link) setServer(server *net.TCPConn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -54,8 +54,8 @@
 	return true
 }
 
-// allowForward tells whether bytes or an end may go on now. Where they may not the link is silent for good,
-// since its streams have lost them.
+// allowForward reports whether bytes or the end of a stream may be forwarded now. If not, the link becomes
+// permanently silent, since its streams have lost data.
 func (k *link) allowForward() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -63,8 +63,8 @@
 	return !k.permanentlySilent
 }
 
-// deliverAt returns when bytes that came now may go on. The first bytes pay for the round trip by which a
-// real connection is opened, since the client's own opening ends at the relay.
+// deliverAt returns the time at which bytes received now are to be delivered. The first bytes are delayed by
+// another round trip, which opening a connection takes: the client's own handshake ends at the relay, undelayed.
 func (k *link) deliverAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -75,14 +75,14 @@
 	return sent.Add(k.delay)
 }
 
-// isClosed tells whether the link was reset.
+// isClosed reports whether the link was reset.
 func (k *link) isClosed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.closed
 }
 
-// reset ends the link with a reset at both ends.
+// reset closes the link with a TCP reset at both ends.
 func (k *link) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,10 +98,10 @@
 	_ = c.Close()
 }
 
-// discard reads the client's bytes away until it closes.
+// discard reads and drops the client's bytes until the connection ends.
 func (k *link) discard() { _, _ = io.Copy(io.Discard, k.client) }
 
-// forward moves bytes in both directions until both have ended.
+// forward copies bytes in both directions until both have ended, then closes the link.
 func (k *link) forward() {
 	var wg sync.WaitGroup
 	wg.Go(func() { k.pipe(k.client, k.server) })
@@ -111,14 +111,14 @@
 	_ = k.server.Close()
 }
 
-// chunk is what one read brought.
+// chunk is the result of one read, with its delivery time.
 type chunk struct {
 	data      []byte
 	err       error
 	deliverAt time.Time
 }
 
-// pipe moves one direction, each chunk after its delay.
+// pipe copies one direction and writes each chunk at its delivery time.
 func (k *link) pipe(src, dst *net.TCPConn) {
 	queue := make(chan chunk, maxQueuedChunks)
 	go k.read(src, queue)
@@ -133,7 +133,7 @@
 	}
 }
 
-// read sends what src brings to the queue, its end last.
+// read sends what it reads from src to the queue, followed by the error that ends it, and closes the queue.
 func (k *link) read(src *net.TCPConn, queue chan<- chunk) {
 	defer close(queue)
 	buf := make([]byte, chunkBytes)
@@ -149,7 +149,8 @@
 	}
 }
 
-// write hands bytes on, an orderly end as an orderly end, and all else as a reset.
+// write forwards bytes to dst. It forwards an EOF by closing the write side of dst, and resets the link on any
+// other error.
 func (k *link) write(c chunk, dst *net.TCPConn) {
 	var err error
 	switch {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,7 +1,8 @@
 // Package relay forwards TCP connections and UDP packets on loopback, so that tests and scenarios
-// can cut, silence and delay the traffic between VMs by rules set while it runs. It is no product.
+// can cut, silence and delay the traffic between VMs by rules set while it runs. It is not part of the
+// product.
 //
-// The target sees the client's own IP number, since outgoing connections are bound to it.
+// The target sees the client's own IP address, since outgoing connections are bound to it.
 package relay
 
 import (
@@ -21,7 +22,7 @@
 	control net.Listener
 	tcp     []*tcpForward
 	udp     []*udpForward
-	// wg counts the goroutines of forwards, connections and flows.
+	// wg counts the goroutines of forwards, connections and UDP flows.
 	wg sync.WaitGroup
 
 	mu sync.Mutex
@@ -30,7 +31,7 @@
 	links map[*link]struct{}
 }
 
-// New opens all listeners; Run serves them.
+// New opens all listeners. Run serves them.
 func New(s Settings) (*Relay, error) {
 	r := &Relay{links: make(map[*link]struct{})}
 	for _, f := range s.Forwards {
@@ -90,7 +91,7 @@
 	}
 }
 
-// resetLinks resets the open connections and lets no new one begin.
+// resetLinks resets the open connections and each new one.
 func (r *Relay) resetLinks() {
 	r.SetRules([]Rule{{From: Any, To: Any, Mode: ModeCut}})
 }
@@ -98,7 +99,7 @@
 // ControlAddr returns the address of the control listener.
 func (r *Relay) ControlAddr() string { return r.control.Addr().String() }
 
-// Rules returns the rules in force.
+// Rules returns a copy of the current rules.
 func (r *Relay) Rules() []Rule {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,14 +117,14 @@
 	}
 }
 
-// evaluate returns what the rules say of a pair of addresses now.
+// evaluate returns the effect of the current rules on traffic between two addresses.
 func (r *Relay) evaluate(from, to string) effect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return evaluate(r.rules, from, to)
 }
 
-// add registers a new connection under the rules in force.
+// add registers a new connection and applies the current rules to it.
 func (r *Relay) add(k *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +132,7 @@
 	k.apply(evaluate(r.rules, k.from, k.to), false)
 }
 
-// remove forgets a connection that has ended.
+// remove unregisters a connection that has ended, and closes its client side.
 func (r *Relay) remove(k *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +140,7 @@
 	_ = k.client.Close()
 }
 
-// controlHandler serves the rules.
+// controlHandler returns the HTTP handler for reading and setting the rules.
 func (r *Relay) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("live\n")) })
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,8 +23,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEcho serves TCP and UDP on one port: it first tells a client its own IP number and then sends
-// back what comes. The counter holds the TCP connections accepted.
+// startEcho serves TCP and UDP on one port. It greets a client with the client's IP address and then echoes
+// its data. The counter holds the number of accepted TCP connections.
 func startEcho(t *testing.T) (string, *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,7 +64,7 @@
 	return l.Addr().String(), accepted
 }
 
-// startRelay runs a relay of TCP and UDP to an echo, whose accepted connections it counts.
+// startRelay runs a relay of TCP and UDP to an echo server and returns its counter of accepted connections.
 func startRelay(t *testing.T) (*Relay, *atomic.Int32) {
 	t.Helper()
 	target, accepted := startEcho(t)
@@ -91,7 +91,7 @@
 	return d.Dial("tcp", r.tcp[0].listener.Addr().String())
 }
 
-// dialGreeted opens a connection and reads the target's greeting.
+// dialGreeted opens a connection through the relay and reads the target's greeting.
 func dialGreeted(is *is.I, r *Relay, from string) net.Conn {
 	c, err := dialRelay(r, from)
 	is.NoErr(err)
@@ -99,7 +99,7 @@
 	return c
 }
 
-// expect reads exactly want.
+// expect reads len(want) bytes and requires them to equal want.
 func expect(is *is.I, c net.Conn, want string) {
 	buf := make([]byte, len(want))
 	_, err := io.ReadFull(c, buf)
@@ -107,14 +107,14 @@
 	is.Equal(string(buf), want)
 }
 
-// exchange sends text and expects it back.
+// exchange sends text and expects it to be echoed.
 func exchange(is *is.I, c net.Conn, text string) {
 	_, err := io.WriteString(c, text)
 	is.NoErr(err)
 	expect(is, c, text)
 }
 
-// isCutOff tells whether a new connection brings no byte.
+// isCutOff reports whether a new connection fails before its first byte.
 func isCutOff(r *Relay, from string) bool {
 	c, err := dialRelay(r, from)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return n == 0 && err != nil
 }
 
-// countPermanentlySilent returns how many links are silent for good.
+// countPermanentlySilent returns how many links are permanently silent.
 func countPermanentlySilent(r *Relay) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,14 +139,14 @@
 	return n
 }
 
-// awaitPermanentlySilent waits until n links have swallowed something.
+// awaitPermanentlySilent waits until n links have dropped data.
 func awaitPermanentlySilent(r *Relay, n int) {
 	for countPermanentlySilent(r) != n {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// remainingAfterCut returns all that still comes after the client cuts its link off.
+// remainingAfterCut cuts all links and returns the bytes that c still receives.
 func remainingAfterCut(r *Relay, c net.Conn) string {
 	r.SetRules([]Rule{{From: Any, To: Any, Mode: ModeCut}})
 	data, _ := io.ReadAll(c)
@@ -159,7 +159,7 @@
 	c := dialGreeted(is, r, clientIP)
 	exchange(is, c, "hello")
 	is.NoErr(c.(*net.TCPConn).CloseWrite())
-	data, err := io.ReadAll(c) // an orderly end passes as one
+	data, err := io.ReadAll(c) // an orderly close is forwarded as one
 	is.NoErr(err)
 	is.Equal(len(data), 0)
 	u, err := net.DialUDP("udp", &net.UDPAddr{IP: net.ParseIP(clientIP)}, r.udp[0].conn.LocalAddr().(*net.UDPAddr))
@@ -178,12 +178,12 @@
 	cut, kept := dialGreeted(is, r, clientIP), dialGreeted(is, r, otherIP)
 	r.SetRules([]Rule{{From: clientIP, To: relayIP, Mode: ModeCut}})
 	_, err := io.ReadAll(cut)
-	is.True(err != nil) // a reset, no orderly end
+	is.True(err != nil) // a reset, no orderly close
 	is.True(isCutOff(r, clientIP))
 	exchange(is, kept, "hello")
 	r.SetRules(nil)
 	dialGreeted(is, r, clientIP)
-	is.Equal(accepted.Load(), int32(3)) // the one that was cut off never reached the target
+	is.Equal(accepted.Load(), int32(3)) // the connection that was cut never reached the target
 }
 
 func TestSilenceDropsBytesAndKeepsConnectionsOpen(t *testing.T) {
@@ -197,11 +197,11 @@
 	is.NoErr(err)
 	awaitPermanentlySilent(r, 2)
 	r.SetRules(nil)
-	exchange(is, idle, "hello") // it lost nothing
+	exchange(is, idle, "hello") // it lost no data
 	_, err = io.WriteString(used, "swallowed too")
 	is.NoErr(err)
 	dialGreeted(is, r, clientIP)
-	is.Equal(accepted.Load(), int32(3)) // the one opened under silence never reached the target
+	is.Equal(accepted.Load(), int32(3)) // the connection opened under silence never reached the target
 	is.Equal(countPermanentlySilent(r), 2)
 	is.Equal(remainingAfterCut(r, used)+remainingAfterCut(r, fresh), "")
 }
@@ -215,7 +215,7 @@
 	is.Equal(countPermanentlySilent(r), 1)
 	fresh := dialGreeted(is, r, clientIP)
 	r.SetRules([]Rule{rule, {From: otherIP, To: Any, Mode: ModeCut}})
-	exchange(is, fresh, "hello") // the rule stood before
+	exchange(is, fresh, "hello") // the rule was set before it was opened
 	r.SetRules(nil)
 	_, err := io.WriteString(old, "swallowed")
 	is.NoErr(err)
@@ -228,7 +228,7 @@
 		is := is.New(t)
 		k := &link{opened: time.Now()}
 		k.apply(effect{delay: time.Millisecond}, false)
-		is.Equal(time.Until(k.deliverAt()), 3*time.Millisecond) // opening took a round trip
+		is.Equal(time.Until(k.deliverAt()), 3*time.Millisecond) // opening a connection takes a round trip
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(time.Until(k.deliverAt()), time.Millisecond)
 		k.apply(effect{}, false)
@@ -245,7 +245,7 @@
 		pass := func() {
 			packet := []byte("x")
 			f.forward(&net.UDPAddr{IP: net.ParseIP(clientIP)}, packet, func(p []byte) { got <- string(p) })
-			packet[0] = 'y' // the buffer is used again
+			packet[0] = 'y' // the caller reuses the buffer
 		}
 		for _, m := range []Mode{ModeCut, ModeSilence} {
 			r.SetRules([]Rule{{From: clientIP, To: relayIP, Mode: m}})
--- a/internal/relay/rule.go
+++ b/internal/relay/rule.go
@@ -10,31 +10,31 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// Mode is what a rule does to the traffic it matches.
+// Mode is the effect of a rule on the traffic that it matches.
 type Mode string
 
 // The modes. A rule without a mode only delays.
 const (
 	// ModeCut resets connections, old and new, and drops UDP.
 	ModeCut Mode = "cut"
-	// ModeSilence swallows bytes in both directions with connections kept open, and drops UDP. A
-	// connection that lost bytes, or began meanwhile, stays silent for good after the rule.
+	// ModeSilence drops bytes in both directions while connections stay open, and drops UDP. A connection
+	// that lost bytes, or was opened meanwhile, stays silent permanently after the rule is removed.
 	ModeSilence Mode = "silence"
-	// ModeSilenceEstablished makes the connections silent for good that are open when the rule is
-	// first set; new ones and UDP pass.
+	// ModeSilenceEstablished permanently silences the connections that are open when the rule is first
+	// set. New connections and UDP pass.
 	ModeSilenceEstablished Mode = "silence_established"
 )
 
-// Any matches each IP number.
+// Any matches every IP address.
 const Any = "*"
 
-// Rule matches connections and packets by the client's IP number and the IP number that the relay
-// listens on for the target; both directions of a connection are under the same rule.
+// Rule matches connections and packets by the client's IP address and the IP address that the relay
+// listens on for the target. It applies to both directions of a connection.
 type Rule struct {
 	From string `json:"from"`
 	To   string `json:"to"`
 	Mode Mode   `json:"mode,omitempty"`
-	// Delay is the one-way delay of each direction; 0 is none.
+	// Delay is the one-way delay in each direction. 0 means none.
 	Delay settings.Duration `json:"delay,omitempty"`
 }
 
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// effect is what the rules say of one pair of addresses.
+// effect is the effect of the rules on traffic between two addresses.
 type effect struct {
 	cut     bool
 	silence bool
 	delay   time.Duration
 }
 
-// evaluate applies the first matching rule that cuts or silences and the first that delays.
+// evaluate returns the effect of the first matching rule that cuts or silences and of the first that delays.
 func evaluate(rules []Rule, from, to string) effect {
 	var v effect
 	decided := false
@@ -86,8 +86,8 @@
 	return v
 }
 
-// silencesEstablished tells whether next holds a rule that silences what is open between the two
-// addresses and that did not stand in old.
+// silencesEstablished reports whether next has a ModeSilenceEstablished rule for the two addresses that is
+// not in old.
 func silencesEstablished(old, next []Rule, from, to string) bool {
 	for i := range next {
 		r := next[i]
--- a/internal/relay/settings.go
+++ b/internal/relay/settings.go
@@ -4,32 +4,33 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// Network is a transport that is forwarded.
+// Network is a transport protocol that is forwarded.
 type Network string
 
-// The networks.
+// The transport protocols.
 const (
 	TCP Network = "tcp"
 	UDP Network = "udp"
 )
 
-// Settings say what a relay forwards.
+// Settings holds the settings of a relay.
 type Settings struct {
-	// Control is IP:PORT of the listener on which rules are set.
+	// Control is the IP:PORT of the HTTP listener for reading and setting the rules.
 	Control string `toml:"control"`
-	// Forwards are the addresses taken, each with its target.
+	// Forwards holds the addresses to listen on, each with its target.
 	Forwards []Forward `toml:"forward"`
 }
 
-// Forward takes what comes to Listen on to Target, both IP:PORT.
+// Forward forwards the traffic to Listen to Target, both IP:PORT.
 type Forward struct {
 	Listen string `toml:"listen"`
 	Target string `toml:"target"`
-	// Networks is TCP alone where it is empty.
+	// Networks holds the transport protocols to forward. If empty, it is TCP only.
 	Networks []Network `toml:"networks"`
 }
 
-// Check fills in the defaults and refuses what can't work.
+// Check fills in the defaults and refuses addresses that are not IP:PORT, unknown protocols and an empty list
+// of forwards.
 func (s *Settings) Check(c *settings.Checker) {
 	settings.CheckHostPort(c, "control", s.Control)
 	c.Require(len(s.Forwards) > 0, "forward", "want at least one [[forward]]")
--- a/internal/relay/tcp.go
+++ b/internal/relay/tcp.go
@@ -7,15 +7,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// dialTimeout bounds the connection to a target.
+// dialTimeout bounds the time to connect to a target.
 const dialTimeout = 5 * time.Second
 
-// tcpForward takes connections of one address on.
+// tcpForward forwards the connections to one address.
 type tcpForward struct {
 	relay    *Relay
 	listener *net.TCPListener
 	target   string
-	// to is the IP number of the listener.
+	// to is the IP address of the listener.
 	to string
 }
 
@@ -27,7 +27,7 @@
 	return &tcpForward{relay: r, listener: l.(*net.TCPListener), target: f.Target, to: hostOf(l.Addr())}, nil
 }
 
-// run accepts until the listener is closed.
+// run accepts connections until the listener is closed.
 func (f *tcpForward) run() {
 	for {
 		c, err := f.listener.AcceptTCP()
@@ -38,7 +38,7 @@
 	}
 }
 
-// handle carries one connection to its end.
+// handle forwards one connection until it ends.
 func (f *tcpForward) handle(client *net.TCPConn) {
 	k := &link{from: hostOf(client.RemoteAddr()), to: f.to, client: client, opened: time.Now()}
 	f.relay.add(k)
@@ -62,7 +62,7 @@
 	k.forward()
 }
 
-// dial connects to the target from the client's own IP number, so that the target sees who calls.
+// dial connects to the target from the client's own IP address, so that the target sees the client's address.
 func (f *tcpForward) dial(from string) (*net.TCPConn, error) {
 	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	c, err := d.Dial("tcp", f.target)
@@ -72,7 +72,7 @@
 	return c.(*net.TCPConn), nil
 }
 
-// hostOf returns the IP number of an address.
+// hostOf returns the IP address of a network address, or an empty string if it has none.
 func hostOf(a net.Addr) string {
 	h, _, err := net.SplitHostPort(a.String())
 	if err != nil {
--- a/internal/relay/udp.go
+++ b/internal/relay/udp.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// maxPacketBytes is the longest UDP packet.
+	// maxPacketBytes is the size of the read buffer, above the largest UDP packet.
 	maxPacketBytes = 64 << 10
 	// flowIdleTimeout is how long a UDP flow is kept without a packet from its client.
 	flowIdleTimeout = time.Minute
 )
 
-// udpForward takes packets of one address on.
+// udpForward forwards the packets to one address.
 type udpForward struct {
 	relay  *Relay
 	conn   *net.UDPConn
 	target *net.UDPAddr
-	// to is the IP number of the listener.
+	// to is the IP address of the listener.
 	to string
 
 	mu sync.Mutex
-	// flows are by the client's IP:PORT, guarded by mu; nil after close.
+	// flows holds the flows by the client's IP:PORT, nil after close; guarded by mu.
 	flows map[string]*udpFlow
 }
 
-// udpFlow carries the packets of one client, from the client's own IP number.
+// udpFlow forwards the packets of one client, from the client's own IP address.
 type udpFlow struct {
 	client *net.UDPAddr
 	server *net.UDPConn
-	// last is when the client last sent, guarded by the forward's mu.
+	// last is the time of the client's last packet; guarded by the mu of the udpForward.
 	last time.Time
 }
 
 func (r *Relay) newUDPForward(f Forward) (*udpForward, error) {
 	listen, err := net.ResolveUDPAddr("udp", f.Listen)
 	if err != nil {
-		return nil, eris.Wrap(err, "relay: listen")
+		return nil, eris.Wrap(err, "relay: resolve UDP listen address")
 	}
 	target, err := net.ResolveUDPAddr("udp", f.Target)
 	if err != nil {
-		return nil, eris.Wrap(err, "relay: target")
+		return nil, eris.Wrap(err, "relay: resolve UDP target address")
 	}
 	c, err := net.ListenUDP("udp", listen)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return &udpForward{relay: r, conn: c, target: target, to: hostOf(c.LocalAddr()), flows: make(map[string]*udpFlow)}, nil
 }
 
-// run takes packets on until the socket is closed.
+// run forwards packets until the socket is closed.
 func (f *udpForward) run() {
 	buf := make([]byte, maxPacketBytes)
 	for {
@@ -72,7 +72,7 @@
 	}
 }
 
-// forward sends a copy of the packet on unless the rules drop it, after their delay.
+// forward calls send with the packet unless the rules drop it, after a delay with a copy of it.
 func (f *udpForward) forward(client *net.UDPAddr, packet []byte, send func([]byte)) {
 	v := f.relay.evaluate(client.IP.String(), f.to)
 	if v.cut || v.silence {
@@ -86,7 +86,7 @@
 	time.AfterFunc(v.delay, func() { send(later) })
 }
 
-// flow returns the client's flow, a new one where there is none.
+// flow returns the client's flow and creates it if there is none.
 func (f *udpForward) flow(client *net.UDPAddr) (*udpFlow, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +108,7 @@
 	return flow, nil
 }
 
-// forwardReplies sends the target's packets back to the client until the flow is closed or idle.
+// forwardReplies forwards the target's packets to the client until the flow is closed or idle.
 func (f *udpForward) forwardReplies(flow *udpFlow) {
 	buf := make([]byte, maxPacketBytes)
 	for {
@@ -124,7 +124,7 @@
 	}
 }
 
-// expire closes the flow where it is idle.
+// expire closes and removes the flow if it is idle, and reports whether it was.
 func (f *udpForward) expire(flow *udpFlow) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,7 +136,7 @@
 	return true
 }
 
-// close ends the forward and its flows.
+// close closes the socket and all flows.
 func (f *udpForward) close() {
 	_ = f.conn.Close()
 	f.mu.Lock()
