--- a/internal/process/info.go
+++ b/internal/process/info.go
@@ -1,19 +1,19 @@
 package process
 
-// InfoDuty is the name in a dump under which each daemon shows its Info.
+// InfoDuty is the key of Info in a daemon's dump.
 const InfoDuty = "process"
 
-// State is a process's state as operators read it.
+// State is the state of a process as reported to operators.
 type State string
 
-// The states of a process, in their order.
+// The states of a process, in the order in which it passes through them.
 const (
 	StateStarting State = "starting"
 	StateReady    State = "ready"
 	StateDraining State = "draining"
 )
 
-// Info is what a daemon says of itself in its dump under InfoDuty; burdockctl reads it.
+// Info describes a daemon in its dump under InfoDuty. burdockctl reads it.
 type Info struct {
 	// Program is the name of the binary, such as "burdock-entry".
 	Program string `json:"program"`
@@ -21,13 +21,13 @@
 	Zone    string `json:"zone"`
 	// Role is entry, gather or sync.
 	Role string `json:"role"`
-	// Incarnation is text in the JSON: programs that read numbers as float64 would round it.
+	// Incarnation is a string in the JSON, since programs that decode numbers as float64 would round it.
 	Incarnation uint64 `json:"incarnation,string"`
 	State       State  `json:"state"`
-	// BundleVersion in force, 0 for none.
+	// BundleVersion is the version of the bundle in force, 0 if there is none.
 	BundleVersion uint64 `json:"bundle_version"`
-	// PlatformAgeSeconds is the time since the platform was last heard of, directly or through a
-	// peer; negative where it never was.
+	// PlatformAgeSeconds is the time since the last contact with the platform, directly or through a
+	// peer. It is negative if there was none.
 	PlatformAgeSeconds float64 `json:"platform_age_seconds"`
 	Version            string  `json:"version"`
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs the duties of a daemon and ends them in order: first the drain, during
-// which the balancer's lag passes and running work finishes, then the duties in reverse.
+// Package process runs the duties of a daemon and shuts it down in order. The drain comes first: it waits
+// for the load balancer to notice and for running work to finish. Then the duties stop in reverse order.
 package process
 
 import (
@@ -15,27 +15,27 @@
 	"go.uber.org/zap"
 )
 
-// Duty is one long-running part of a process. Run returns when ctx ends, or with an error that
-// ends the process.
+// Duty is a long-running component of a process. Run returns when ctx is cancelled. An error other than
+// context.Canceled ends the process.
 type Duty struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
-// Drain is called once on SIGTERM, before duties end. It returns when running work has finished or
-// ctx ends.
+// Drain is called once on SIGTERM or SIGINT, before the duties stop. It returns when running work has
+// finished or ctx is cancelled.
 type Drain func(ctx context.Context)
 
-// Runner runs duties until a signal comes.
+// Runner runs duties until it receives SIGTERM or SIGINT.
 type Runner struct {
 	Log *zap.Logger
-	// DrainLimit bounds the drain.
+	// DrainLimit is the timeout of the drain.
 	DrainLimit time.Duration
 	Drain      Drain
 	Duties     []Duty
 }
 
-// NewIncarnation draws the random number that names one start of a process; never 0.
+// NewIncarnation returns a random number that identifies one start of a process. It is never 0.
 func NewIncarnation() uint64 {
 	var b [8]byte
 	for {
@@ -46,26 +46,27 @@
 	}
 }
 
-// Run starts all duties, waits for SIGTERM, SIGINT, ctx or a duty's error, drains, and stops the
-// duties in reverse order. It returns the first duty's error.
+// Run starts all duties and waits for SIGTERM, SIGINT, the end of ctx or an error of a duty. It drains,
+// unless a duty failed, and stops the duties in reverse order. It returns the first error of a duty that
+// ended the wait.
 func (r *Runner) Run(ctx context.Context) error {
 	sig, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return r.run(sig)
 }
 
-// run is Run without the signals: the end of ctx starts the drain.
+// run implements Run without the signals: the end of ctx starts the drain.
 func (r *Runner) run(ctx context.Context) error {
 	failed := make(chan error, len(r.Duties))
 	cancels := make([]context.CancelFunc, len(r.Duties))
 	dones := make([]chan struct{}, len(r.Duties))
 	for i, d := range r.Duties {
-		dctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+		dutyCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 		cancels[i], dones[i] = cancel, make(chan struct{})
-		go r.runDuty(dctx, d, failed, dones[i])
+		go r.runDuty(dutyCtx, d, failed, dones[i])
 	}
 	r.Log.Info("started")
-	err := r.wait(ctx, failed)
+	err := r.waitAndDrain(ctx, failed)
 	for i := len(r.Duties) - 1; i >= 0; i-- {
 		cancels[i]()
 		<-dones[i]
@@ -84,8 +85,9 @@
 	failed <- err
 }
 
-// wait returns after the drain, or at once with a duty's error.
-func (r *Runner) wait(sig context.Context, failed <-chan error) error {
+// waitAndDrain waits for the end of sig and drains. It returns at once with the error of a duty that fails
+// before that.
+func (r *Runner) waitAndDrain(sig context.Context, failed <-chan error) error {
 	select {
 	case err := <-failed:
 		return err
@@ -101,23 +103,25 @@
 	return nil
 }
 
-// PauseDetector notices that the process did not run for a while, such as a frozen VM, by the
-// lateness of its own ticks.
+// PauseDetector detects that the process did not run for a while, such as on a frozen VM, by the delay of
+// its own ticks. It is safe for concurrent use.
 type PauseDetector struct {
-	// Tick is how often it looks, Bound how late a tick may come.
-	Tick, Bound time.Duration
+	// Tick is the interval of the ticks. MaxTickDelay is how late a tick may be before it counts as a
+	// pause.
+	Tick, MaxTickDelay time.Duration
 
 	mu sync.Mutex
-	// last is the time of the newest tick, pausedUntil when the newest pause ended; guarded by mu.
+	// last is the time of the latest observation, pauseEnded the end of the latest pause, zero if there
+	// was none; guarded by mu.
 	last, pauseEnded time.Time
 }
 
-// NewPauseDetector returns a detector that has seen no pause.
-func NewPauseDetector(tick, bound time.Duration) *PauseDetector {
-	return &PauseDetector{Tick: tick, Bound: bound, last: time.Now()}
+// NewPauseDetector returns a detector without a pause so far.
+func NewPauseDetector(tick, maxTickDelay time.Duration) *PauseDetector {
+	return &PauseDetector{Tick: tick, MaxTickDelay: maxTickDelay, last: time.Now()}
 }
 
-// Run ticks until ctx ends.
+// Run observes the time at each tick until ctx is cancelled.
 func (p *PauseDetector) Run(ctx context.Context) error {
 	t := time.NewTicker(p.Tick)
 	defer t.Stop()
@@ -131,12 +135,12 @@
 	}
 }
 
-// Observe notes that the process runs at now. It may be called at any time besides the ticks, so
-// that a request that comes first after a pause finds it.
+// Observe records that the process runs at now, and a pause if the previous observation is too old. It may be
+// called between ticks, so that a request that arrives before the first tick after a pause detects the pause.
 func (p *PauseDetector) Observe(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.last) > p.Tick+p.Bound {
+	if now.Sub(p.last) > p.Tick+p.MaxTickDelay {
 		p.pauseEnded = now
 	}
 	if now.After(p.last) {
@@ -144,7 +148,8 @@
 	}
 }
 
-// LastPause returns when the newest pause was seen to end, or the zero time.
+// LastPause observes now and returns when the end of the latest pause was detected, or the zero time if there
+// was none.
 func (p *PauseDetector) LastPause(now time.Time) time.Time {
 	p.Observe(now)
 	p.mu.Lock()
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-func TestRunnerDrainsBeforeItEndsDutiesInReverse(t *testing.T) {
+func TestRunnerDrainsThenStopsDutiesInReverse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestRunnerEndsWithADutysError(t *testing.T) {
+func TestRunnerReturnsDutyError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		broken := errors.New("listen refused")
@@ -52,13 +52,13 @@
 	})
 }
 
-func TestPauseDetectorFindsALateTick(t *testing.T) {
+func TestPauseDetectorDetectsLateTick(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	p := NewPauseDetector(100*time.Millisecond, 400*time.Millisecond)
 	p.Observe(now)
 	is.True(p.LastPause(now.Add(450 * time.Millisecond)).IsZero())
 	woke := now.Add(2 * time.Second)
-	is.Equal(p.LastPause(woke), woke)                           // seen by a request that comes before the tick
-	is.Equal(p.LastPause(woke.Add(100*time.Millisecond)), woke) // and kept
+	is.Equal(p.LastPause(woke), woke)                           // detected by a request before the tick
+	is.Equal(p.LastPause(woke.Add(100*time.Millisecond)), woke) // and not forgotten
 }
