--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
 // Package operator serves the operators' listener of each process: /live, /ready, /metrics and
-// /dump. It is apart from the callers' listener, on loopback by default, and shows no secret.
+// /dump. It is separate from the callers' listener, on loopback by default, and exposes no secret.
 package operator
 
 import (
@@ -14,45 +14,45 @@
 	"github.com/urfave/negroni/v3"
 )
 
-// NewRegistry returns a metric registry with the runtime's own collectors.
+// NewRegistry returns a metric registry with the collectors of the Go runtime and the process.
 func NewRegistry() *prometheus.Registry {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return r
 }
 
-// Dumper shows the state of one duty. The value is encoded as JSON and must hold no secret.
+// Dumper returns the state of one duty. The value is encoded as JSON and must not contain secrets.
 type Dumper interface {
 	Dump() any
 }
 
-// DumpFunc makes a function a Dumper.
+// DumpFunc is an adapter that makes a function a Dumper.
 type DumpFunc func() any
 
 // Dump implements Dumper.
 func (f DumpFunc) Dump() any { return f() }
 
-// Readiness tells whether a process takes new work, and why not.
-type Readiness func() (ready bool, why string)
+// Readiness reports whether a process accepts new work, and the reason if it does not.
+type Readiness func() (ready bool, reason string)
 
-// Dumps collects the dumpers of a process by the name of their duty.
+// Dumps holds the dumpers of a process by the name of their duty. It is safe for concurrent use.
 type Dumps struct {
 	mu sync.Mutex
-	// byName is guarded by mu.
+	// byName holds the dumpers by the name of their duty; guarded by mu.
 	byName map[string]Dumper
 }
 
 // NewDumps returns an empty collection.
 func NewDumps() *Dumps { return &Dumps{byName: make(map[string]Dumper)} }
 
-// Add registers the dumper of a duty, in place of an earlier one of the name.
+// Add registers the dumper of a duty and replaces an earlier one with the same name.
 func (d *Dumps) Add(name string, dumper Dumper) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.byName[name] = dumper
 }
 
-// names returns the duties in order.
+// names returns the sorted names of the duties.
 func (d *Dumps) names() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,7 +64,7 @@
 	return names
 }
 
-// Collect returns the state of all duties.
+// Collect returns the state of all duties by name. It does not hold mu while a dumper runs.
 func (d *Dumps) Collect() map[string]any {
 	all := make(map[string]any)
 	for _, n := range d.names() {
@@ -76,7 +76,7 @@
 	return all
 }
 
-// Handler serves probes, metrics and dump.
+// Handler returns the HTTP handler of the probes, the metrics and the dump.
 func Handler(reg *prometheus.Registry, dumps *Dumps, ready Readiness) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) {
@@ -91,9 +91,9 @@
 }
 
 func serveReady(w http.ResponseWriter, ready Readiness) {
-	ok, why := ready()
+	ok, reason := ready()
 	if !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = w.Write([]byte("ready\n"))
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// readHeaderTimeout bounds half a request, shutdownLimit the end of open ones.
+	// readHeaderTimeout bounds the time to read the header of a request, shutdownTimeout the time for
+	// open requests to finish at the end.
 	readHeaderTimeout = 5 * time.Second
-	shutdownLimit     = time.Second
+	shutdownTimeout   = time.Second
 )
 
-// Serve serves h at address (IP:PORT) until ctx ends.
+// Serve serves h at address (IP:PORT) until ctx is cancelled. It waits shutdownTimeout for open requests.
 func Serve(ctx context.Context, address string, h http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -30,7 +31,7 @@
 		return eris.Wrap(err, "operator: serve")
 	case <-ctx.Done():
 	}
-	limit, cancel := context.WithTimeout(context.Background(), shutdownLimit)
+	limit, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(limit); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return eris.Wrap(err, "operator: shut down")
