--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -11,28 +11,28 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// asyncLines is how many lines wait for the writer; at 300 bytes each they take 0.6 MB.
-const asyncLines = 2048
+// asyncBufferLines is the number of lines that may wait for the writer. At 300 bytes each they take 0.6 MB.
+const asyncBufferLines = 2048
 
-// Async is a log's sink that never blocks who logs: one goroutine writes, and lines that find the
-// buffer full are dropped and counted.
+// Async is a log sink that never blocks its callers. One goroutine writes the lines. Lines that arrive
+// while the buffer is full are dropped and counted. It is safe for concurrent use.
 type Async struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
 	once    sync.Once
-	// ending is closed by Close, done once the writer has ended.
-	ending, done chan struct{}
+	// closing is closed by Close, done when the writing goroutine has ended.
+	closing, done chan struct{}
 }
 
-// NewAsync starts a sink that writes to out.
+// NewAsync returns a sink that writes to out, and starts its goroutine.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: make(chan []byte, asyncLines), ending: make(chan struct{}), done: make(chan struct{})}
+	a := &Async{out: out, lines: make(chan []byte, asyncBufferLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write implements io.Writer; it takes a copy of the line.
+// Write implements io.Writer. It copies the line and never returns an error.
 func (a *Async) Write(p []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), p...):
@@ -42,15 +42,16 @@
 	return len(p), nil
 }
 
-// Sync implements zapcore.WriteSyncer; nothing is waited for.
+// Sync implements zapcore.WriteSyncer. It does not wait for the lines in the buffer.
 func (a *Async) Sync() error { return nil }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines that were dropped or could not be written so far.
 func (a *Async) Dropped() uint64 { return a.dropped.Load() }
 
-// Close writes what waits, for at most the given time. Lines that come later are dropped.
+// Close writes the lines in the buffer and ends the goroutine, but returns after limit at the latest. Lines
+// that are logged later are dropped.
 func (a *Async) Close(limit time.Duration) {
-	a.once.Do(func() { close(a.ending) })
+	a.once.Do(func() { close(a.closing) })
 	select {
 	case <-a.done:
 	case <-time.After(limit):
@@ -62,33 +63,33 @@
 	for {
 		select {
 		case line := <-a.lines:
-			a.put(line)
-		case <-a.ending:
+			a.writeLine(line)
+		case <-a.closing:
 			a.flush()
 			return
 		}
 	}
 }
 
-// flush writes the lines that wait.
+// flush writes the lines in the buffer.
 func (a *Async) flush() {
 	for {
 		select {
 		case line := <-a.lines:
-			a.put(line)
+			a.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (a *Async) put(line []byte) {
+func (a *Async) writeLine(line []byte) {
 	if _, err := a.out.Write(line); err != nil {
 		a.dropped.Add(1)
 	}
 }
 
-// NewAsyncLog returns a JSON log for the named program on the VM that writes to the sink.
+// NewAsyncLog returns a JSON logger of the program on the VM that writes to the sink.
 func NewAsyncLog(program, vm, level string, sink *Async) (*zap.Logger, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -12,20 +12,20 @@
 	"go.uber.org/zap"
 )
 
-type buffer struct {
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func TestAsyncWritesAllBeforeItEnds(t *testing.T) {
+func TestAsyncCloseWritesBufferedLines(t *testing.T) {
 	is := is.New(t)
-	var out buffer
+	var out lockedBuffer
 	sink := NewAsync(&out)
 	log, err := NewAsyncLog("p", "vm", "info", sink)
 	is.NoErr(err)
@@ -41,7 +41,7 @@
 	is.True(err != nil)
 }
 
-// A standard output that nobody reads must not stop whoever logs.
+// TestFullPipeDoesNotBlock guards against callers of the log that block when nobody reads standard output.
 func TestFullPipeDoesNotBlock(t *testing.T) {
 	is := is.New(t)
 	r, w, err := os.Pipe()
@@ -51,7 +51,7 @@
 	sink := NewAsync(w)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
 	begun := time.Now()
-	for range 10 * asyncLines {
+	for range 10 * asyncBufferLines {
 		_, _ = sink.Write(line)
 	}
 	is.True(time.Since(begun) < 5*time.Second)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging builds the structured log of a process.
+// Package logging builds the structured logger of a process.
 package logging
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// New returns a JSON log on standard error for the named program on the VM.
+// New returns a JSON logger of the program on the VM that writes to standard error.
 func New(program, vm string, s settings.Log) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(s.Level)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return log.With(zap.String("program", program), zap.String("vm", vm)), nil
 }
 
-// encoderConfig names the fields that all lines share.
+// encoderConfig returns the configuration of the fields that all lines have.
 func encoderConfig() zapcore.EncoderConfig {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.TimeKey = "time"
