--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -1,6 +1,6 @@
-// Package launch is the command line that all daemons share: where the settings are, and how a
-// process ends. Exit codes: 0 the process ended in order or the settings are good, 1 it failed while
-// running, 2 settings or command line are refused.
+// Package launch implements the command line that all daemons share: the settings file and the exit codes.
+// The exit codes are 0 if the process shut down in order or the checked settings are valid, 1 if it failed
+// to start or while running, and 2 if the settings or the command line are refused.
 package launch
 
 import (
@@ -15,27 +15,27 @@
 	"github.com/burdockplank/burdockplank/internal/version"
 )
 
-// ExitFailed is the exit code of a failure at run time.
+// ExitFailed is the exit code of a process that failed to start or while running.
 const ExitFailed = 1
 
-// Runner is a wired process; Run returns once it has ended.
+// Runner is a process that is built but not started. Run returns when the process has ended.
 type Runner interface {
 	Run(ctx context.Context) error
 }
 
-// Program is what one daemon's command line needs. S is its settings.
+// Program describes one daemon to its command line. S is the type of its settings.
 type Program[S settings.Checked] struct {
-	// Name is the program's, such as "burdock-entry"; About says in a sentence what it does.
+	// Name is the name of the program, such as "burdock-entry". About describes it in one sentence.
 	Name, About string
 	// Defaults returns the settings before the file is read.
 	Defaults func() S
-	// Wire builds the process from checked settings; nothing runs yet.
+	// Wire builds the process from checked settings without starting it.
 	Wire func(S) (Runner, error)
-	// Out gets what the user asked for, Err what went wrong.
+	// Out receives the requested output, Err the errors.
 	Out, Err io.Writer
 }
 
-// commandLine is what every daemon takes.
+// commandLine holds the flags of every daemon.
 type commandLine struct {
 	Settings string           `help:"File of settings (TOML)." placeholder:"FILE" required:""`
 	Check    bool             `help:"Read and check the settings, print ok, and start nothing."`
@@ -72,7 +72,7 @@
 	return 0
 }
 
-// report prints the error in one line and returns the code.
+// report prints the error in one line to Err and returns the code.
 func (p Program[S]) report(err error, code int) int {
 	_, _ = fmt.Fprintln(p.Err, p.Name+":", err)
 	return code
