--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -1,21 +1,21 @@
-// Package notify wakes any number of waiters when something changed.
+// Package notify notifies any number of waiters of a change.
 package notify
 
 import "sync"
 
-// Notifier is a broadcast without a value. Waiters take Changed before they read the state that it
-// guards, so that no change is missed.
+// Notifier broadcasts that some state changed. Waiters call Changed before they read the state, so that
+// they miss no change. It is safe for concurrent use.
 type Notifier struct {
 	mu sync.Mutex
-	// changed is closed and replaced by Fire; epoch counts the calls. Both are guarded by mu.
+	// changed is closed and replaced by Fire, epoch is the number of calls of Fire. Both are guarded by mu.
 	changed chan struct{}
 	epoch   uint64
 }
 
-// New returns a notifier of epoch 0.
+// New returns a notifier with epoch 0.
 func New() *Notifier { return &Notifier{changed: make(chan struct{})} }
 
-// Fire wakes all who wait.
+// Fire wakes all waiters.
 func (n *Notifier) Fire() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,7 +31,7 @@
 	return n.changed
 }
 
-// Epoch returns how often Fire was called.
+// Epoch returns the number of calls of Fire so far.
 func (n *Notifier) Epoch() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
