--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,5 +1,5 @@
 // Package version holds the version that every program prints with --version.
 package version
 
-// Version is set at the release; "dev" between releases.
+// Version is set when a release is made. Between releases it is "dev".
 var Version = "dev"
