--- a/internal/bundle/raw.go
+++ b/internal/bundle/raw.go
@@ -7,7 +7,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// The defaults of keys that a bundle's text may leave out.
+// Defaults of the optional keys of a bundle's text.
 const (
 	defaultMaxQueryBytes = 4096
 	defaultMaxTopK       = 100
@@ -23,7 +23,7 @@
 	defaultRetryBudget   = 0.10
 )
 
-// rawBundle is a bundle's text as decoded. Pointers tell a key left out from a zero.
+// rawBundle is the decoded text of a bundle. Pointers distinguish an absent key from a zero value.
 type rawBundle struct {
 	Version  uint64       `toml:"version"`
 	Limits   rawLimits    `toml:"limits"`
@@ -31,7 +31,8 @@
 	Services []rawService `toml:"service"`
 }
 
-// Check does nothing: the rules are checked in check.go, which knows indices.
+// Check implements settings.Checked. It does nothing: the checker in check.go checks the rules, since
+// it knows the indices of array elements.
 func (*rawBundle) Check(*settings.Checker) {}
 
 type rawLimits struct {
@@ -89,8 +90,8 @@
 	Leaves    []string `toml:"leaves"`
 }
 
-// or returns *p, or the default where the key was left out.
-func or[T any](p *T, def T) T {
+// valueOr returns *p, or def if the key was absent.
+func valueOr[T any](p *T, def T) T {
 	if p == nil {
 		return def
 	}
@@ -99,20 +100,20 @@
 
 func (r *rawLimits) resolve() Limits {
 	return Limits{
-		MaxQueryBytes: or(r.MaxQueryBytes, defaultMaxQueryBytes),
-		MaxTopK:       or(r.MaxTopK, defaultMaxTopK),
-		MaxTimeout:    or(r.MaxTimeout, settings.Duration(defaultMaxTimeout)).D(),
+		MaxQueryBytes: valueOr(r.MaxQueryBytes, defaultMaxQueryBytes),
+		MaxTopK:       valueOr(r.MaxTopK, defaultMaxTopK),
+		MaxTimeout:    valueOr(r.MaxTimeout, settings.Duration(defaultMaxTimeout)).D(),
 	}
 }
 
-// resolve leaves the token to the check, which must name its line.
+// resolve returns the caller without its token, which the checker decodes to report errors at its key.
 func (r *rawCaller) resolve() *Caller {
 	return &Caller{
 		Name:     r.Name,
 		Services: r.Services,
 		Rate:     r.Rate,
-		Burst:    or(r.Burst, max(1, int(math.Ceil(min(r.Rate, math.MaxInt32))))),
-		Share:    or(r.Share, defaultShare),
+		Burst:    valueOr(r.Burst, max(1, int(math.Ceil(min(r.Rate, math.MaxInt32))))),
+		Share:    valueOr(r.Share, defaultShare),
 	}
 }
 
@@ -120,19 +121,19 @@
 	k := &Kind{
 		Name:    r.Name,
 		Mode:    Mode(r.Mode),
-		Weight:  or(r.Weight, defaultWeight),
-		Timeout: or(r.Timeout, 0).D(),
+		Weight:  valueOr(r.Weight, defaultWeight),
+		Timeout: valueOr(r.Timeout, 0).D(),
 	}
 	if k.Mode == ModeOrder {
 		return k
 	}
-	k.TopK = or(r.TopK, defaultTopK)
-	k.Partial = Partial(or(r.Partial, string(defaultPartial)))
-	k.MinCoverage = or(r.MinCoverage, defaultMinCoverage)
-	k.EarlyCoverage = or(r.EarlyCoverage, max(defaultEarlyCoverage, k.MinCoverage))
-	k.EarlyAfter = or(r.EarlyAfter, defaultEarlyAfter)
-	k.HedgeBudget = or(r.HedgeBudget, defaultHedgeBudget)
-	k.RetryBudget = or(r.RetryBudget, defaultRetryBudget)
+	k.TopK = valueOr(r.TopK, defaultTopK)
+	k.Partial = Partial(valueOr(r.Partial, string(defaultPartial)))
+	k.MinCoverage = valueOr(r.MinCoverage, defaultMinCoverage)
+	k.EarlyCoverage = valueOr(r.EarlyCoverage, max(defaultEarlyCoverage, k.MinCoverage))
+	k.EarlyAfter = valueOr(r.EarlyAfter, defaultEarlyAfter)
+	k.HedgeBudget = valueOr(r.HedgeBudget, defaultHedgeBudget)
+	k.RetryBudget = valueOr(r.RetryBudget, defaultRetryBudget)
 	return k
 }
 
--- a/internal/bundle/verify_test.go
+++ b/internal/bundle/verify_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestVerifyRefusesManifestsThatNameNoBundle(t *testing.T) {
+func TestVerifyRefusesInvalidManifests(t *testing.T) {
 	section := make([]byte, 32)
 	extra := new(pb.Manifest)
 	extra.ProtoReflect().SetUnknown([]byte{0xf8, 0x07, 1})
@@ -103,14 +103,14 @@
 	}
 }
 
-func TestSignRefusesWhatNoStoreWouldApply(t *testing.T) {
+func TestSignRefusesUnusableText(t *testing.T) {
 	is := is.New(t)
-	_, err := Sign([]byte(unworkable(3)), Digest{}, reviewer(1))
+	_, err := Sign([]byte(unworkableText(3)), Digest{}, reviewer(1))
 	var pe *ParseError
 	is.True(errors.As(err, &pe))
 	long := "# " + strings.Repeat("x", MaxSectionBytes) + "\n" + sample
 	_, err = Sign([]byte(long), Digest{}, reviewer(1))
-	is.True(err != nil) // a section that the platform can't hold
+	is.True(err != nil) // a section over the platform's limit of a value
 }
 
 func TestAssembleTakesSectionsInAnyOrder(t *testing.T) {
--- a/internal/content/store_test.go
+++ b/internal/content/store_test.go
@@ -23,7 +23,7 @@
 	return New(bundle.NewStore(trust, nil), trust, notify.New())
 }
 
-// text has one service a name; salt changes the first caller alone.
+// text returns the text of a bundle with the named services. Another salt changes only the caller.
 func text(version int, salt string, services ...string) []byte {
 	out := fmt.Sprintf("version = %d\n[limits]\nmax_query_bytes = 4096\nmax_top_k = 100\nmax_timeout = \"10s\"\n", version)
 	out += fmt.Sprintf("[[caller]]\nname = \"desk%s\"\ntoken_sha256 = \"%064d\"\nservices = [\"%s\"]\n", salt, 7, services[0])
@@ -44,8 +44,8 @@
 	return signed
 }
 
-// pick returns the sections of a text that are named.
-func pick(text []byte, digests []bundle.Digest) (out [][]byte) {
+// selectSections returns the sections of a text with the given digests.
+func selectSections(text []byte, digests []bundle.Digest) (out [][]byte) {
 	for _, sec := range bundle.Split(text) {
 		for _, d := range digests {
 			if bundle.SectionDigest(sec) == d {
@@ -56,8 +56,8 @@
 	return out
 }
 
-// take offers a bundle and puts it in force.
-func take(s *Store, signed *pb.SignedManifest, fetched [][]byte) (bool, error) {
+// offerAndApply offers a bundle and puts it in force.
+func offerAndApply(s *Store, signed *pb.SignedManifest, fetched [][]byte) (bool, error) {
 	o, err := s.OfferBundle(signed, fetched)
 	if o == nil {
 		return false, err
@@ -68,11 +68,11 @@
 func apply(t *testing.T, s *Store, text []byte) (missing int) {
 	t.Helper()
 	signed := sign(t, text)
-	digests, wanted, err := s.MissingBundle(signed)
+	digests, wanted, err := s.MissingBundleSections(signed)
 	if err != nil || !wanted {
 		t.Fatal(wanted, err)
 	}
-	if changed, err := take(s, signed, pick(text, digests)); err != nil || !changed {
+	if changed, err := offerAndApply(s, signed, selectSections(text, digests)); err != nil || !changed {
 		t.Fatal(changed, err)
 	}
 	return len(digests)
@@ -81,14 +81,14 @@
 func TestOnlyChangedSectionsAreMissing(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
-	is.Equal(apply(t, s, text(1, "", "a", "b", "c")), 8) // head, callers, and two for each service
-	is.Equal(apply(t, s, text(2, "", "a", "b", "c")), 1) // the head has the version
+	is.Equal(apply(t, s, text(1, "", "a", "b", "c")), 8) // limits, callers, and two for each service
+	is.Equal(apply(t, s, text(2, "", "a", "b", "c")), 1) // the first section has the version
 	is.Equal(apply(t, s, text(3, "-x", "a", "b", "c")), 2)
 	is.Equal(apply(t, s, text(4, "-x", "a", "c")), 1)
 	is.Equal(s.Bundle().Version, uint64(4))
 	for _, sec := range bundle.Split(text(3, "-x", "a", "b", "c")) {
 		_, held := s.Section(bundle.SectionDigest(sec))
-		is.True(held) // peers that still fetch the version before find it
+		is.True(held) // peers may still fetch the previous version
 	}
 }
 
@@ -97,40 +97,40 @@
 	s := newStore()
 	apply(t, s, text(5, "", "a"))
 	for _, version := range []int{4, 5} {
-		_, wanted, err := s.MissingBundle(sign(t, text(version, "", "a")))
+		_, wanted, err := s.MissingBundleSections(sign(t, text(version, "", "a")))
 		is.NoErr(err)
 		is.True(!wanted)
 	}
 	old := text(4, "", "a")
-	changed, err := take(s, sign(t, old), bundle.Split(old))
-	is.NoErr(err) // a stale platform is no fault of the bundle
+	changed, err := offerAndApply(s, sign(t, old), bundle.Split(old))
+	is.NoErr(err) // a stale platform is not an error of the bundle
 	is.True(!changed)
 	is.Equal(s.Bundle().Version, uint64(5))
 	is.Equal(s.Highest(), uint64(5))
 }
 
-func TestWhatIsNotSignedIsNeverFetched(t *testing.T) {
+func TestUnsignedManifestIsNotFetched(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	signed := sign(t, text(1, "", "a"))
 	signed.Signatures = nil
-	_, wanted, err := s.MissingBundle(signed)
+	_, wanted, err := s.MissingBundleSections(signed)
 	is.True(err != nil)
 	is.True(!wanted)
 	is.Equal(s.Highest(), uint64(0))
 }
 
-func TestAPeerThatLacksSectionsIsNoRefusal(t *testing.T) {
+func TestMissingSectionsAreNoRefusal(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	one := text(1, "", "a")
-	_, err := take(s, sign(t, one), [][]byte{[]byte("junk")})
+	_, err := offerAndApply(s, sign(t, one), [][]byte{[]byte("junk")})
 	is.True(err != nil)
-	apply(t, s, one) // another peer has them
+	apply(t, s, one) // as if another peer had the sections
 }
 
-// TestOfferIsThereBeforeItsCheck guards against a bundle in force too late: peers have it while it is checked here,
-// and one that can't work is offered no longer.
+// TestOfferIsThereBeforeItsCheck guards against a delay at each VM on the way of a bundle: it is offered while its
+// text is still checked, and withdrawn if the check refuses it.
 func TestOfferIsThereBeforeItsCheck(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
@@ -149,7 +149,7 @@
 	is.True(changed)
 
 	bad := bytes.Replace(text(3, "", "a"), []byte("leaves = [\"a-0-a\"]"), []byte("leaves = [\"none\"]"), 1)
-	o, err = s.OfferBundle(signAnyway(t, 3, bad), bundle.Split(bad))
+	o, err = s.OfferBundle(signUnchecked(t, 3, bad), bundle.Split(bad))
 	is.NoErr(err)
 	for _, sec := range bundle.Split(bad) {
 		_, held := s.Section(bundle.SectionDigest(sec))
@@ -158,11 +158,11 @@
 	_, err = s.ApplyOffer(o)
 	is.True(err != nil)
 	is.Equal(s.Offered().Version, uint64(2))
-	is.True(s.BundleHigher(3, nil)) // another one of the version may come
+	is.True(s.BundleHigher(3, nil)) // another bundle of the version is accepted
 }
 
-// signAnyway signs a text that can't work.
-func signAnyway(t *testing.T, version uint64, text []byte) *pb.SignedManifest {
+// signUnchecked signs a text without checking it.
+func signUnchecked(t *testing.T, version uint64, text []byte) *pb.SignedManifest {
 	t.Helper()
 	m := &pb.Manifest{Version: version}
 	for _, sec := range bundle.Split(text) {
@@ -184,7 +184,7 @@
 	is := is.New(t)
 	s := newStore()
 	is.True(s.BundleHigher(1, nil))
-	is.True(!s.BundleHigher(0, nil)) // the peer has none
+	is.True(!s.BundleHigher(0, nil)) // the peer has no bundle
 	apply(t, s, text(5, "", "a"))
 	own := s.Bundle().Digest
 	above, below := own, own
@@ -194,11 +194,11 @@
 	is.Equal(s.BundleHigher(5, below[:8]), below[0] > own[0])
 	is.True(s.BundleHigher(6, below[:8]))
 	is.True(!s.BundleHigher(4, above[:8]))
-	is.True(s.Offered().Above(4, above))
-	is.True(!s.Offered().Above(5, own))
+	is.True(s.Offered().HigherThan(4, above))
+	is.True(!s.Offered().HigherThan(5, own))
 }
 
-func TestListsMoveBySectionsAndNeverBack(t *testing.T) {
+func TestListsAreFetchedBySectionAndNeverRevert(t *testing.T) {
 	is := is.New(t)
 	vms := func(n int) (out []*pb.Vm) {
 		for i := range n {
@@ -209,17 +209,17 @@
 	s := newStore()
 	is.True(s.ApplyList(listing.New(2, vms(200), nil)))
 	newer := listing.New(3, vms(201), nil)
-	missing, wanted := s.MissingList(newer.Manifest)
+	missing, wanted := s.MissingListSections(newer.Manifest)
 	is.True(wanted)
 	is.Equal(len(missing), 1)
 	_, err := s.ApplyListManifest(newer.Manifest, nil)
-	is.True(err != nil) // not whole
+	is.True(err != nil) // a section is missing
 	is.Equal(s.List().Revision, uint64(2))
 	changed, err := s.ApplyListManifest(newer.Manifest, [][]byte{newer.Sections[missing[0]]})
 	is.NoErr(err)
 	is.True(changed)
 	is.Equal(len(s.List().VMs), 201)
 	is.True(!s.ApplyList(listing.New(2, nil, nil)))
-	_, wanted = s.MissingList(nil)
+	_, wanted = s.MissingListSections(nil)
 	is.True(!wanted) // the peer has no list
 }
--- a/internal/directory/registration.go
+++ b/internal/directory/registration.go
@@ -41,7 +41,7 @@
 // leaf until it has a valid entry again. The caller must hold mu.
 func (d *Directory) register(it mirror.ReceivedItem, leaf catalog.Leaf, err error, now time.Time) registration {
 	known := d.leaves[it.Key]
-	born := leaf.ID.Born
+	born := leaf.ID.StartMillis
 	switch {
 	case err != nil:
 	case born > now.Add(maxStartAhead).UnixMilli():
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -126,7 +126,7 @@
 		events: make(chan event), ended: make(chan struct{}),
 		estimate: time.Duration(float64(route.Target) * estimateFraction),
 	}
-	remaining := route.Waits(req.Remaining)
+	remaining := route.EffectiveTimeout(req.Remaining)
 	r.deadline = req.Arrived.Add(remaining - min(answerMargin, remaining/4))
 	r.ctx, r.cancel = context.WithDeadline(context.WithoutCancel(caller), r.deadline.Add(answerMargin))
 	r.softDeadline = req.Arrived.Add(route.Target - e.transitTime(req, route.Target))
@@ -142,7 +142,7 @@
 	}
 	r.needed = 1
 	if route.Search() {
-		r.needed = route.Needed()
+		r.needed = route.RequiredShards()
 	}
 	r.refreshTypical()
 	return r
--- a/internal/leafpool/leafpool_test.go
+++ b/internal/leafpool/leafpool_test.go
@@ -340,8 +340,8 @@
 // start time that appears at another address.
 func TestRestartedLeafGetsNewConnections(t *testing.T) {
 	for name, again := range map[string]catalog.Leaf{
-		"same address":   {ID: catalog.LeafID{Name: "near", Born: 2}, Service: "x", Address: "near", Zone: "z"},
-		"other address":  {ID: catalog.LeafID{Name: "near", Born: 2}, Service: "x", Address: "other", Zone: "z"},
+		"same address":   {ID: catalog.LeafID{Name: "near", StartMillis: 2}, Service: "x", Address: "near", Zone: "z"},
+		"other address":  {ID: catalog.LeafID{Name: "near", StartMillis: 2}, Service: "x", Address: "other", Zone: "z"},
 		"no start given": {ID: leafID("near"), Service: "x", Address: "other", Zone: "z"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -349,7 +349,7 @@
 			d := newDialer()
 			p := newPool(d, 24)
 			first := nearLeaf
-			first.ID.Born = min(again.ID.Born, 1)
+			first.ID.StartMillis = min(again.ID.StartMillis, 1)
 			set := func(l catalog.Leaf) {
 				p.SetLeaves([]catalog.Leaf{l}, map[string]int{"x": 30}, func(string) Share { return Share{VMs: 6} })
 			}
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -69,7 +69,7 @@
 	s := shares{vmCount: len(fleet) + 1}
 	s.unsettled = d.fleetSize.observe(s.vmCount, time.Now())
 	if view.Config != nil {
-		s.singleServices, s.shardServices = view.Config.Used()
+		s.singleServices, s.shardServices = view.Config.UsedServices()
 	}
 	s.plan = delegate.NewPlan(peers.VM{Address: d.settings.PeersAddress, Zone: d.settings.Zone, Millicores: d.settings.Millicores}, fleet)
 	d.delegate.SetPlan(s.plan)
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -164,10 +164,10 @@
 		msg.Items = append(msg.Items, &pb.FleetItem{Key: it.Key, Revision: it.Revision, Value: it.Value, Deleted: it.Deleted})
 	}
 	for _, t := range troubles {
-		msg.Troubles = append(msg.Troubles, &pb.FleetTrouble{Leaf: t.Leaf.Name, LeafBorn: t.Leaf.Born, Calls: float32(t.Calls), Failed: float32(t.Failed), Slow: float32(t.Slow)})
+		msg.Troubles = append(msg.Troubles, &pb.FleetTrouble{Leaf: t.Leaf.Name, LeafBorn: t.Leaf.StartMillis, Calls: float32(t.Calls), Failed: float32(t.Failed), Slow: float32(t.Slow)})
 	}
 	for k, at := range m.crashTimes {
-		msg.Crashes = append(msg.Crashes, &pb.FleetCrash{Digest: k.digest, Leaf: k.leaf.Name, LeafBorn: k.leaf.Born, AgeMs: now.Sub(at).Milliseconds()})
+		msg.Crashes = append(msg.Crashes, &pb.FleetCrash{Digest: k.digest, Leaf: k.leaf.Name, LeafBorn: k.leaf.StartMillis, AgeMs: now.Sub(at).Milliseconds()})
 	}
 	return msg
 }
@@ -181,7 +181,7 @@
 	}
 	for _, c := range msg.GetCrashes() {
 		m.recordCrash(Crash{
-			Digest: c.GetDigest(), Leaf: catalog.LeafID{Name: c.GetLeaf(), Born: c.GetLeafBorn()},
+			Digest: c.GetDigest(), Leaf: catalog.LeafID{Name: c.GetLeaf(), StartMillis: c.GetLeafBorn()},
 			At: now.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond),
 		})
 	}
@@ -212,7 +212,7 @@
 	var list []replica.Trouble
 	for _, t := range msg.GetTroubles() {
 		list = append(list, replica.Trouble{
-			Leaf:  catalog.LeafID{Name: t.GetLeaf(), Born: t.GetLeafBorn()},
+			Leaf:  catalog.LeafID{Name: t.GetLeaf(), StartMillis: t.GetLeafBorn()},
 			Calls: float64(t.GetCalls()), Failed: float64(t.GetFailed()), Slow: float64(t.GetSlow()),
 		})
 	}
--- a/internal/syncd/feed.go
+++ b/internal/syncd/feed.go
@@ -114,7 +114,7 @@
 // bundleDue reports whether the bundle has to be sent: it is higher than the one the process holds,
 // or it is offered again after the one sent last proved unusable.
 func (s *feedStream) bundleDue(b *content.Offer) bool {
-	return b != nil && (b.Above(s.bundleVersion, s.bundleDigest) || s.sentHere && b.Digest != s.bundleDigest)
+	return b != nil && (b.HigherThan(s.bundleVersion, s.bundleDigest) || s.sentHere && b.Digest != s.bundleDigest)
 }
 
 // Report implements the FeedService.
--- a/internal/syncd/reader.go
+++ b/internal/syncd/reader.go
@@ -180,7 +180,7 @@
 		r.m.cfg.Log.Error("platform manifest could not be decoded", zap.Error(err))
 		return nil
 	}
-	missing, wanted, err := r.m.content.MissingBundle(signed)
+	missing, wanted, err := r.m.content.MissingBundleSections(signed)
 	if err == nil && wanted {
 		err = r.fetchBundle(ctx, signed, missing, receivedAt)
 	}
