--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -25,7 +25,7 @@
 	// ResultCancelled is a call that this gather cancelled, such as one that lost to its hedge.
 	ResultCancelled
 	// ResultNeutral is a call that gives no information about the leaf, such as one whose connection
-	// became unresponsive.
+	// went silent.
 	ResultNeutral
 )
 
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -58,9 +58,9 @@
 // recordError records the error as the end of the request.
 func (c *call) recordError(e *outcome.Error) { c.recordEnd(e.Kind, e.Reason) }
 
-// identity returns the request's identity for the gatherer. Its bundle version is the lowest one
-// that the gatherer must have: this entry's, or a higher one of an earlier answer through this
-// entry, given by answered. Gatherers receive a bundle one after another, and a caller must not see
+// identity returns the request's identity for the gather. Its bundle version is the lowest one
+// that the gather must have: this entry's, or a higher one of an earlier answer through this
+// entry, given by answered. Gathers receive a bundle one after another, and a caller must not see
 // answers return to an older bundle.
 func (c *call) identity(answered uint64) *pb.Identity {
 	return &pb.Identity{RequestId: c.id, Caller: c.caller.Name, BundleVersion: max(c.view.Bundle.Version, answered)}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -151,8 +151,8 @@
 }
 
 // Guards against answers through one entry that return to an older bundle. It happened when the
-// next gatherer and the entry itself did not have the newer bundle yet.
-func TestGathererIsAskedForBundleOfEarlierAnswers(t *testing.T) {
+// next gather and the entry itself did not have the newer bundle yet.
+func TestGatherIsAskedForBundleOfEarlierAnswers(t *testing.T) {
 	is := is.New(t)
 	w := newTestEntry(t)
 	var asked, answer uint64
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -127,7 +127,7 @@
 	}}, nil
 }
 
-// testEntry is an entry in front of one gatherer.
+// testEntry is an entry in front of one gather.
 type testEntry struct {
 	feed    *fakeFeed
 	gather  *fakeGather
--- a/internal/entry/life_test.go
+++ b/internal/entry/life_test.go
@@ -84,7 +84,7 @@
 	is.Equal(int(testutil.ToFloat64(w.manager.metrics.incompleteRequests)), 1)
 }
 
-func TestDisconnectingCallerCancelsGathererCall(t *testing.T) {
+func TestDisconnectingCallerCancelsGatherCall(t *testing.T) {
 	for name, client := range map[string]*http.Client{"HTTP/1.1": {Transport: &http.Transport{}}, "HTTP/2": rpc.NewClient("")} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -107,7 +107,7 @@
 			req.Header.Set(HeaderTimeout, "9000")
 			go func() {
 				remaining := <-began
-				is.True(remaining <= 9*time.Second) // the deadline is passed to the gatherer
+				is.True(remaining <= 9*time.Second) // the deadline is passed to the gather
 				is.True(remaining > time.Second)    // it is the caller's, not the kind's
 				cancel()
 			}()
@@ -132,9 +132,9 @@
 	is.Equal(w.post(t, searchPath, goodSearch, nil).StatusCode, http.StatusOK)
 }
 
-// An entry joins the load balancer's rotation once every service has a ready gatherer. It stays in
-// rotation when a gatherer is lost later, and answers with the outcome.
-func TestReadyAfterEveryServiceHadAGatherer(t *testing.T) {
+// An entry joins the load balancer's rotation once every service has a ready gather. It stays in
+// rotation when a gather is lost later, and answers with the outcome.
+func TestReadyAfterEveryServiceHadAGather(t *testing.T) {
 	is := is.New(t)
 	w := newTestEntry(t)
 	full := w.feed.view.Load()
--- a/internal/entry/manager.go
+++ b/internal/entry/manager.go
@@ -45,7 +45,7 @@
 	conns     *connTracker
 	server    *http.Server
 	now       func() time.Time
-	// allServicesReached is true once every service had a gatherer that accepts work.
+	// allServicesReached is true once every service had a gather that accepts work.
 	allServicesReached atomic.Bool
 	// answeredVersion is the highest bundle version of the searches answered through this entry.
 	answeredVersion maxObserved
@@ -133,7 +133,7 @@
 	return true, ""
 }
 
-// everReachedAllServices reports whether every service has had a gatherer at some time. A gatherer
+// everReachedAllServices reports whether every service has had a gather at some time. A gather
 // that is lost later does not take the entry out of the load balancer's rotation: the entry answers
 // with the outcome, and other services continue.
 func (m *Manager) everReachedAllServices(v *feed.View) bool {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -95,7 +95,7 @@
 	unknownEndKind pb.OutcomeKind
 	// check refuses values outside the bundle's limits; nil if there is nothing to check.
 	check func(bundle.Limits) *outcome.Error
-	// forward sends the request to a gatherer and returns the answer.
+	// forward sends the request to a gather and returns the answer.
 	forward func(context.Context, route.Request) (any, error)
 }
 
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -1,5 +1,5 @@
 // Package entry serves the callers. It authenticates a caller, checks the request and its deadline,
-// admits it, forwards it to a gatherer, and answers every request with a typed outcome.
+// admits it, forwards it to a gather, and answers every request with a typed outcome.
 package entry
 
 import (
@@ -30,7 +30,7 @@
 	BodyTimeout settings.Duration `toml:"body_timeout"`
 	// IdleTimeout is how long a connection may stay open without a request.
 	IdleTimeout settings.Duration `toml:"idle_timeout"`
-	// ReplyMargin is subtracted from the caller's deadline to give the gatherer's deadline.
+	// ReplyMargin is subtracted from the caller's deadline to give the gather's deadline.
 	ReplyMargin settings.Duration `toml:"reply_margin"`
 }
 
--- a/internal/gather/door.go
+++ b/internal/gather/door.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// drainRetryAfter is the retry-after time of requests refused while draining: another gatherer
+	// drainRetryAfter is the retry-after time of requests refused while draining: another gather
 	// takes them at once.
 	drainRetryAfter = 50 * time.Millisecond
 	// pausedRetryAfter is the retry-after time of requests refused for lack of a fresh view of the
@@ -113,7 +113,7 @@
 }
 
 // bundle returns the bundle in force once it is at least as new as the entry's. An entry with an
-// older bundle is served by this gatherer's newer one.
+// older bundle is served by this gather's newer one.
 func (a *Admitter) bundle(ctx context.Context, version uint64) (*bundle.Bundle, error) {
 	wait := time.NewTimer(a.bundleWait)
 	defer wait.Stop()
--- a/internal/gather/manager.go
+++ b/internal/gather/manager.go
@@ -31,7 +31,7 @@
 type OrderManager interface {
 	Orders
 	// Drain stops issuing tickets, waits for running orders, and hands the records to other
-	// gatherers.
+	// gathers.
 	Drain(ctx context.Context)
 }
 
@@ -43,7 +43,7 @@
 	Initialized() <-chan struct{}
 }
 
-// Manager owns the listener for entries and other gatherers, and the drain of the process.
+// Manager owns the listener for entries and other gathers, and the drain of the process.
 type Manager struct {
 	settings *Settings
 	log      *zap.Logger
@@ -79,7 +79,7 @@
 	return n
 }
 
-// Run serves entries and other gatherers until ctx ends.
+// Run serves entries and other gathers until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", m.settings.ListenAddress())
@@ -205,7 +205,7 @@
 	return s
 }
 
-// Info adds the gatherer's own fields to the process information.
+// Info adds the gather's own fields to the process information.
 func (m *Manager) Info(i process.Info) process.Info {
 	v := m.source.Current()
 	i.VM, i.Zone, i.Role, i.Version = m.settings.VM.ID, m.settings.VM.Zone, "gather", version.Version
--- a/internal/gather/service.go
+++ b/internal/gather/service.go
@@ -69,7 +69,7 @@
 	return res, nil
 }
 
-// Order implements GatherService. Resends are answered even while draining. Only the gatherer that
+// Order implements GatherService. Resends are answered even while draining. Only the gather that
 // keeps the order's ticket knows whether the order may run and whether it has run.
 func (s *Service) Order(ctx context.Context, req *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
 	leave := s.admitter.AdmitOrder()
--- a/internal/gather/settings.go
+++ b/internal/gather/settings.go
@@ -26,9 +26,9 @@
 
 // Listen is the table [gather].
 type Listen struct {
-	// Port on vm.bind for entries and other gatherers.
+	// Port on vm.bind for entries and other gathers.
 	Port int `toml:"port"`
-	// BundleWait is how long a request waits for a bundle that its entry has and this gatherer does
+	// BundleWait is how long a request waits for a bundle that its entry has and this gather does
 	// not have yet.
 	BundleWait settings.Duration `toml:"bundle_wait"`
 }
@@ -41,7 +41,7 @@
 
 // Drain is the table [drain].
 type Drain struct {
-	// Notice is how long a draining gatherer keeps listening after it notified the other VMs. It
+	// Notice is how long a draining gather keeps listening after it notified the other VMs. It
 	// serves the entries that have not yet learned of the drain, and refuses their requests as not
 	// run.
 	Notice settings.Duration `toml:"notice"`
@@ -87,7 +87,7 @@
 	return settings.HostPort(s.VM.Bind, settings.DefaultSyncPort)
 }
 
-// ListenAddress returns the address that entries and other gatherers connect to.
+// ListenAddress returns the address that entries and other gathers connect to.
 func (s *Settings) ListenAddress() string {
 	return settings.HostPort(s.VM.Bind, s.Gather.Port)
 }
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -23,18 +23,18 @@
 	unreachableJitter     = time.Second
 )
 
-// errUnresponsiveText is the text of the error of net/http for a connection whose ping was not answered;
+// errSilentText is the text of the error of net/http for a connection whose ping was not answered;
 // the error isn't exported. If the text changed, such a connection would count as broken, and a retry
 // would need the budget.
-const errUnresponsiveText = "http2: client connection lost"
+const errSilentText = "http2: client connection lost"
 
 // callError describes how a call to a gather failed.
 type callError struct {
 	// notTaken is true where it is certain that the gather did not accept the request.
 	notTaken bool
-	// unresponsive is true where the connection became unresponsive, which gives no information about
+	// silent is true where the connection went silent, which gives no information about
 	// the gather.
-	unresponsive bool
+	silent bool
 	// pausedHere is true where the call was not made because this process was paused.
 	pausedHere bool
 	// outcome is the outcome that the gather returned, or pausedError made, nil where there is none.
@@ -69,15 +69,15 @@
 		return ce
 	}
 	ce.notTaken = dialFailed(err)
-	ce.unresponsive = strings.Contains(err.Error(), errUnresponsiveText)
+	ce.silent = strings.Contains(err.Error(), errSilentText)
 	return ce
 }
 
 // retryable reports whether the request may be sent once more. A request is retried any number of times,
-// up to maxSends, after unresponsive connections, but only once for any other cause; retried is true
+// up to maxSends, after silent connections, but only once for any other cause; retried is true
 // after that.
 func (ce *callError) retryable(ctx context.Context, retried bool) bool {
-	return ctx.Err() == nil && !ce.pausedHere && (ce.unresponsive || !retried && (ce.notTaken || ce.broken()))
+	return ctx.Err() == nil && !ce.pausedHere && (ce.silent || !retried && (ce.notTaken || ce.broken()))
 }
 
 // broken reports whether the connection ended before the gather's answer arrived.
@@ -111,7 +111,7 @@
 		return resultOK
 	case ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled):
 		return resultNeutral
-	case ce.unresponsive:
+	case ce.silent:
 		return resultNeutral
 	}
 	return resultFailed
--- a/internal/route/order.go
+++ b/internal/route/order.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, outcome.NotRun(pb.Reason_REASON_TICKET_INVALID, orderStep, "the ticket can't be read")
 	}
-	g, found := issuer(q.View.VMs, t)
+	g, found := minter(q.View.VMs, t)
 	if !found {
 		return r.resolve(ctx, q, t, req)
 	}
@@ -55,10 +55,10 @@
 	return r.resolve(ctx, q, t, req)
 }
 
-// issuer returns the gather of the VM that issued the ticket, and false where the membership shows that it
+// minter returns the gather of the VM that minted the ticket, and false where the membership shows that it
 // has ended. A draining gather still answers for its tickets. Where the view shows another incarnation, or
 // none yet, the view may lag, so the gather itself decides.
-func issuer(vms []*pb.Vm, t *ticket.Ticket) (Gather, bool) {
+func minter(vms []*pb.Vm, t *ticket.Ticket) (Gather, bool) {
 	vm := findVM(vms, t.VM)
 	if vm == nil || vm.GetState() == pb.VmState_VM_STATE_GONE {
 		return Gather{}, false
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -89,12 +89,12 @@
 // call is one call to a gather's client.
 type call func(ctx context.Context, c burdockv1connect.GatherServiceClient) error
 
-// maxSends bounds how often one request is sent while its connections become unresponsive.
+// maxSends bounds how often one request is sent while its connections go silent.
 const maxSends = 4
 
 // forward makes the call to a chosen gather. It makes it once more, to another gather where there is one,
 // if the first certainly did not accept it or the connection ended before its answer arrived, and again
-// for each connection that becomes unresponsive: searches and requests for tickets may run twice.
+// for each connection that goes silent: searches and requests for tickets may run twice.
 // unansweredKind is the outcome kind of a call that a gather may have accepted and did not answer.
 func (r *Router) forward(ctx context.Context, q Request, unansweredKind pb.OutcomeKind, fn call) (Gather, error) {
 	r.budget.earn()
@@ -107,7 +107,7 @@
 	ce := r.send(ctx, q, g, fn)
 	mayHaveRun, retried := false, false
 	for sends := 1; ce != nil && sends < maxSends && ce.retryable(ctx, retried); sends++ {
-		retried = retried || !ce.unresponsive
+		retried = retried || !ce.silent
 		next, ok := r.nextGather(q, gathers, g, ce)
 		if !ok {
 			break
@@ -142,7 +142,7 @@
 // nextGather returns the gather for one more call after one to tried that ended with ce. It is another
 // gather of the given ones, or one of another zone where they have none. Where there is no other either,
 // and only the connection broke, it is the same gather again, over a new connection. A retry after an
-// unresponsive connection takes nothing from the budget, because such a connection loses only the calls
+// silent connection takes nothing from the budget, because such a connection loses only the calls
 // that are in flight at that moment.
 func (r *Router) nextGather(q Request, gathers []Gather, tried Gather, ce *callError) (Gather, bool) {
 	g, ok := choose(r.table, q.Service.Name, gathers, tried.VM, r.options.Clock(), r.options.Random)
@@ -155,7 +155,7 @@
 	if !ok {
 		return g, false
 	}
-	if !ce.unresponsive && !r.budget.take() {
+	if !ce.silent && !r.budget.take() {
 		r.metrics.reroutes.WithLabelValues(q.Service.Name, "no_budget").Inc()
 		return g, false
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -213,7 +213,7 @@
 	unknown = pb.OutcomeKind_OUTCOME_KIND_UNKNOWN
 )
 
-func unresponsive(*pb.Identity) error {
+func silent(*pb.Identity) error {
 	return connect.NewError(connect.CodeUnavailable, errors.New("http2: client connection lost"))
 }
 
@@ -230,23 +230,23 @@
 		kind   pb.OutcomeKind
 		reason pb.Reason
 	}{
-		"answered":                       {script{}, 1, "a", 0, 0},
-		"connection refused":             {script{"a": refusedToConnect}, 1, "a b", 0, 0},
-		"draining":                       {script{"a": draining}, 1, "a b", 0, 0},
-		"paused":                         {script{"a": gatherOutcome(notRun, pb.Reason_REASON_PAUSED)}, 1, "a b", 0, 0},
-		"no bundle yet":                  {script{"a": gatherOutcome(notRun, pb.Reason_REASON_NO_BUNDLE)}, 1, "a b", 0, 0},
-		"other refusal":                  {script{"a": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 1, "a", notRun, pb.Reason_REASON_OVERLOAD},
-		"failed":                         {script{"a": gatherOutcome(failed, pb.Reason_REASON_DRAINING)}, 1, "a", failed, pb.Reason_REASON_DRAINING},
-		"lost after the call":            {script{"a": connectionLost}, 1, "a b", 0, 0},
-		"lost, no budget":                {script{"a": connectionLost}, 0, "a", failed, pb.Reason_REASON_UNREACHABLE},
-		"lost twice":                     {script{"a": connectionLost, "b": connectionLost}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"lost, then refused":             {script{"a": connectionLost, "b": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 9, "a b", failed, pb.Reason_REASON_OVERLOAD},
-		"lost, then no gather":           {script{"a": connectionLost, "b": refusedToConnect}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"unresponsive, no budget needed": {script{"a": unresponsive}, 0, "a b", 0, 0},
-		"unresponsive each time":         {script{"a": unresponsive, "b": unresponsive, "c": unresponsive}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"unresponsive, then lost":        {script{"a": unresponsive, "b": connectionLost}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
-		"only once, other zones":         {script{"a": refusedToConnect, "b": refusedToConnect}, 9, "a b", notRun, pb.Reason_REASON_UNREACHABLE},
-		"no budget":                      {script{"a": draining}, 0, "a", notRun, pb.Reason_REASON_DRAINING},
+		"answered":                 {script{}, 1, "a", 0, 0},
+		"connection refused":       {script{"a": refusedToConnect}, 1, "a b", 0, 0},
+		"draining":                 {script{"a": draining}, 1, "a b", 0, 0},
+		"paused":                   {script{"a": gatherOutcome(notRun, pb.Reason_REASON_PAUSED)}, 1, "a b", 0, 0},
+		"no bundle yet":            {script{"a": gatherOutcome(notRun, pb.Reason_REASON_NO_BUNDLE)}, 1, "a b", 0, 0},
+		"other refusal":            {script{"a": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 1, "a", notRun, pb.Reason_REASON_OVERLOAD},
+		"failed":                   {script{"a": gatherOutcome(failed, pb.Reason_REASON_DRAINING)}, 1, "a", failed, pb.Reason_REASON_DRAINING},
+		"lost after the call":      {script{"a": connectionLost}, 1, "a b", 0, 0},
+		"lost, no budget":          {script{"a": connectionLost}, 0, "a", failed, pb.Reason_REASON_UNREACHABLE},
+		"lost twice":               {script{"a": connectionLost, "b": connectionLost}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"lost, then refused":       {script{"a": connectionLost, "b": gatherOutcome(notRun, pb.Reason_REASON_OVERLOAD)}, 9, "a b", failed, pb.Reason_REASON_OVERLOAD},
+		"lost, then no gather":     {script{"a": connectionLost, "b": refusedToConnect}, 9, "a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"silent, no budget needed": {script{"a": silent}, 0, "a b", 0, 0},
+		"silent each time":         {script{"a": silent, "b": silent, "c": silent}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"silent, then lost":        {script{"a": silent, "b": connectionLost}, 9, "a b a b", failed, pb.Reason_REASON_UNREACHABLE},
+		"only once, other zones":   {script{"a": refusedToConnect, "b": refusedToConnect}, 9, "a b", notRun, pb.Reason_REASON_UNREACHABLE},
+		"no budget":                {script{"a": draining}, 0, "a", notRun, pb.Reason_REASON_DRAINING},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -268,7 +268,7 @@
 	f := newFakeFleet(nil)
 	f.script = script{"a": func(id *pb.Identity) error {
 		delete(f.script, "a")
-		return unresponsive(id)
+		return silent(id)
 	}}
 	_, err := f.Search(t.Context(), request(vm("a", "z1", live, isReady)), &pb.SearchRequest{})
 	is.NoErr(err)
@@ -419,9 +419,9 @@
 	is.True(classify(err).notTaken)
 }
 
-// TestRealUnresponsiveConnectionIsRecognised checks that the HTTP library's error for a connection whose
-// peer doesn't respond is classified as unresponsive.
-func TestRealUnresponsiveConnectionIsRecognised(t *testing.T) {
+// TestRealSilentConnectionIsRecognised checks that the HTTP library's error for a connection whose
+// peer doesn't respond is classified as silent.
+func TestRealSilentConnectionIsRecognised(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -436,6 +436,6 @@
 	}()
 	_, err = NewDial(rpc.NewClient(""))(l.Addr().String()).Search(t.Context(), &pb.GatherSearchRequest{})
 	is.True(err != nil)
-	is.True(classify(err).unresponsive)
+	is.True(classify(err).silent)
 	is.True(classify(err).broken())
 }
--- a/internal/route/stats.go
+++ b/internal/route/stats.go
@@ -87,7 +87,7 @@
 	resultOK result = iota
 	// resultFailed is a call that the gather did not accept or did not answer.
 	resultFailed
-	// resultNeutral is a call whose caller went away, or whose connection became unresponsive.
+	// resultNeutral is a call whose caller went away, or whose connection went silent.
 	resultNeutral
 )
 
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -3,11 +3,11 @@
 //
 // A leaf accepts L connections, where L is the smallest limit of the service's leaves. The plans of all
 // zones together use at most B = floor(2L/3) of them, but at least 1. The last third is reserved for
-// connections that a plan can't see: those of replaced VMs and unresponsive ones that the leaf hasn't
+// connections that a plan can't see: those of replaced VMs and silent ones that the leaf hasn't
 // closed yet, and those of members of views that differ for a while.
 //
 //   - Where N VMs fit with 2N <= B, each is a member with 2 connections. There are two so that the
-//     other still serves when one becomes unresponsive. More have no use, because calls share a
+//     other still serves when one goes silent. More have no use, because calls share a
 //     connection.
 //   - Otherwise each member has 1 connection. A zone with n VMs has min(n, q) members, with the largest
 //     quota q for which the sum over the zones is at most B. Where there are fewer members than VMs,
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,7 +32,7 @@
 	Bind string
 }
 
-// Pool owns the connections of one gatherer to the leaves of the services that it serves. It is
+// Pool owns the connections of one gather to the leaves of the services that it serves. It is
 // safe for concurrent use.
 type Pool struct {
 	cfg       Config
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -18,7 +18,7 @@
 	State(leaf string) (State, bool)
 }
 
-// State is a copy of what a gatherer knows of one leaf.
+// State is a copy of what a gather knows of one leaf.
 type State struct {
 	Leaf        string
 	Incarnation uint64
