--- a/internal/delegate/gatherer_test.go
+++ b/internal/delegate/gatherer_test.go
@@ -44,7 +44,7 @@
 }
 
 // The gatherer receives the caller's request unchanged, with the time elapsed since its arrival, and its answer
-// comes back unchanged.
+// is returned unchanged.
 func TestSearchRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -104,19 +104,19 @@
 func TestSearchOfMuteShardsIsRefusedAtOnce(t *testing.T) {
 	play(t, func(t *testing.T, w *world) {
 		is := is.New(t)
-		mute := func(shards ...string) {
+		makeUnresponsive := func(shards ...string) {
 			for _, s := range shards {
 				for _, r := range []string{"-a", "-b", "-c"} {
 					w.set(s+r, ok(time.Hour))
 				}
 			}
 		}
-		mute("s4")
+		makeUnresponsive("s4")
 		for range 20 {
 			a, _ := w.ask(t.Context(), "/s/q")
 			is.Equal(a.Outcome, Served) // one may be missing
 		}
-		mute("s4", "s5")
+		makeUnresponsive("s4", "s5")
 		var tried, refused atomic.Int64
 		for start := time.Now(); time.Since(start) < 6*time.Second; time.Sleep(20 * ms) {
 			go func() {
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -35,7 +35,7 @@
 // as they did.
 func TestPauseIsDetectedWithinTheSearch(t *testing.T) {
 	for name, tt := range map[string]struct{ work, within time.Duration }{
-		"little work": {6 * ms, 17 * ms}, "usual work": {10 * ms, 28 * ms}, "much work": {20 * ms, 56 * ms},
+		"little work": {6 * ms, 17 * ms}, "typical work": {10 * ms, 28 * ms}, "much work": {20 * ms, 56 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, func(t *testing.T, w *world) {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -108,7 +108,7 @@
 	Tick, Bound time.Duration
 
 	mu sync.Mutex
-	// last is the time of the newest tick, pausedUntil when the newest pause ended; guarded by mu.
+	// last is the time of the newest tick, pauseEnded when the newest pause ended; guarded by mu.
 	last, pauseEnded time.Time
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -287,7 +287,7 @@
 	is.Equal(b.status(testKey), FirstRun)
 }
 
-// TestLostConnectionsAreClassified checks that crashes are told apart from connections that broke for
+// TestLostConnectionsAreClassified checks that crashes are distinguished from connections that broke for
 // another reason.
 func TestLostConnectionsAreClassified(t *testing.T) {
 	tests := map[string]struct {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -133,10 +133,10 @@
 		m.handleDigest(t, d, start)
 	}
 	m.send(membership.Peer{}, message{}, start)
-	news := out.last(t).GetNews()
-	is.Equal(len(news), 1) // the suspicion, which no hash covers
-	is.Equal(news[0].GetId(), "vm-001")
-	is.Equal(news[0].GetAddress(), "") // in its short form
+	updates := out.last(t).GetNews()
+	is.Equal(len(updates), 1) // the suspicion, which no hash covers
+	is.Equal(updates[0].GetId(), "vm-001")
+	is.Equal(updates[0].GetAddress(), "") // in its short form
 }
 
 func TestSilentVMIsProbedIndirectlyThenSuspected(t *testing.T) {
--- a/internal/standin/hosted/store.go
+++ b/internal/standin/hosted/store.go
@@ -31,7 +31,7 @@
 	changed chan struct{}
 	fault   Fault
 	calls   map[string]int
-	// staleItems and staleRevision are what stale reads see, where set.
+	// stale holds the items and the revision that stale reads see, where set.
 	stale *staleView
 }
 
--- a/internal/storeread/storeread_test.go
+++ b/internal/storeread/storeread_test.go
@@ -93,7 +93,7 @@
 }
 
 // In a series of changes the first zone by rank reads them with little delay, and the others less often: they learn
-// of them from it. In all zones the time between two answers keeps the zone's contact young enough that no VM takes
+// of them from it. In all zones the time between two answers keeps the zone's contact recent enough that no VM takes
 // over.
 func TestOneZoneReadsChangesWithShortPause(t *testing.T) {
 	is := is.New(t)
--- a/internal/syncd/reader.go
+++ b/internal/syncd/reader.go
@@ -54,8 +54,8 @@
 
 	mu sync.Mutex
 	// active is true while this VM reads. lastReached is when it reached the platform while it was
-	// not among the first by rank; it is set again at most once per readers.Hold. Both are guarded
-	// by mu.
+	// not among the first by rank; it is set again at most once per readers.TakeoverDuration. Both
+	// are guarded by mu.
 	active      bool
 	lastReached time.Time
 }
