--- a/internal/gather/manager.go
+++ b/internal/gather/manager.go
@@ -30,7 +30,7 @@
 // OrderManager keeps the tickets and runs the orders; *order.Manager implements it.
 type OrderManager interface {
 	Orders
-	// Drain stops issuing tickets, waits for running orders, and hands the records to other
+	// Drain stops minting tickets, waits for running orders, and hands the records to other
 	// gathers.
 	Drain(ctx context.Context)
 }
--- a/internal/gather/service.go
+++ b/internal/gather/service.go
@@ -18,7 +18,7 @@
 	Search(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*pb.SearchResponse, error)
 }
 
-// Orders issues tickets and executes orders.
+// Orders mints tickets and executes orders.
 type Orders interface {
 	IssueTicket(context.Context, *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error)
 	Order(context.Context, *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error)
--- a/internal/order/handover.go
+++ b/internal/order/handover.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Drain ends the orders of this incarnation. It stops issuing tickets, waits up to DrainGracePeriod
+// Drain ends the orders of this incarnation. It stops minting tickets, waits up to DrainGracePeriod
 // for tickets not yet used, seals the rest, waits for running orders and hands all records to
 // peers. If ctx ends first, orders still running are handed over as intents. It may be called once.
 func (m *Manager) Drain(ctx context.Context) {
--- a/internal/order/model_test.go
+++ b/internal/order/model_test.go
@@ -45,7 +45,7 @@
 type machine struct {
 	*world
 	entry   *Resolver
-	tickets []*issuedTicket
+	tickets []*mintedTicket
 }
 
 var testZones = map[string]string{"vm-1": "az-1", "vm-2": "az-1", "vm-3": "az-2", "vm-4": "az-2"}
@@ -83,11 +83,11 @@
 		parsed, _ := ticket.Parse(resp.GetTicket().GetTicket())
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.tickets = append(m.tickets, &issuedTicket{text: resp.GetTicket().GetTicket(), ticket: parsed, minter: n})
+		m.tickets = append(m.tickets, &mintedTicket{text: resp.GetTicket().GetTicket(), ticket: parsed, minter: n})
 	}()
 }
 
-func (m *machine) drawTicket(t *rapid.T) *issuedTicket {
+func (m *machine) drawTicket(t *rapid.T) *mintedTicket {
 	if len(m.tickets) == 0 {
 		t.Skip("no ticket yet")
 	}
@@ -98,14 +98,14 @@
 // gather does not answer.
 func (m *machine) send(t *rapid.T) { m.sendOf(t, m.drawTicket(t)) }
 
-func (m *machine) sendOf(t *rapid.T, i *issuedTicket) {
+func (m *machine) sendOf(t *rapid.T, i *mintedTicket) {
 	payload := rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(t, "payload")
 	timeout := rapid.SampledFrom([]time.Duration{50, 400, 3000}).Draw(t, "timeout") * time.Millisecond
 	go m.sendOnce(i, payload, timeout)
 	synctest.Wait()
 }
 
-func (m *machine) sendOnce(i *issuedTicket, payload string, timeout time.Duration) {
+func (m *machine) sendOnce(i *mintedTicket, payload string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req := orderRequest(i.text, payload)
@@ -119,7 +119,7 @@
 	m.recordAnswer(i, resp.GetOrder(), err, false)
 }
 
-func (m *machine) resolve(i *issuedTicket, order *pb.OrderRequest) {
+func (m *machine) resolve(i *mintedTicket, order *pb.OrderRequest) {
 	mustBeFinal := m.ended(i) && m.viewIsAccurate()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -137,13 +137,13 @@
 
 // ended reports whether the minter was killed without a drain, after which no handover can be in
 // progress.
-func (m *machine) ended(i *issuedTicket) bool {
+func (m *machine) ended(i *mintedTicket) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return i.minter.dead && !i.minter.draining
 }
 
-func (m *machine) recordAnswer(i *issuedTicket, resp *pb.OrderResponse, err error, mustBeFinal bool) {
+func (m *machine) recordAnswer(i *mintedTicket, resp *pb.OrderResponse, err error, mustBeFinal bool) {
 	outcomeErr, _ := outcome.As(err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -211,14 +211,14 @@
 	synctest.Wait()
 }
 
-// sendIntoFault issues a ticket and sends its order after arming a fault.
+// sendIntoFault mints a ticket and sends its order after arming a fault.
 func (m *machine) sendIntoFault(t *rapid.T) {
 	m.issue(t)
 	m.armFault(t)
 	m.sendOf(t, m.lastTicket(t))
 }
 
-func (m *machine) lastTicket(t *rapid.T) *issuedTicket {
+func (m *machine) lastTicket(t *rapid.T) *mintedTicket {
 	if len(m.tickets) == 0 {
 		t.Skip("no ticket yet")
 	}
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -28,13 +28,13 @@
 	TTL time.Duration
 	// RecordRetention is how long the record of a ticket is kept after the ticket's expiry.
 	RecordRetention time.Duration
-	// MaxTickets is the maximum number of tickets held. An issued ticket occupies its entry until
+	// MaxTickets is the maximum number of tickets held. A minted ticket occupies its entry until
 	// its record is dropped, so there is always room for its record.
 	MaxTickets int
 	// MaxCallerTickets is the maximum number of tickets held for one caller.
 	MaxCallerTickets int
 	// MaxResultBytes is the total size of held results, in bytes, from which no more tickets are
-	// issued.
+	// minted.
 	MaxResultBytes int
 	// NoteTimeout bounds the round trip to the witness before the first byte of the order is sent.
 	NoteTimeout time.Duration
@@ -43,7 +43,7 @@
 	SlotTimeout, SlotPollInterval time.Duration
 	// LateAnswerGracePeriod is how long the leaf's answer is awaited after the order's deadline.
 	LateAnswerGracePeriod time.Duration
-	// WitnessWait is how long after its start a gather waits for a witness before it issues a
+	// WitnessWait is how long after its start a gather waits for a witness before it mints a
 	// ticket without one. When a whole fleet starts, its gathers need a moment to discover each
 	// other.
 	WitnessWait time.Duration
@@ -135,7 +135,7 @@
 	resolver *Resolver
 	// pendingOutcomes are final records that have yet to be sent to their witnesses.
 	pendingOutcomes chan pendingOutcome
-	// draining is set when this gather starts to drain. No ticket is issued from then on.
+	// draining is set when this gather starts to drain. No ticket is minted from then on.
 	draining atomic.Bool
 }
 
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -15,7 +15,7 @@
 	"github.com/burdockplank/burdockplank/internal/upstream"
 )
 
-// inWorld runs a test under fake time against four gathers. Tickets are issued by vm-1, with vm-2
+// inWorld runs a test under fake time against four gathers. Tickets are minted by vm-1, with vm-2
 // as their witness.
 func inWorld(t *testing.T, test func(*is.I, *machine)) {
 	t.Helper()
@@ -27,14 +27,14 @@
 }
 
 // ticket returns a new ticket of vm-1.
-func (m *machine) ticket() *issuedTicket {
+func (m *machine) ticket() *mintedTicket {
 	m.issueAt("vm-1")
 	synctest.Wait()
 	return m.tickets[len(m.tickets)-1]
 }
 
 // sendOrder sends the order to vm-1 with ample time and returns the outcome as "kind reason".
-func (m *machine) sendOrder(i *issuedTicket, payload string) string {
+func (m *machine) sendOrder(i *mintedTicket, payload string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	_, err := m.node("vm-1").m.Order(ctx, orderRequest(i.text, payload))
@@ -42,7 +42,7 @@
 }
 
 // resolveTicket resolves the ticket without its gather.
-func (m *machine) resolveTicket(i *issuedTicket) string {
+func (m *machine) resolveTicket(i *mintedTicket) string {
 	_, err := m.entry.Resolve(context.Background(), i.ticket, "desk")
 	return outcomeText(err)
 }
--- a/internal/order/promise_test.go
+++ b/internal/order/promise_test.go
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("%s %v after %v", outcome.KindName(a.outcomeErr.Kind), a.outcomeErr, a.outcomeErr.RetryAfter)
 }
 
-// issuedTicket is a ticket with all answers to its sends, in order.
-type issuedTicket struct {
+// mintedTicket is a ticket with all answers to its sends, in order.
+type mintedTicket struct {
 	text    string
 	ticket  *ticket.Ticket
 	minter  *node
@@ -41,7 +41,7 @@
 }
 
 // violation returns which guarantee is broken, or "".
-func (i *issuedTicket) violation(runs int) string {
+func (i *mintedTicket) violation(runs int) string {
 	has := func(k pb.OutcomeKind) bool {
 		return slices.ContainsFunc(i.answers, func(a answer) bool { return a.kind() == k })
 	}
@@ -59,7 +59,7 @@
 }
 
 // changedAnswer returns how an answer is wrong or changed after it was final, or "".
-func (i *issuedTicket) changedAnswer() string {
+func (i *mintedTicket) changedAnswer() string {
 	final := false
 	for _, a := range i.answers {
 		if a.outcomeErr == nil && a.result != "done:"+i.text {
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -52,7 +52,7 @@
 	is.True(a.Sequence < b.Sequence)
 	m.count.Store(^uint32(0))
 	_, ok := m.Mint(grant())
-	is.True(!ok) // the numbers are used up, and none is issued twice
+	is.True(!ok) // the numbers are used up, and none is minted twice
 }
 
 func TestCheckDetectsEveryChange(t *testing.T) {
