--- a/internal/gather/service.go
+++ b/internal/gather/service.go
@@ -18,7 +18,7 @@
 	Search(ctx context.Context, identity *pb.Identity, req *pb.SearchRequest) (*pb.SearchResponse, error)
 }
 
-// Orders issues tickets and executes orders.
+// Orders mints tickets and executes orders.
 type Orders interface {
 	IssueTicket(context.Context, *pb.GatherIssueTicketRequest) (*pb.GatherIssueTicketResponse, error)
 	Order(context.Context, *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error)
@@ -69,7 +69,7 @@
 	return res, nil
 }
 
-// Order implements GatherService. Resends are answered even while draining. Only the gatherer that
+// Order implements GatherService. Resends are answered even while draining. Only the gather that
 // keeps the order's ticket knows whether the order may run and whether it has run.
 func (s *Service) Order(ctx context.Context, req *pb.GatherOrderRequest) (*pb.GatherOrderResponse, error) {
 	leave := s.admitter.AdmitOrder()
