--- a/scenarios/args_test.go
+++ b/scenarios/args_test.go
@@ -20,7 +20,7 @@
 	a := &arguments{options: make(map[string]string)}
 	for _, w := range args {
 		key, value, ok := strings.Cut(w, "=")
-		if ok && isOption(key) {
+		if ok && isOptionKey(key) {
 			a.options[key] = value
 			continue
 		}
@@ -29,8 +29,8 @@
 	return a
 }
 
-// isOption tells an option's key from text that happens to hold a "=".
-func isOption(key string) bool {
+// isOptionKey tells an option's key from text that happens to hold a "=".
+func isOptionKey(key string) bool {
 	return key != "" && strings.Trim(key, "abcdefghijklmnopqrstuvwxyz_") == ""
 }
 
@@ -41,30 +41,30 @@
 	return v, ok
 }
 
-func (a *arguments) text(key, otherwise string) string {
+func (a *arguments) text(key, defaultValue string) string {
 	if v, ok := a.take(key); ok {
 		return v
 	}
-	return otherwise
+	return defaultValue
 }
 
-func (a *arguments) number(key string, otherwise int) int {
+func (a *arguments) number(key string, defaultValue int) int {
 	v, ok := a.take(key)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
 	n, err := strconv.Atoi(v)
-	a.fail(err)
+	a.setError(err)
 	return n
 }
 
-func (a *arguments) duration(key string, otherwise time.Duration) time.Duration {
+func (a *arguments) duration(key string, defaultValue time.Duration) time.Duration {
 	v, ok := a.take(key)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
 	d, err := time.ParseDuration(v)
-	a.fail(err)
+	a.setError(err)
 	return d
 }
 
@@ -89,14 +89,14 @@
 	return name
 }
 
-func (a *arguments) fail(err error) {
+func (a *arguments) setError(err error) {
 	if a.err == nil {
 		a.err = err
 	}
 }
 
-// done returns the first error; the words must be from low to high in number.
-func (a *arguments) done(low, high int) error {
+// validate returns the first error; the words must be from low to high in number.
+func (a *arguments) validate(low, high int) error {
 	if a.err != nil {
 		return a.err
 	}
--- a/scenarios/await_test.go
+++ b/scenarios/await_test.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// readyBound is how long a fleet may take to be ready on a busy machine.
-	readyBound = 60 * time.Second
-	// awaitBound is how long a condition may take where the scenario promises no time.
-	awaitBound = 30 * time.Second
-	pollEvery  = 20 * time.Millisecond
+	// readyTimeout is how long a fleet may take to be ready on a busy machine.
+	readyTimeout = 60 * time.Second
+	// awaitTimeout is how long a condition may take where the scenario promises no time.
+	awaitTimeout = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 // await polls until the condition holds, that is until it returns nil, and fails at the bound with
 // the condition's last error.
-func await(what string, bound time.Duration, condition func() error) error {
+func await(what string, timeout time.Duration, condition func() error) error {
 	start := time.Now()
 	for {
 		err := condition()
 		if err == nil {
 			return nil
 		}
-		if time.Since(start) > bound {
-			return fmt.Errorf("%s: not within %s: %w", what, bound, err)
+		if time.Since(start) > timeout {
+			return fmt.Errorf("%s: not within %s: %w", what, timeout, err)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -36,8 +36,8 @@
 	return err
 }
 
-// ready returns what isn't ready among the processes; one that has ended is an error at once.
-func (f *fleet) ready(daemons []*daemon) error {
+// allReady returns what isn't ready among the processes; one that has ended is an error at once.
+func (f *fleet) allReady(daemons []*daemon) error {
 	for _, d := range daemons {
 		if !d.Running() {
 			return fmt.Errorf("%s has ended; its log ends:\n%s", d.Name(), d.LogTail())
@@ -108,8 +108,8 @@
 	return v, err == nil
 }
 
-// atVersion returns an error until each of the VMs' processes has the bundle version in force.
-func (f *fleet) atVersion(version float64, daemons []*daemon) error {
+// atBundleVersion returns an error until each of the VMs' processes has the bundle version in force.
+func (f *fleet) atBundleVersion(version float64, daemons []*daemon) error {
 	for _, d := range daemons {
 		v, err := f.metric(d.Name(), "burdock_bundle_version")
 		if err != nil {
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// refused returns an error until each of the processes has refused a bundle at least that often.
-func (f *fleet) refused(times float64, daemons []*daemon) error {
+// refusedAtLeast returns an error until each of the processes has refused a bundle at least that often.
+func (f *fleet) refusedAtLeast(times float64, daemons []*daemon) error {
 	for _, d := range daemons {
 		n, err := f.metric(d.Name(), "burdock_bundle_refused_total")
 		if err != nil {
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// counted returns an error until the metric, summed over the processes, is at least that high.
-func (f *fleet) counted(metric string, least float64, daemons []*daemon) error {
+// metricAtLeast returns an error until the metric, summed over the processes, is at least that high.
+func (f *fleet) metricAtLeast(metric string, minimum float64, daemons []*daemon) error {
 	sum := 0.0
 	for _, d := range daemons {
 		n, err := f.metric(d.Name(), metric)
@@ -145,8 +145,8 @@
 			sum += n
 		}
 	}
-	if sum < least {
-		return fmt.Errorf("%s is %g, want %g", metric, sum, least)
+	if sum < minimum {
+		return fmt.Errorf("%s is %g, want %g", metric, sum, minimum)
 	}
 	return nil
 }
--- a/scenarios/block_test.go
+++ b/scenarios/block_test.go
@@ -22,19 +22,19 @@
 
 // newBlock claims a block that no other scenario on the machine holds.
 func newBlock() (*block, error) {
-	var last error
+	var lastErr error
 	for range claimAttempts {
 		b := &block{a: 20 + rand.IntN(100), b: 2 * rand.IntN(127)}
-		claim, err := net.Listen("tcp", fmt.Sprintf("%s:%d", b.bind(claimHost), claimPort))
+		claim, err := net.Listen("tcp", fmt.Sprintf("%s:%d", b.bindIP(claimHost), claimPort))
 		if err == nil {
 			b.claim = claim
 			return b, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, fmt.Errorf("no free block of loopback addresses: %w", last)
+	return nil, fmt.Errorf("no free block of loopback addresses: %w", lastErr)
 }
 
-// bind is the address a process listens on, relayed the one at which the relay stands before it.
-func (b *block) bind(host int) string    { return fmt.Sprintf("127.%d.%d.%d", b.a, b.b, host) }
-func (b *block) relayed(host int) string { return fmt.Sprintf("127.%d.%d.%d", b.a, b.b+1, host) }
+// bindIP is the address a process listens on, relayed the one at which the relay stands before it.
+func (b *block) bindIP(host int) string  { return fmt.Sprintf("127.%d.%d.%d", b.a, b.b, host) }
+func (b *block) relayIP(host int) string { return fmt.Sprintf("127.%d.%d.%d", b.a, b.b+1, host) }
--- a/scenarios/caller_test.go
+++ b/scenarios/caller_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// readBytes is how much a slow caller reads at once.
-	readBytes = 16 << 10
-	// readBuffer is how much the kernel holds for a caller that doesn't read, so that the entry has
+	// readChunkBytes is how much a slow caller reads at once.
+	readChunkBytes = 16 << 10
+	// receiveBufferBytes is how much the kernel holds for a caller that doesn't read, so that the entry has
 	// to wait for a slow one.
-	readBuffer = 64 << 10
+	receiveBufferBytes = 64 << 10
 )
 
 // errCutOff ends a caller's connection in the middle of what it reads.
@@ -25,10 +25,10 @@
 
 // connection says how a caller is connected to an entry.
 type connection struct {
-	// slow is the wait before each read of readBytes at most.
-	slow time.Duration
-	// cutAfter is how many bytes the caller reads before its connection breaks; 0 is never.
-	cutAfter int
+	// readDelay is the wait before each read of readBytes at most.
+	readDelay time.Duration
+	// cutAfterBytes is how many bytes the caller reads before its connection breaks; 0 is never.
+	cutAfterBytes int
 	// http1 takes HTTP/1.1 in place of HTTP/2.
 	http1 bool
 }
@@ -49,8 +49,8 @@
 			if err != nil {
 				return nil, err
 			}
-			_ = conn.(*net.TCPConn).SetReadBuffer(readBuffer)
-			return &faultyConn{Conn: conn, fault: c, left: c.cutAfter}, nil
+			_ = conn.(*net.TCPConn).SetReadBuffer(receiveBufferBytes)
+			return &faultyConn{Conn: conn, fault: c, remaining: c.cutAfterBytes}, nil
 		},
 	}}
 }
@@ -66,24 +66,24 @@
 // faultyConn reads as its fault says. Its reads are made by one goroutine.
 type faultyConn struct {
 	net.Conn
-	fault connection
-	left  int
+	fault     connection
+	remaining int
 }
 
 // Read implements net.Conn.
 func (c *faultyConn) Read(b []byte) (int, error) {
-	if c.fault.slow > 0 {
-		time.Sleep(c.fault.slow)
-		b = b[:min(len(b), readBytes)]
+	if c.fault.readDelay > 0 {
+		time.Sleep(c.fault.readDelay)
+		b = b[:min(len(b), readChunkBytes)]
 	}
-	if c.fault.cutAfter == 0 {
+	if c.fault.cutAfterBytes == 0 {
 		return c.Conn.Read(b)
 	}
-	if c.left <= 0 {
+	if c.remaining <= 0 {
 		_ = c.Close()
 		return 0, errCutOff
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(b[:min(len(b), c.remaining)])
+	c.remaining -= n
 	return n, err
 }
--- a/scenarios/control_test.go
+++ b/scenarios/control_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// control speaks to the control listeners of stand-ins and the operator listeners of processes. It
+// controlClient speaks to the control listeners of stand-ins and the operator listeners of processes. It
 // makes a connection for each request, so that nothing is kept over a kill or a freeze.
-var control = &http.Client{
+var controlClient = &http.Client{
 	Timeout:   10 * time.Second,
 	Transport: &http.Transport{DisableKeepAlives: true},
 }
 
 func get(url string) (string, error) {
-	res, err := control.Get(url)
+	res, err := controlClient.Get(url)
 	if err != nil {
 		return "", err
 	}
-	return bodyOf(res)
+	return readBody(res)
 }
 
 func put(url string, body []byte) error {
@@ -29,11 +29,11 @@
 	if err != nil {
 		return err
 	}
-	res, err := control.Do(req)
+	res, err := controlClient.Do(req)
 	if err != nil {
 		return err
 	}
-	_, err = bodyOf(res)
+	_, err = readBody(res)
 	return err
 }
 
@@ -45,8 +45,8 @@
 	return put(url, body)
 }
 
-// bodyOf reads and closes the body; a status other than 2xx is an error.
-func bodyOf(res *http.Response) (string, error) {
+// readBody reads and closes the body; a status other than 2xx is an error.
+func readBody(res *http.Response) (string, error) {
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
--- a/scenarios/expect_test.go
+++ b/scenarios/expect_test.go
@@ -66,7 +66,7 @@
 	if r.err != nil {
 		return fmt.Errorf("no typed outcome: %w", r.err)
 	}
-	if err := ownAnswer(r); err != nil {
+	if err := checkOwnAnswer(r); err != nil {
 		return err
 	}
 	for _, w := range wants {
@@ -76,7 +76,7 @@
 		case !ok:
 			key, value, got = "outcome", w, outcomeOf(r)
 		case key == "within":
-			if err := tookWithin(r, value); err != nil {
+			if err := elapsedWithin(r, value); err != nil {
 				return err
 			}
 			continue
@@ -102,19 +102,19 @@
 	return outcome.KindName(r.outcome.GetKind())
 }
 
-func tookWithin(r *reply, value string) error {
+func elapsedWithin(r *reply, value string) error {
 	bound, err := time.ParseDuration(value)
 	if err != nil {
 		return err
 	}
-	if r.took > bound {
-		return fmt.Errorf("the reply took %s, want at most %s", r.took, bound)
+	if r.elapsed > bound {
+		return fmt.Errorf("the reply took %s, want at most %s", r.elapsed, bound)
 	}
 	return nil
 }
 
-// ownAnswer refuses hits that another query or another snapshot has produced; every expect checks it.
-func ownAnswer(r *reply) error {
+// checkOwnAnswer refuses hits that another query or another snapshot has produced; every expect checks it.
+func checkOwnAnswer(r *reply) error {
 	if r.search == nil {
 		return nil
 	}
--- a/scenarios/fleet_test.go
+++ b/scenarios/fleet_test.go
@@ -42,25 +42,25 @@
 	relay   *relay
 
 	reviewers []reviewer
-	// text and digest of the newest bundle that was published with all signatures.
-	text   string
-	digest bundle.Digest
+	// bundleText and digest of the newest bundle that was published with all signatures.
+	bundleText   string
+	bundleDigest bundle.Digest
 	// bundles holds those published with all signatures, by version.
 	bundles map[uint64]*bundle.Bundle
 	// states holds what the platform's list says of a VM or leaf where it isn't live.
 	states map[string]platform.State
 
-	// published and revisions hold, by version, when a manifest was sent to the platform last, and
+	// publishedAt and revisions hold, by version, when a manifest was sent to the platform last, and
 	// the revision that it got; offered is the digest of the newest, signed well or not.
-	published map[uint64]time.Time
-	revisions map[uint64]uint64
-	offered   bundle.Digest
-	// listedLeaving holds since when the platform's list says of a leaf that it leaves.
-	listedLeaving map[string]time.Time
+	publishedAt   map[uint64]time.Time
+	revisions     map[uint64]uint64
+	offeredDigest bundle.Digest
+	// listedLeavingSince holds since when the platform's list says of a leaf that it leaves.
+	listedLeavingSince map[string]time.Time
 	// listLag is what the verb lag set.
 	listLag time.Duration
-	// note writes to the scenario's log.
-	note func(format string, args ...any)
+	// logf writes to the scenario's log.
+	logf func(format string, args ...any)
 	// watcher is nil until the verb watch.
 	watcher *watcher
 
@@ -80,8 +80,8 @@
 	}
 	f := &fleet{dir: dir, block: b, layout: l, states: make(map[string]platform.State), requests: newRequests(),
 		bundles: make(map[uint64]*bundle.Bundle), loads: make(map[string]*load),
-		traffic: make(map[string]*trafficRun), published: make(map[uint64]time.Time), revisions: make(map[uint64]uint64),
-		listedLeaving: make(map[string]time.Time),
+		traffic: make(map[string]*trafficRun), publishedAt: make(map[uint64]time.Time), revisions: make(map[uint64]uint64),
+		listedLeavingSince: make(map[string]time.Time),
 	}
 	f.platformNode = l.node(b, platformName, "", platformHost)
 	f.vms, f.leaves = l.vmNodes(b), l.leafNodes(b)
@@ -91,11 +91,11 @@
 		key := ed25519.NewKeyFromSeed(seed)
 		f.reviewers = append(f.reviewers, reviewer{id: bundle.KeyID(key.Public().(ed25519.PublicKey)), key: key})
 	}
-	return f, f.layOut()
+	return f, f.writeSettingsFiles()
 }
 
-// layOut writes settings files and names the processes.
-func (f *fleet) layOut() error {
+// writeSettingsFiles writes settings files and names the processes.
+func (f *fleet) writeSettingsFiles() error {
 	f.add(platformName, "burdock-standin", "platform",
 		"--listen", fmt.Sprintf("%s:%d", f.platformNode.bind, platformPort),
 		"--control", f.platformControl())
@@ -184,7 +184,7 @@
 	if err := f.startRole(platformName); err != nil {
 		return err
 	}
-	if err := await("the platform's stand-in", readyBound, f.platformUp); err != nil {
+	if err := await("the platform's stand-in", readyTimeout, f.platformUp); err != nil {
 		return err
 	}
 	if err := putJSON(f.platformURL("/list"), f.list()); err != nil {
@@ -198,7 +198,7 @@
 			return err
 		}
 	}
-	return await("everything ready", readyBound, func() error { return f.ready(f.daemons) })
+	return await("everything ready", readyTimeout, func() error { return f.allReady(f.daemons) })
 }
 
 // startRole starts all processes of a role.
@@ -244,10 +244,10 @@
 	return append(append([]*node{f.platformNode}, f.vms...), f.leaves...)
 }
 
-// names resolves what a cut can name: a node, a zone with its VMs and leaves, "vms" or "leaves".
-func (f *fleet) names(what string) ([]string, error) {
+// resolveNodeNames resolves what a cut can name: a node, a zone with its VMs and leaves, "vms" or "leaves".
+func (f *fleet) resolveNodeNames(what string) ([]string, error) {
 	var names []string
-	what = f.alias(what)
+	what = f.resolveAlias(what)
 	for _, n := range f.nodes() {
 		if n.name == what || n.zone == what {
 			names = append(names, n.name)
@@ -265,9 +265,9 @@
 	return names, nil
 }
 
-// alias puts the name of a VM in the place of minter-of-T and witness-of-T, which are the VM whose
+// resolveAlias puts the name of a VM in the place of minter-of-T and witness-of-T, which are the VM whose
 // gather minted the ticket T and the one that is its witness.
-func (f *fleet) alias(what string) string {
+func (f *fleet) resolveAlias(what string) string {
 	role, of, ok := strings.Cut(what, "/")
 	if !ok {
 		role, of = "", what
@@ -293,11 +293,11 @@
 	return names
 }
 
-// find returns the processes that a verb names: entry/vm-1, vm-1 for all of a VM, a leaf, a role
+// findProcesses returns the processes that a verb names: entry/vm-1, vm-1 for all of a VM, a leaf, a role
 // such as "gather" for all of it, "platform", or "everywhere".
-func (f *fleet) find(what string) ([]*daemon, error) {
+func (f *fleet) findProcesses(what string) ([]*daemon, error) {
 	var found []*daemon
-	what = f.alias(what)
+	what = f.resolveAlias(what)
 	for _, d := range f.daemons {
 		role, of, _ := strings.Cut(d.Name(), "/")
 		if what == "everywhere" || slices.Contains([]string{d.Name(), role, of}, what) {
@@ -310,11 +310,11 @@
 	return found, nil
 }
 
-// findAll is find over several words; none is an error.
-func (f *fleet) findAll(words []string) ([]*daemon, error) {
+// findAllProcesses is find over several words; none is an error.
+func (f *fleet) findAllProcesses(words []string) ([]*daemon, error) {
 	var all []*daemon
 	for _, w := range words {
-		found, err := f.find(w)
+		found, err := f.findProcesses(w)
 		if err != nil {
 			return nil, err
 		}
@@ -326,7 +326,7 @@
 	return all, nil
 }
 
-func (f *fleet) vm(name string) (*node, error)   { return nodeNamed(f.vms, f.alias(name)) }
+func (f *fleet) vm(name string) (*node, error)   { return nodeNamed(f.vms, f.resolveAlias(name)) }
 func (f *fleet) leaf(name string) (*node, error) { return nodeNamed(f.leaves, name) }
 
 func nodeNamed(nodes []*node, name string) (*node, error) {
@@ -372,7 +372,7 @@
 	if f.watcher != nil {
 		problems = f.watcher.finish()
 	}
-	var asked []*daemon
+	var terminating []*daemon
 	for _, d := range slices.Backward(f.daemons) {
 		if !d.Running() {
 			continue
@@ -381,9 +381,9 @@
 			problems = errors.Join(problems, err)
 			continue
 		}
-		asked = append(asked, d)
+		terminating = append(terminating, d)
 	}
-	for _, d := range asked {
+	for _, d := range terminating {
 		problems = errors.Join(problems, d.Ended())
 	}
 	if f.relay != nil {
--- a/scenarios/history_order_test.go
+++ b/scenarios/history_order_test.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// historyFor is how long callers send orders while faults come and go.
-	historyFor = 15 * time.Second
+	// historyDuration is how long callers send orders while faults come and go.
+	historyDuration = 15 * time.Second
 	// historyCallers send at the same time.
 	historyCallers = 16
 	// sendTimeout is the deadline of one send, above the kind's own.
 	sendTimeout = 3 * time.Second
-	// sendsAtMost bounds how often one order is sent in a row while it has no final outcome.
-	sendsAtMost = 12
-	// comeBackAtMost bounds how long a caller waits before it sends again.
-	comeBackAtMost = 300 * time.Millisecond
+	// maxSends bounds how often one order is sent in a row while it has no final outcome.
+	maxSends = 12
+	// maxRetryWait bounds how long a caller waits before it sends again.
+	maxRetryWait = 300 * time.Millisecond
 	// thinkTime is between two orders of one caller.
 	thinkTime = 20 * time.Millisecond
 	// settleWorkers send through each entry at the end.
 	settleWorkers = 4
 )
 
-// sent is one send of an order, with the reply.
-type sent struct {
-	ticket       int
-	caller       int
-	entry        string
-	called, back time.Duration
-	reply        *reply
+// orderSend is one send of an order, with the reply.
+type orderSend struct {
+	ticket            int
+	caller            int
+	entry             string
+	sentAt, repliedAt time.Duration
+	reply             *reply
 }
 
 // bookedOrder is what one ticket is for.
@@ -54,34 +54,34 @@
 	mu sync.Mutex
 	// Guarded by mu.
 	orders []bookedOrder
-	sends  []sent
+	sends  []orderSend
 	// refused counts tickets that were not issued.
 	refused int
-	// callerEnds counts orders by how they ended for their callers.
-	callerEnds map[callerEnd]int
+	// callerOutcomes counts orders by how they ended for their callers.
+	callerOutcomes map[callerOutcome]int
 }
 
-// callerEnd is how an order ended for its caller.
-type callerEnd string
+// callerOutcome is how an order ended for its caller.
+type callerOutcome string
 
 // The ends of orders for their callers.
 const (
-	endAnswered  callerEnd = "answered"
-	endNever     callerEnd = "never run"
-	endUnknown   callerEnd = "unknown"
-	endUndecided callerEnd = "undecided"
+	outcomeAnswered  callerOutcome = "answered"
+	outcomeNeverRun  callerOutcome = "never run"
+	outcomeUnknown   callerOutcome = "unknown"
+	outcomeUndecided callerOutcome = "undecided"
 )
 
-func (h *orderHistory) ended(e callerEnd) {
+func (h *orderHistory) countOutcome(e callerOutcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.callerEnds == nil {
-		h.callerEnds = make(map[callerEnd]int)
+	if h.callerOutcomes == nil {
+		h.callerOutcomes = make(map[callerOutcome]int)
 	}
-	h.callerEnds[e]++
+	h.callerOutcomes[e]++
 }
 
-func (h *orderHistory) add(s sent) {
+func (h *orderHistory) add(s orderSend) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sends = append(h.sends, s)
@@ -97,7 +97,7 @@
 	}}
 	called := time.Since(h.start)
 	rep := q.send()
-	h.add(sent{ticket: ticket, caller: caller, entry: entry.name, called: called, back: time.Since(h.start), reply: rep})
+	h.add(orderSend{ticket: ticket, caller: caller, entry: entry.name, sentAt: called, repliedAt: time.Since(h.start), reply: rep})
 	return rep
 }
 
@@ -114,13 +114,13 @@
 // run books one order after another until ctx ends.
 func (c *orderCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.one(ctx)
-		pause(ctx, thinkTime)
+		c.bookOne(ctx)
+		sleep(ctx, thinkTime)
 	}
 }
 
-// one gets a ticket and books its order.
-func (c *orderCaller) one(ctx context.Context) {
+// bookOne gets a ticket and books its order.
+func (c *orderCaller) bookOne(ctx context.Context) {
 	q := &request{entry: c.anyVM(), token: callerToken, timeout: sendTimeout, issue: &pb.IssueTicketRequest{Service: serviceName, Kind: orderKind}}
 	text := q.send().issue.GetTicket()
 	c.h.mu.Lock()
@@ -138,18 +138,18 @@
 // book sends an order, at once through up to three entries, until it has a final outcome; now and
 // then once more after that.
 func (c *orderCaller) book(ctx context.Context, ticket int) {
-	end := endUndecided
-	for range sendsAtMost {
+	end := outcomeUndecided
+	for range maxSends {
 		reps := c.sendAtOnce(ticket, 1+c.random.IntN(3))
 		for _, rep := range reps {
 			end = end.after(rep)
 		}
-		if end != endUndecided && c.random.IntN(4) > 0 {
+		if end != outcomeUndecided && c.random.IntN(4) > 0 {
 			break
 		}
-		pause(ctx, min(comeBackAtMost, max(thinkTime, reps[0].outcome.GetRetryAfter().AsDuration())))
+		sleep(ctx, min(maxRetryWait, max(thinkTime, reps[0].outcome.GetRetryAfter().AsDuration())))
 	}
-	c.h.ended(end)
+	c.h.countOutcome(end)
 }
 
 // sendAtOnce sends through n entries drawn at random.
@@ -165,21 +165,21 @@
 }
 
 // after returns the end that a caller knows after a further reply: an answer or "never" decides.
-func (e callerEnd) after(r *reply) callerEnd {
+func (e callerOutcome) after(r *reply) callerOutcome {
 	switch {
-	case e == endAnswered || e == endNever:
+	case e == outcomeAnswered || e == outcomeNeverRun:
 		return e
-	case answered(r):
-		return endAnswered
-	case never(r):
-		return endNever
-	case final(r):
-		return endUnknown
+	case isAnswered(r):
+		return outcomeAnswered
+	case isNeverRun(r):
+		return outcomeNeverRun
+	case isFinal(r):
+		return outcomeUnknown
 	}
 	return e
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -188,20 +188,20 @@
 	}
 }
 
-// final tells whether the reply decides the order: answered, never, or unknown without a time to
+// isFinal tells whether the reply decides the order: answered, never, or unknown without a time to
 // come back.
-func final(r *reply) bool {
-	return answered(r) || never(r) ||
+func isFinal(r *reply) bool {
+	return isAnswered(r) || isNeverRun(r) ||
 		r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_UNKNOWN && r.outcome.GetRetryAfter() == nil
 }
 
-func answered(r *reply) bool {
+func isAnswered(r *reply) bool {
 	return r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE
 }
 
-// never tells whether the reply says that the order of the ticket will never run, which only the
+// isNeverRun tells whether the reply says that the order of the ticket will never run, which only the
 // ticket's own keepers can; any other not_run speaks of one send.
-func never(r *reply) bool {
+func isNeverRun(r *reply) bool {
 	return r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN && strings.HasPrefix(r.outcome.GetStep(), "order.")
 }
 
@@ -237,12 +237,12 @@
 	case o.reply == nil:
 		ok := o.executions == 0 && !s.executed || o.executions == 1 && !s.never
 		return ok, s
-	case answered(o.reply):
+	case isAnswered(o.reply):
 		first := !o.reply.order.GetReplayed()
 		ok := !s.never && o.reply.order.GetResult() == "done:"+ticket && !(first && s.answeredFirst)
 		s.executed, s.answeredFirst = true, s.answeredFirst || first
 		return ok, s
-	case never(o.reply):
+	case isNeverRun(o.reply):
 		ok := !s.executed
 		s.never = true
 		return ok, s
@@ -265,15 +265,15 @@
 // check compares the history with the leaves' journals; it returns what breaks a promise.
 func (h *orderHistory) check(lines []leaf.FileLine) []string {
 	byTicket, byRequest := executionsBy(lines)
-	var broken []string
+	var violations []string
 	ops := make([][]porcupine.Operation, len(h.orders))
 	for _, s := range h.sends {
 		if s.reply.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN && byRequest[s.reply.requestID()] > 0 {
-			broken = append(broken, fmt.Sprintf("ticket %d: a leaf ran the request of %s", s.ticket, s.reply))
+			violations = append(violations, fmt.Sprintf("ticket %d: a leaf ran the request of %s", s.ticket, s.reply))
 		}
 		ops[s.ticket] = append(ops[s.ticket], porcupine.Operation{
 			ClientId: len(ops[s.ticket]), Input: h.orders[s.ticket].ticket, Output: ticketOutput{reply: s.reply},
-			Call: int64(s.called), Return: int64(s.back),
+			Call: int64(s.sentAt), Return: int64(s.repliedAt),
 		})
 	}
 	end := int64(time.Since(h.start))
@@ -284,14 +284,14 @@
 		if porcupine.CheckOperations(ticketModel, all) {
 			continue
 		}
-		broken = append(broken, fmt.Sprintf("ticket %d: no order of its sends explains what they got, with %d executions", i, byTicket[o.ticket]))
+		violations = append(violations, fmt.Sprintf("ticket %d: no order of its sends explains what they got, with %d executions", i, byTicket[o.ticket]))
 		for _, s := range h.sends {
 			if s.ticket == i {
-				broken = append(broken, fmt.Sprintf("    %8s to %8s through %s: %s", s.called.Round(time.Millisecond), s.back.Round(time.Millisecond), s.entry, s.reply))
+				violations = append(violations, fmt.Sprintf("    %8s to %8s through %s: %s", s.sentAt.Round(time.Millisecond), s.repliedAt.Round(time.Millisecond), s.entry, s.reply))
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
 // TestOrderHistory runs many callers against random faults: no order runs twice, none that was said
@@ -299,30 +299,30 @@
 func TestOrderHistory(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	seed := seedOf(t)
+	seed := runSeed(t)
 	l := defaultLayout()
 	l.Relay, l.VMs, l.Zones, l.Shards, l.Replicas = true, 4, 2, 2, 2
 	f := startFleet(t, l)
 	h := &orderHistory{start: time.Now()}
-	ctx, cancel := context.WithTimeout(t.Context(), historyFor)
+	ctx, cancel := context.WithTimeout(t.Context(), historyDuration)
 	defer cancel()
 	var callers sync.WaitGroup
 	for i := range historyCallers {
 		c := &orderCaller{f: f, h: h, id: i, random: rand.New(rand.NewPCG(seed, uint64(i)+1))}
 		callers.Go(func() { c.run(ctx) })
 	}
-	m := &mischief{f: f, random: rand.New(rand.NewPCG(seed, 0)), log: t.Logf}
+	m := &faultInjector{f: f, random: rand.New(rand.NewPCG(seed, 0)), log: t.Logf}
 	is.NoErr(m.run(ctx, orderFaults()))
 	callers.Wait()
-	is.NoErr(await("everything ready", readyBound, func() error { return f.ready(f.daemons) }))
+	is.NoErr(await("everything ready", readyTimeout, func() error { return f.allReady(f.daemons) }))
 	h.settle(f)
 	written, err := f.journal()
 	is.NoErr(err)
-	t.Logf("%d orders, %d sends, %d tickets refused; ends: %v", len(h.orders), len(h.sends), h.refused, h.callerEnds)
+	t.Logf("%d orders, %d sends, %d tickets refused; ends: %v", len(h.orders), len(h.sends), h.refused, h.callerOutcomes)
 	for _, b := range h.check(written.lines) {
 		t.Error(b)
 	}
-	is.True(h.callerEnds[endAnswered] > historyCallers) // the run means something
+	is.True(h.callerOutcomes[outcomeAnswered] > historyCallers) // the run means something
 }
 
 // settle sends every order once more through every entry, after all faults.
--- a/scenarios/history_test.go
+++ b/scenarios/history_test.go
@@ -71,7 +71,7 @@
 
 // checkAnswer checks an answered search.
 func (f *fleet) checkAnswer(r *reply, j *journal) error {
-	if err := ownAnswer(r); err != nil {
+	if err := checkOwnAnswer(r); err != nil {
 		return err
 	}
 	snapshot, topK, err := f.snapshotOf(r)
@@ -98,7 +98,7 @@
 	if !exact {
 		return nil // several replicas answered a shard, with unlike hits; any of them is right
 	}
-	return sameHits(r.search.GetHits(), bestOf(best, topK))
+	return sameHits(r.search.GetHits(), topHits(best, topK))
 }
 
 // snapshotOf finds the shard map of the answer and how many hits were asked for.
@@ -150,8 +150,8 @@
 	return covered, nil
 }
 
-// bestOf returns the topK best hits, in the order in which an answer has them.
-func bestOf(hits []*pb.Hit, topK int) []*pb.Hit {
+// topHits returns the topK best hits, in the order in which an answer has them.
+func topHits(hits []*pb.Hit, topK int) []*pb.Hit {
 	slices.SortFunc(hits, func(a, b *pb.Hit) int {
 		return cmp.Or(cmp.Compare(b.GetScore(), a.GetScore()), cmp.Compare(a.GetDocument(), b.GetDocument()), cmp.Compare(a.GetShard(), b.GetShard()))
 	})
--- a/scenarios/layout_test.go
+++ b/scenarios/layout_test.go
@@ -98,9 +98,9 @@
 }
 
 func (l layout) node(b *block, name, zone string, host int) *node {
-	n := &node{name: name, zone: zone, bind: b.bind(host), address: b.bind(host)}
+	n := &node{name: name, zone: zone, bind: b.bindIP(host), address: b.bindIP(host)}
 	if l.Relay {
-		n.address = b.relayed(host)
+		n.address = b.relayIP(host)
 	}
 	return n
 }
--- a/scenarios/load_test.go
+++ b/scenarios/load_test.go
@@ -19,16 +19,16 @@
 	fleet   *fleet
 	callers int
 	kinds   []string
-	vias    []*node
+	entries []*node
 	topKs   []int32
 	timeout time.Duration
 	pause   time.Duration
-	// texts is how many texts the callers share; 0 is a text of its own for each search.
-	texts int
+	// textCount is how many texts the callers share; 0 is a text of its own for each search.
+	textCount int
 	// connection is how each caller is connected; where cuts is set each request has a connection that
 	// breaks after 1 to that many bytes.
-	connection connection
-	cuts       int
+	connection  connection
+	maxCutBytes int
 	// text is the only one where it is set, word else part of every text.
 	text string
 	word string
@@ -87,8 +87,8 @@
 		}
 		q := l.request(caller, n, random)
 		q.client, q.connection = client, l.connection
-		if l.cuts > 0 {
-			q.client, q.connection.cutAfter = nil, 1+random.IntN(l.cuts)
+		if l.maxCutBytes > 0 {
+			q.client, q.connection.cutAfterBytes = nil, 1+random.IntN(l.maxCutBytes)
 		}
 		if q.search.GetKind() != orderKind {
 			l.send(q)
@@ -130,15 +130,15 @@
 	switch {
 	case l.text != "":
 		text = l.text
-	case l.texts > 0:
-		text = fmt.Sprintf("%s shared %d", l.word, random.IntN(l.texts))
+	case l.textCount > 0:
+		text = fmt.Sprintf("%s shared %d", l.word, random.IntN(l.textCount))
 	}
 	token := callerToken
 	if caller%4 >= 2 {
 		token = otherToken
 	}
 	return &request{
-		entry: l.vias[random.IntN(len(l.vias))], token: token, timeout: l.timeout,
+		entry: l.entries[random.IntN(len(l.entries))], token: token, timeout: l.timeout,
 		search: &pb.SearchRequest{
 			Service: serviceName, Kind: l.kinds[random.IntN(len(l.kinds))], Query: text,
 			TopK: l.topKs[random.IntN(len(l.topKs))],
@@ -182,7 +182,7 @@
 		if t.outcomes[name]++; t.outcomes[name] == 1 {
 			t.first[name] = r
 		}
-		t.longest = max(t.longest, r.took)
+		t.longest = max(t.longest, r.elapsed)
 	}
 	return t
 }
@@ -203,7 +203,7 @@
 	only := strings.Split(a.text("only", "answered_whole,answered_partial,not_run,failed"), ",")
 	saw := strings.FieldsFunc(a.text("saw", ""), func(r rune) bool { return r == ',' })
 	within := a.duration("within", time.Hour)
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	for name, n := range t.outcomes {
--- a/scenarios/main_test.go
+++ b/scenarios/main_test.go
@@ -55,9 +55,9 @@
 	})
 }
 
-// misleading are testscript's own commands that a script could take for verbs here: stop and skip
+// misleadingCommand are testscript's own commands that a script could take for verbs here: stop and skip
 // end it as passed, kill knows only what exec started.
-var misleading = regexp.MustCompile(`(?m)^\s*!?\s*(stop|skip|kill|wait)\b.*`)
+var misleadingCommand = regexp.MustCompile(`(?m)^\s*!?\s*(stop|skip|kill|wait)\b.*`)
 
 func TestScriptsHoldNoMisleadingCommand(t *testing.T) {
 	is := is.New(t)
@@ -67,6 +67,6 @@
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		is.NoErr(err)
-		is.Equal(misleading.FindString(string(text)), "") // use shutdown, crash or reply
+		is.Equal(misleadingCommand.FindString(string(text)), "") // use shutdown, crash or reply
 	}
 }
--- a/scenarios/mischief_test.go
+++ b/scenarios/mischief_test.go
@@ -12,8 +12,8 @@
 
 var seedFlag = flag.Uint64("seed", 0, "seed of the random faults; drawn anew where it is 0")
 
-// seedOf returns the seed of a run and prints it.
-func seedOf(t *testing.T) uint64 {
+// runSeed returns the seed of a run and prints it.
+func runSeed(t *testing.T) uint64 {
 	seed := *seedFlag
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -40,19 +40,19 @@
 	return f
 }
 
-// mishap is one fault that begins and ends.
-type mishap struct {
+// injectedFault is one fault that begins and ends.
+type injectedFault struct {
 	name       string
 	begin, end func() error
-	// hold is how long it lasts.
-	hold time.Duration
+	// duration is how long it lasts.
+	duration time.Duration
 }
 
 // faultKind draws a mishap of its kind.
-type faultKind func(m *mischief) mishap
+type faultKind func(m *faultInjector) injectedFault
 
-// mischief lets random faults happen, up to two at a time. It belongs to one goroutine.
-type mischief struct {
+// faultInjector lets random faults happen, up to two at a time. It belongs to one goroutine.
+type faultInjector struct {
 	f      *fleet
 	random *rand.Rand
 	log    func(format string, args ...any)
@@ -60,36 +60,36 @@
 }
 
 // run lets faults of the kinds happen until ctx ends, then undoes what still holds.
-func (m *mischief) run(ctx context.Context, kinds []faultKind) error {
+func (m *faultInjector) run(ctx context.Context, kinds []faultKind) error {
 	m.start = time.Now()
 	for ctx.Err() == nil {
 		first := kinds[m.random.IntN(len(kinds))](m)
 		if err := m.begin(first); err != nil {
 			return err
 		}
-		pause(ctx, m.between(0, first.hold))
-		err := m.another(ctx, kinds, first)
-		pause(ctx, m.between(0, first.hold))
+		sleep(ctx, m.between(0, first.duration))
+		err := m.injectSecond(ctx, kinds, first)
+		sleep(ctx, m.between(0, first.duration))
 		if err := errors.Join(err, m.end(first)); err != nil {
 			return err
 		}
-		pause(ctx, m.between(100*time.Millisecond, 600*time.Millisecond))
+		sleep(ctx, m.between(100*time.Millisecond, 600*time.Millisecond))
 	}
 	return nil
 }
 
-// another lets a second fault happen while the first holds; one that needs a process that the first
+// injectSecond lets a second fault happen while the first holds; one that needs a process that the first
 // has taken away is passed over.
-func (m *mischief) another(ctx context.Context, kinds []faultKind, first mishap) error {
+func (m *faultInjector) injectSecond(ctx context.Context, kinds []faultKind, first injectedFault) error {
 	second := kinds[m.random.IntN(len(kinds))](m)
 	if second.name == first.name || m.begin(second) != nil {
 		return nil
 	}
-	pause(ctx, m.between(0, second.hold))
+	sleep(ctx, m.between(0, second.duration))
 	return m.end(second)
 }
 
-func (m *mischief) begin(h mishap) error {
+func (m *faultInjector) begin(h injectedFault) error {
 	if err := h.begin(); err != nil {
 		m.log("%6dms can't begin: %s: %v", time.Since(m.start).Milliseconds(), h.name, err)
 		return err
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (m *mischief) end(h mishap) error {
+func (m *faultInjector) end(h injectedFault) error {
 	m.log("%6dms over: %s", time.Since(m.start).Milliseconds(), h.name)
 	if err := h.end(); err != nil {
 		return fmt.Errorf("end %s: %w", h.name, err)
@@ -106,24 +106,24 @@
 	return nil
 }
 
-func (m *mischief) between(low, high time.Duration) time.Duration {
+func (m *faultInjector) between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
 	}
 	return low + time.Duration(m.random.Int64N(int64(high-low)))
 }
 
-func (m *mischief) vm() *node   { return m.f.vms[m.random.IntN(len(m.f.vms))] }
-func (m *mischief) leaf() *node { return m.f.leaves[m.random.IntN(len(m.f.leaves))] }
+func (m *faultInjector) vm() *node   { return m.f.vms[m.random.IntN(len(m.f.vms))] }
+func (m *faultInjector) leaf() *node { return m.f.leaves[m.random.IntN(len(m.f.leaves))] }
 
 // processes draws one process of a VM, a leaf, or all three of a VM.
-func (m *mischief) processes() (name string, ds []*daemon) {
+func (m *faultInjector) processes() (name string, ds []*daemon) {
 	names := []string{
 		"gather/" + m.vm().name, "gather/" + m.vm().name, "entry/" + m.vm().name, "sync/" + m.vm().name,
 		"leaf/" + m.leaf().name, m.vm().name,
 	}
 	name = names[m.random.IntN(len(names))]
-	ds, _ = m.f.find(name)
+	ds, _ = m.f.findProcesses(name)
 	return name, ds
 }
 
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// allUntouched is an error where one of the processes is gone or frozen by another fault.
-func allUntouched(ds []*daemon) error {
+// allAvailable is an error where one of the processes is gone or frozen by another fault.
+func allAvailable(ds []*daemon) error {
 	return eachOf(ds, func(d *daemon) error {
 		if !d.Running() || d.Frozen() {
 			return errors.New("taken by another fault")
@@ -147,40 +147,40 @@
 	})
 }
 
-// crashes kills processes and starts them again at the same addresses.
-func crashes(m *mischief) mishap {
+// crashFault kills processes and starts them again at the same addresses.
+func crashFault(m *faultInjector) injectedFault {
 	name, ds := m.processes()
-	return mishap{
-		name: "crash " + name, hold: m.between(0, 2*time.Second),
-		begin: func() error { return errors.Join(allUntouched(ds), eachIfFree(ds, (*daemon).Kill)) },
+	return injectedFault{
+		name: "crash " + name, duration: m.between(0, 2*time.Second),
+		begin: func() error { return errors.Join(allAvailable(ds), eachIfAvailable(ds, (*daemon).Kill)) },
 		end:   func() error { return eachOf(ds, (*daemon).Start) },
 	}
 }
 
-// eachIfFree is eachOf where no other fault holds any of the processes.
-func eachIfFree(ds []*daemon, action func(*daemon) error) error {
-	if allUntouched(ds) != nil {
+// eachIfAvailable is eachOf where no other fault holds any of the processes.
+func eachIfAvailable(ds []*daemon, action func(*daemon) error) error {
+	if allAvailable(ds) != nil {
 		return nil
 	}
 	return eachOf(ds, action)
 }
 
-// freezes stops processes for up to 4 s, beyond the deadline of an order, and wakes them.
-func freezes(m *mischief) mishap {
+// freezeFault stops processes for up to 4 s, beyond the deadline of an order, and wakes them.
+func freezeFault(m *faultInjector) injectedFault {
 	name, ds := m.processes()
-	return mishap{
-		name: "freeze " + name, hold: m.between(200*time.Millisecond, 4*time.Second),
-		begin: func() error { return errors.Join(allUntouched(ds), eachIfFree(ds, (*daemon).Freeze)) },
+	return injectedFault{
+		name: "freeze " + name, duration: m.between(200*time.Millisecond, 4*time.Second),
+		begin: func() error { return errors.Join(allAvailable(ds), eachIfAvailable(ds, (*daemon).Freeze)) },
 		end:   func() error { return eachOf(ds, (*daemon).Wake) },
 	}
 }
 
-// restarts asks a process to end in order and starts it again.
-func restarts(m *mischief) mishap {
+// restartFault asks a process to end in order and starts it again.
+func restartFault(m *faultInjector) injectedFault {
 	name, ds := m.processes()
-	return mishap{
-		name: "restart " + name, hold: m.between(0, time.Second),
-		begin: func() error { return errors.Join(allUntouched(ds), eachIfFree(ds, (*daemon).Terminate)) },
+	return injectedFault{
+		name: "restart " + name, duration: m.between(0, time.Second),
+		begin: func() error { return errors.Join(allAvailable(ds), eachIfAvailable(ds, (*daemon).Terminate)) },
 		end: func() error {
 			if err := eachOf(ds, (*daemon).Ended); err != nil {
 				return err
@@ -198,27 +198,27 @@
 	return d.Start()
 }
 
-// cuts cuts two VMs, a VM from a leaf, or two availability zones from each other.
-func cuts(m *mischief) mishap {
+// cutFault cuts two VMs, a VM from a leaf, or two availability zones from each other.
+func cutFault(m *faultInjector) injectedFault {
 	pairs := [][2]string{{m.vm().name, m.vm().name}, {m.vm().name, m.leaf().name}, {m.f.vms[0].zone, m.f.vms[1].zone}}
 	p := pairs[m.random.IntN(len(pairs))]
 	set := func(cut bool) error {
-		as, errA := m.f.names(p[0])
-		bs, errB := m.f.names(p[1])
+		as, errA := m.f.resolveNodeNames(p[0])
+		bs, errB := m.f.resolveNodeNames(p[1])
 		m.f.relay.setCut(as, bs, cut)
 		return errors.Join(errA, errB)
 	}
-	return mishap{
-		name: fmt.Sprintf("cut %s %s", p[0], p[1]), hold: m.between(200*time.Millisecond, 4*time.Second),
+	return injectedFault{
+		name: fmt.Sprintf("cut %s %s", p[0], p[1]), duration: m.between(200*time.Millisecond, 4*time.Second),
 		begin: func() error { return set(true) }, end: func() error { return set(false) },
 	}
 }
 
-// silences makes the open connections between two nodes silent.
-func silences(m *mischief) mishap {
+// silenceFault makes the open connections between two nodes silent.
+func silenceFault(m *faultInjector) injectedFault {
 	pairs := [][2]string{{m.vm().name, m.vm().name}, {m.vm().name, m.leaf().name}}
 	p := pairs[m.random.IntN(len(pairs))]
-	return mishap{
+	return injectedFault{
 		name:  fmt.Sprintf("silence %s %s", p[0], p[1]),
 		begin: func() error { m.f.relay.silence([]string{p[0]}, []string{p[1]}); return nil },
 		end:   func() error { return nil },
@@ -231,16 +231,16 @@
 	`{"error_share":0.3}`, `{"shed":true}`, `{"drain":true}`, `{"refuse_connections":true}`,
 }
 
-// leafFaults switches a fault on at one leaf.
-func leafFaults(m *mischief) mishap {
+// leafFault switches a fault on at one leaf.
+func leafFault(m *faultInjector) injectedFault {
 	n, fault := m.leaf(), leafOrderFaults[m.random.IntN(len(leafOrderFaults))]
 	set := func(json string) error { return put(leafURL(n, "/faults"), []byte(json)) }
 	running := func() error {
-		ds, err := m.f.find("leaf/" + n.name)
-		return errors.Join(err, allUntouched(ds))
+		ds, err := m.f.findProcesses("leaf/" + n.name)
+		return errors.Join(err, allAvailable(ds))
 	}
-	return mishap{
-		name: fmt.Sprintf("fault %s %s", n.name, fault), hold: m.between(200*time.Millisecond, 2*time.Second),
+	return injectedFault{
+		name: fmt.Sprintf("fault %s %s", n.name, fault), duration: m.between(200*time.Millisecond, 2*time.Second),
 		begin: func() error {
 			if err := running(); err != nil {
 				return err
@@ -258,5 +258,5 @@
 
 // orderFaults are those that are thrown at orders.
 func orderFaults() []faultKind {
-	return []faultKind{crashes, crashes, freezes, freezes, restarts, cuts, silences, leafFaults, leafFaults}
+	return []faultKind{crashFault, crashFault, freezeFault, freezeFault, restartFault, cutFault, silenceFault, leafFault, leafFault}
 }
--- a/scenarios/partition_test.go
+++ b/scenarios/partition_test.go
@@ -36,7 +36,7 @@
 
 // verbShards is: shards LEAF PARTITION... . It tells leaves which shards they hold of the snapshots.
 func verbShards(f *fleet, a *arguments) error {
-	if err := a.done(2, anyNumber); err != nil {
+	if err := a.validate(2, anyNumber); err != nil {
 		return err
 	}
 	leaves, err := f.leavesNamed(a.words[0])
--- a/scenarios/post_test.go
+++ b/scenarios/post_test.go
@@ -18,8 +18,8 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// procedures are what the verb post can call.
-var procedures = map[string]string{
+// procedurePaths are what the verb post can call.
+var procedurePaths = map[string]string{
 	"search": burdockv1connect.QueryServiceSearchProcedure,
 	"ticket": burdockv1connect.QueryServiceIssueTicketProcedure,
 	"order":  burdockv1connect.QueryServiceOrderProcedure,
@@ -30,16 +30,16 @@
 // [repeat=N] [short=BYTES]. It sends any body, N times over where that is given, as a caller without
 // the library may; with short the body ends that many bytes before its announced length.
 func verbPost(f *fleet, a *arguments) error {
-	q, err := f.base(a)
+	q, err := f.baseRequest(a)
 	if err != nil {
 		return err
 	}
 	kind, deadline := a.text("type", "application/json"), a.text("deadline", "")
 	repeat, short := a.number("repeat", 1), a.number("short", 0)
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
-	path := procedures[a.words[0]]
+	path := procedurePaths[a.words[0]]
 	if path == "" {
 		return fmt.Errorf("can't post %q", a.words[0])
 	}
@@ -61,11 +61,11 @@
 	}
 	rep := &reply{request: q}
 	start := time.Now()
-	res, err := control.Do(req)
-	rep.took = time.Since(start)
+	res, err := controlClient.Do(req)
+	rep.elapsed = time.Since(start)
 	if err == nil {
 		rep.header = res.Header.Get(entry.HeaderRequestID)
-		rep.outcome, err = outcomeIn(res)
+		rep.outcome, err = decodeOutcome(res)
 	}
 	rep.err = err
 	f.requests.record(rep)
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// outcomeIn reads the typed outcome of a connect error in JSON.
-func outcomeIn(res *http.Response) (*pb.Outcome, error) {
+// decodeOutcome reads the typed outcome of a connect error in JSON.
+func decodeOutcome(res *http.Response) (*pb.Outcome, error) {
 	defer func() { _ = res.Body.Close() }()
 	var e struct {
 		Details []struct {
@@ -102,9 +102,9 @@
 // verbPause is: pause PROCESS... for=D. It freezes processes for that long.
 func verbPause(f *fleet, a *arguments) error {
 	lasts := a.duration("for", 0)
-	if err := each((*daemon).Freeze)(f, a); err != nil {
+	if err := eachProcess((*daemon).Freeze)(f, a); err != nil {
 		return err
 	}
 	time.Sleep(lasts)
-	return each((*daemon).Wake)(f, a)
+	return eachProcess((*daemon).Wake)(f, a)
 }
--- a/scenarios/publish_test.go
+++ b/scenarios/publish_test.go
@@ -26,7 +26,7 @@
 	for _, r := range signers {
 		keys = append(keys, r.key)
 	}
-	signed, err := sign(text, f.digest, b, keys)
+	signed, err := signManifest(text, f.bundleDigest, b, keys)
 	if err != nil {
 		return err
 	}
@@ -44,21 +44,21 @@
 	if err := proto.Unmarshal(signed.GetManifest(), m); err != nil {
 		return err
 	}
-	f.offered = bundle.ManifestDigest(signed.GetManifest())
-	f.published[m.GetVersion()] = time.Now()
+	f.offeredDigest = bundle.ManifestDigest(signed.GetManifest())
+	f.publishedAt[m.GetVersion()] = time.Now()
 	if f.revisions[m.GetVersion()], err = putKey(f.platformURL("/keys/bundle/manifest"), manifest); err != nil {
 		return err
 	}
 	if slices.Equal(reviewerIDs(signers), reviewerIDs(f.reviewers)) && parseErr == nil {
-		f.text, f.digest, f.bundles[b.Version] = text, bundle.ManifestDigest(signed.GetManifest()), b
+		f.bundleText, f.bundleDigest, f.bundles[b.Version] = text, bundle.ManifestDigest(signed.GetManifest()), b
 	}
 	return nil
 }
 
-// sign makes the signed manifest of a text. One that can't work, for which parsed is nil, is signed
+// signManifest makes the signed manifest of a text. One that can't work, for which parsed is nil, is signed
 // all the same, as by reviewers who don't use the tool that refuses it.
-func sign(text string, parent bundle.Digest, parsed *bundle.Bundle, keys []ed25519.PrivateKey) (*pb.SignedManifest, error) {
-	if parsed != nil && !repeated(keys) {
+func signManifest(text string, parent bundle.Digest, parsed *bundle.Bundle, keys []ed25519.PrivateKey) (*pb.SignedManifest, error) {
+	if parsed != nil && !hasDuplicate(keys) {
 		return bundle.Sign([]byte(text), parent, keys...)
 	}
 	var version uint64
@@ -85,8 +85,8 @@
 	return signed, nil
 }
 
-// repeated tells whether a key is there twice, which the tool that signs would leave out.
-func repeated(keys []ed25519.PrivateKey) bool {
+// hasDuplicate tells whether a key is there twice, which the tool that signs would leave out.
+func hasDuplicate(keys []ed25519.PrivateKey) bool {
 	seen := make(map[string]bool)
 	for _, k := range keys {
 		if seen[string(k)] {
@@ -105,9 +105,9 @@
 	return ids
 }
 
-// signersNamed reads a list such as 1,2 of reviewers by number; "stranger" is one that no
+// parseSigners reads a list such as 1,2 of reviewers by number; "stranger" is one that no
 // process trusts.
-func (f *fleet) signersNamed(list string) ([]reviewer, error) {
+func (f *fleet) parseSigners(list string) ([]reviewer, error) {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = 99
 	key := ed25519.NewKeyFromSeed(seed)
@@ -132,19 +132,19 @@
 	if err != nil {
 		return 0, err
 	}
-	res, err := control.Do(req)
+	res, err := controlClient.Do(req)
 	if err != nil {
 		return 0, err
 	}
 	revision := res.Header.Get(platform.HeaderRevision)
-	if _, err := bodyOf(res); err != nil {
+	if _, err := readBody(res); err != nil {
 		return 0, err
 	}
 	return strconv.ParseUint(revision, 10, 64)
 }
 
-// padded adds callers to a bundle's text until it has at least that many bytes.
-func padded(text string, size int) string {
+// padBundle adds callers to a bundle's text until it has at least that many bytes.
+func padBundle(text string, size int) string {
 	head, tail, _ := strings.Cut(text, "[[service]]")
 	var b strings.Builder
 	b.WriteString(head)
@@ -157,10 +157,10 @@
 
 var versionLine = regexp.MustCompile(`(?m)^version = \d+\n\[limits\]`)
 
-// edited returns the newest text with another version and the edits made, each "OLD -> NEW". An
+// editBundle returns the newest text with another version and the edits made, each "OLD -> NEW". An
 // edit whose OLD isn't there is an error.
-func (f *fleet) edited(version uint64, snapshots string, edits []string) (string, error) {
-	text := f.text
+func (f *fleet) editBundle(version uint64, snapshots string, edits []string) (string, error) {
+	text := f.bundleText
 	if snapshots != "" {
 		text = f.layout.bundleText(version, strings.Split(snapshots, ","), f.leaves)
 	}
--- a/scenarios/relay_check_test.go
+++ b/scenarios/relay_check_test.go
@@ -82,21 +82,21 @@
 	is.NoErr(err)
 	_, err = old.Write([]byte("lost"))
 	is.NoErr(err)
-	is.True(!r.passes(fresh))
+	is.True(!r.wouldPass(fresh))
 	r.setCut([]string{"vm-1"}, []string{"vm-2"}, false)
 	buf := make([]byte, len("three"))
 	_, err = io.ReadFull(fresh, buf)
 	is.NoErr(err)
 	is.Equal(string(buf), "three")
-	is.True(r.passes(fresh))
-	is.True(!r.passes(old))
+	is.True(r.wouldPass(fresh))
+	is.True(!r.wouldPass(old))
 
 	// The relay knows how long a silent connection is kept by the side that opened it.
-	_, err = r.abandoned(0)
+	_, err = r.longestKeptSilent(0)
 	is.True(err != nil)
 	is.NoErr(old.Close())
-	is.NoErr(await("the close is seen", awaitBound, func() error {
-		_, err := r.abandoned(0)
+	is.NoErr(await("the close is seen", awaitTimeout, func() error {
+		_, err := r.longestKeptSilent(0)
 		return err
 	}))
 }
@@ -116,8 +116,8 @@
 	is.True(strings.HasPrefix("th", string(got)))
 }
 
-// passes tells whether the relay would pass data of the connection.
-func (r *relay) passes(c net.Conn) bool {
+// wouldPass tells whether the relay would pass data of the connection.
+func (r *relay) wouldPass(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for l := range r.links {
@@ -154,7 +154,7 @@
 	is.Equal(sender.IP.String(), from.address)
 	r.setCut([]string{"vm-1"}, []string{"vm-2"}, true)
 	send("in the cut")
-	is.NoErr(await("the datagram is dropped", awaitBound, func() error {
+	is.NoErr(await("the datagram is dropped", awaitTimeout, func() error {
 		if r.dropped.Load() == 0 {
 			return io.ErrNoProgress
 		}
--- a/scenarios/relay_test.go
+++ b/scenarios/relay_test.go
@@ -45,19 +45,19 @@
 	ends [2]*net.TCPConn
 	// The rest is guarded by the relay's mu. silentAt is set on a link that never passes anything
 	// again, givenUpAt once the side that opened it has closed it.
-	silentAt, givenUpAt time.Time
+	silentAt, openerClosedAt time.Time
 	// severed is true on a link that breaks once left more bytes of answers have passed.
-	severed bool
-	left    int
+	severed        bool
+	remainingBytes int
 }
 
-// passage says what a link does with what was sent.
-type passage int
+// linkState says what a link does with what was sent.
+type linkState int
 
 const (
-	passing passage = iota
-	swallowing
-	closing
+	linkPassing linkState = iota
+	linkSilent
+	linkClosed
 )
 
 func newRelay(nodes []*node) *relay {
@@ -106,7 +106,7 @@
 		return
 	}
 	l := &link{from: from.name, to: to.name, port: port, ends: [2]*net.TCPConn{in, nil}}
-	if r.pass(l) != passing {
+	if r.waitWhileCut(l) != linkPassing {
 		reset(in)
 		return
 	}
@@ -132,17 +132,17 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
-		r.noteEnd(l, src, err)
-		switch r.pass(l) {
-		case closing:
+		r.recordOpenerClose(l, src, err)
+		switch r.waitWhileCut(l) {
+		case linkClosed:
 			return
-		case swallowing:
+		case linkSilent:
 			if err != nil {
 				return
 			}
 			continue
 		}
-		keep, broken := r.spend(l, src, n)
+		keep, broken := r.consumeBytes(l, src, n)
 		if keep > 0 {
 			if _, werr := dst.Write(buf[:keep]); werr != nil {
 				reset(src)
@@ -164,26 +164,26 @@
 	}
 }
 
-// noteEnd notes when the link's opener gave it up.
-func (r *relay) noteEnd(l *link, src *net.TCPConn, err error) {
+// recordOpenerClose notes when the link's opener gave it up.
+func (r *relay) recordOpenerClose(l *link, src *net.TCPConn, err error) {
 	if err == nil || src != l.ends[0] {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l.givenUpAt = time.Now()
+	l.openerClosedAt = time.Now()
 }
 
-// spend returns how many of n bytes still pass, and whether the link breaks then.
-func (r *relay) spend(l *link, src *net.TCPConn, n int) (keep int, broken bool) {
+// consumeBytes returns how many of n bytes still pass, and whether the link breaks then.
+func (r *relay) consumeBytes(l *link, src *net.TCPConn, n int) (keep int, broken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !l.severed || src != l.ends[1] {
 		return n, false
 	}
-	keep = min(n, l.left)
-	l.left -= n
-	return keep, l.left <= 0
+	keep = min(n, l.remainingBytes)
+	l.remainingBytes -= n
+	return keep, l.remainingBytes <= 0
 }
 
 // reset closes a connection so that its peer sees it broken rather than ended.
@@ -192,8 +192,8 @@
 	_ = c.Close()
 }
 
-// pass waits until the link isn't cut, and tells what to do with what it carries.
-func (r *relay) pass(l *link) passage {
+// waitWhileCut waits until the link isn't cut, and tells what to do with what it carries.
+func (r *relay) waitWhileCut(l *link) linkState {
 	for {
 		r.mu.Lock()
 		changed, closed := r.changed, r.closed
@@ -201,11 +201,11 @@
 		r.mu.Unlock()
 		switch {
 		case closed:
-			return closing
+			return linkClosed
 		case silent:
-			return swallowing
+			return linkSilent
 		case !cut:
-			return passing
+			return linkPassing
 		}
 		<-changed
 	}
@@ -284,7 +284,7 @@
 			}
 		}
 	}
-	r.change()
+	r.notifyChange()
 }
 
 // silence makes every open connection between the nodes silent for good; new ones work. It returns
@@ -300,7 +300,7 @@
 // sever makes every open connection between the nodes break once that many more bytes of answers
 // have passed on it. It returns how many there were.
 func (r *relay) sever(as, bs []string, after int) int {
-	return r.each(as, bs, func(l *link) { l.severed, l.left = true, after })
+	return r.each(as, bs, func(l *link) { l.severed, l.remainingBytes = true, after })
 }
 
 // each calls f with the mutex held for every connection between the nodes that is neither silent nor closed by
@@ -310,37 +310,37 @@
 	defer r.mu.Unlock()
 	count := 0
 	for l := range r.links {
-		if l.silentAt.IsZero() && l.givenUpAt.IsZero() && (between(l, as, bs) || between(l, bs, as)) {
+		if l.silentAt.IsZero() && l.openerClosedAt.IsZero() && (between(l, as, bs) || between(l, bs, as)) {
 			f(l)
 			count++
 		}
 	}
-	r.change()
+	r.notifyChange()
 	return count
 }
 
-// abandoned returns an error while any link that was made silent is still open at the side that
+// longestKeptSilent returns an error while any link that was made silent is still open at the side that
 // opened it, and else the one that was kept for the longest time; nil where there was none. Only links
 // to the port count, to any where it is 0.
-func (r *relay) abandoned(port int) (longest *link, err error) {
+func (r *relay) longestKeptSilent(port int) (longest *link, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.silenced {
 		if port != 0 && l.port != port {
 			continue
 		}
-		if l.givenUpAt.IsZero() {
+		if l.openerClosedAt.IsZero() {
 			return nil, fmt.Errorf("%s is kept since %s", l, time.Since(l.silentAt))
 		}
-		if longest == nil || l.kept() > longest.kept() {
+		if longest == nil || l.keptFor() > longest.keptFor() {
 			longest = l
 		}
 	}
 	return longest, nil
 }
 
-// kept is how long the side that opened a silent link kept it, once it has given it up.
-func (l *link) kept() time.Duration { return l.givenUpAt.Sub(l.silentAt) }
+// keptFor is how long the side that opened a silent link kept it, once it has given it up.
+func (l *link) keptFor() time.Duration { return l.openerClosedAt.Sub(l.silentAt) }
 
 // String names the link.
 func (l *link) String() string {
@@ -351,8 +351,8 @@
 	return slices.Contains(froms, l.from) && slices.Contains(tos, l.to)
 }
 
-// change wakes all who wait; mu is held.
-func (r *relay) change() {
+// notifyChange wakes all who wait; mu is held.
+func (r *relay) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -367,7 +367,7 @@
 	for l := range r.links {
 		l.close()
 	}
-	r.change()
+	r.notifyChange()
 	r.mu.Unlock()
 	r.running.Wait()
 }
--- a/scenarios/request_test.go
+++ b/scenarios/request_test.go
@@ -43,8 +43,8 @@
 	request *request
 	query   string
 	// header is the request's id as the response's header names it.
-	header string
-	took   time.Duration
+	header  string
+	elapsed time.Duration
 	// err is set where the answer wasn't a typed one.
 	err error
 }
@@ -60,17 +60,17 @@
 
 	running sync.WaitGroup
 	// tickets belong to the script's goroutine.
-	tickets map[string]*heldTicket
+	tickets map[string]*issuedTicket
 }
 
-// heldTicket is an issued ticket and the order that it is for.
-type heldTicket struct {
+// issuedTicket is an issued ticket and the order that it is for.
+type issuedTicket struct {
 	text         string
 	key, payload string
 }
 
 func newRequests() *requests {
-	return &requests{named: make(map[string]*reply), tickets: make(map[string]*heldTicket)}
+	return &requests{named: make(map[string]*reply), tickets: make(map[string]*issuedTicket)}
 }
 
 func (r *requests) wait() { r.running.Wait() }
@@ -138,8 +138,8 @@
 	return strings.Join(all, "; ")
 }
 
-// take makes a background reply the last one, or says that it isn't there yet.
-func (r *requests) take(name string) error {
+// takeReply makes a background reply the last one, or says that it isn't there yet.
+func (r *requests) takeReply(name string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rep := r.named[name]
@@ -150,14 +150,14 @@
 	return nil
 }
 
-// grace is how long after its deadline a caller still takes a reply, which a busy machine may bring
+// replyGracePeriod is how long after its deadline a caller still takes a reply, which a busy machine may bring
 // late; the reply's time tells. After it there is none.
-const grace = 2 * time.Second
+const replyGracePeriod = 2 * time.Second
 
 // send sends once and waits for the reply.
 func (q *request) send() *reply {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer time.AfterFunc(q.timeout+grace, cancel).Stop()
+	defer time.AfterFunc(q.timeout+replyGracePeriod, cancel).Stop()
 	defer cancel()
 	ctx, info := connect.NewClientContext(ctx)
 	info.RequestHeader().Set("Authorization", "Bearer "+q.token)
@@ -171,9 +171,9 @@
 	rep := &reply{request: q, query: q.search.GetQuery()}
 	start := time.Now()
 	err := q.call(ctx, burdockv1connect.NewQueryServiceClient(client, url, q.connection.options()...), rep)
-	rep.took = time.Since(start)
+	rep.elapsed = time.Since(start)
 	rep.header = info.ResponseHeader().Get(entry.HeaderRequestID)
-	rep.note(err)
+	rep.setError(err)
 	return rep
 }
 
@@ -192,8 +192,8 @@
 	return err
 }
 
-// note takes the typed outcome out of an error.
-func (r *reply) note(err error) {
+// setError takes the typed outcome out of an error.
+func (r *reply) setError(err error) {
 	if err == nil {
 		return
 	}
@@ -225,18 +225,18 @@
 
 // String shows the reply in a scenario's log.
 func (r *reply) String() string {
-	took := r.took.Round(time.Millisecond)
+	elapsed := r.elapsed.Round(time.Millisecond)
 	switch {
 	case r.err != nil:
-		return fmt.Sprintf("untyped error after %s: %v", took, r.err)
+		return fmt.Sprintf("untyped error after %s: %v", elapsed, r.err)
 	case r.issue != nil:
-		return fmt.Sprintf("ticket after %s, expires %s", took, r.issue.GetExpires().AsTime().Format(time.TimeOnly))
+		return fmt.Sprintf("ticket after %s, expires %s", elapsed, r.issue.GetExpires().AsTime().Format(time.TimeOnly))
 	case r.search != nil:
 		return fmt.Sprintf("search after %s: %v, %d hits, coverage %v, snapshot %d, bundle %d",
-			took, r.outcome, len(r.search.GetHits()), r.search.GetCoverage(), r.search.GetSnapshot(), r.search.GetBundleVersion())
+			elapsed, r.outcome, len(r.search.GetHits()), r.search.GetCoverage(), r.search.GetSnapshot(), r.search.GetBundleVersion())
 	case r.order != nil:
 		return fmt.Sprintf("order after %s: %v, %q by %s, replayed %t, bundle %d",
-			took, r.outcome, r.order.GetResult(), r.order.GetLeaf(), r.order.GetReplayed(), r.order.GetBundleVersion())
+			elapsed, r.outcome, r.order.GetResult(), r.order.GetLeaf(), r.order.GetReplayed(), r.order.GetBundleVersion())
 	}
-	return fmt.Sprintf("after %s: %v", took, r.outcome)
+	return fmt.Sprintf("after %s: %v", elapsed, r.outcome)
 }
--- a/scenarios/respawn_test.go
+++ b/scenarios/respawn_test.go
@@ -17,10 +17,10 @@
 // long after they end.
 func verbRespawn(f *fleet, a *arguments) error {
 	r := &respawner{after: a.duration("after", 500*time.Millisecond), stop: make(chan struct{})}
-	if err := a.done(1, anyNumber); err != nil {
+	if err := a.validate(1, anyNumber); err != nil {
 		return err
 	}
-	found, err := f.findAll(a.words)
+	found, err := f.findAllProcesses(a.words)
 	if err != nil {
 		return err
 	}
--- a/scenarios/unknown_share_test.go
+++ b/scenarios/unknown_share_test.go
@@ -19,10 +19,10 @@
 	avoidable bool
 }
 
-// byName makes a step of a case of an action on processes.
-func byName(action func(*daemon) error, names ...string) func(*fleet) error {
+// processStep makes a step of a case of an action on processes.
+func processStep(action func(*daemon) error, names ...string) func(*fleet) error {
 	return func(f *fleet) error {
-		ds, err := f.findAll(names)
+		ds, err := f.findAllProcesses(names)
 		if err != nil {
 			return err
 		}
@@ -32,11 +32,11 @@
 
 func cutStep(a, b string, cut bool) func(*fleet) error {
 	return func(f *fleet) error {
-		as, err := f.names(a)
+		as, err := f.resolveNodeNames(a)
 		if err != nil {
 			return err
 		}
-		bs, err := f.names(b)
+		bs, err := f.resolveNodeNames(b)
 		if err != nil {
 			return err
 		}
@@ -57,11 +57,11 @@
 
 func silenceStep(a, b string) func(*fleet) error {
 	return func(f *fleet) error {
-		as, err := f.names(a)
+		as, err := f.resolveNodeNames(a)
 		if err != nil {
 			return err
 		}
-		bs, err := f.names(b)
+		bs, err := f.resolveNodeNames(b)
 		if err != nil {
 			return err
 		}
@@ -70,11 +70,11 @@
 	}
 }
 
-func nothing(*fleet) error { return nil }
+func noStep(*fleet) error { return nil }
 
 // endAndStart waits for the end of a process that was asked to end, and starts it again.
 func endAndStart(names ...string) func(*fleet) error {
-	return byName(func(d *daemon) error {
+	return processStep(func(d *daemon) error {
 		if err := d.Ended(); err != nil {
 			return err
 		}
@@ -82,38 +82,38 @@
 	}, names...)
 }
 
-const oneLeaf = "teachers-0-a"
+const faultyLeaf = "teachers-0-a"
 
 func unknownCases() []unknownCase {
 	return []unknownCase{
-		{"calm", nothing, nothing, true},
-		{"entry killed", byName((*daemon).Kill, "entry/vm-1"), byName((*daemon).Start, "entry/vm-1"), true},
-		{"entry frozen", byName((*daemon).Freeze, "entry/vm-1"), byName((*daemon).Wake, "entry/vm-1"), true},
-		{"gather killed", byName((*daemon).Kill, "gather/vm-1"), byName((*daemon).Start, "gather/vm-1"), false},
-		{"gather frozen", byName((*daemon).Freeze, "gather/vm-1"), byName((*daemon).Wake, "gather/vm-1"), true},
-		{"gather restarted in order", byName((*daemon).Terminate, "gather/vm-1"), endAndStart("gather/vm-1"), true},
-		{"sync killed", byName((*daemon).Kill, "sync/vm-1"), byName((*daemon).Start, "sync/vm-1"), true},
-		{"VM killed", byName((*daemon).Kill, "vm-1"), byName((*daemon).Start, "vm-1"), false},
-		{"VM frozen", byName((*daemon).Freeze, "vm-1"), byName((*daemon).Wake, "vm-1"), true},
-		{"leaf killed", byName((*daemon).Kill, "leaf/"+oneLeaf), byName((*daemon).Start, "leaf/"+oneLeaf), false},
-		{"leaf frozen", byName((*daemon).Freeze, "leaf/"+oneLeaf), byName((*daemon).Wake, "leaf/"+oneLeaf), true},
-		{"leaf drains", faultStep(oneLeaf, `{"drain":true}`), faultStep(oneLeaf, `{}`), true},
-		{"leaf sheds", faultStep(oneLeaf, `{"shed":true}`), faultStep(oneLeaf, `{}`), true},
-		{"leaf slower than the deadline", faultStep(oneLeaf, `{"hold_execute":"3s"}`), faultStep(oneLeaf, `{}`), false},
-		{"leaf fails after executing", faultStep(oneLeaf, `{"error_after_execute":true}`), faultStep(oneLeaf, `{}`), false},
-		{"VM cut from a leaf", cutStep("vm-1", oneLeaf, true), cutStep("vm-1", oneLeaf, false), true},
+		{"calm", noStep, noStep, true},
+		{"entry killed", processStep((*daemon).Kill, "entry/vm-1"), processStep((*daemon).Start, "entry/vm-1"), true},
+		{"entry frozen", processStep((*daemon).Freeze, "entry/vm-1"), processStep((*daemon).Wake, "entry/vm-1"), true},
+		{"gather killed", processStep((*daemon).Kill, "gather/vm-1"), processStep((*daemon).Start, "gather/vm-1"), false},
+		{"gather frozen", processStep((*daemon).Freeze, "gather/vm-1"), processStep((*daemon).Wake, "gather/vm-1"), true},
+		{"gather restarted in order", processStep((*daemon).Terminate, "gather/vm-1"), endAndStart("gather/vm-1"), true},
+		{"sync killed", processStep((*daemon).Kill, "sync/vm-1"), processStep((*daemon).Start, "sync/vm-1"), true},
+		{"VM killed", processStep((*daemon).Kill, "vm-1"), processStep((*daemon).Start, "vm-1"), false},
+		{"VM frozen", processStep((*daemon).Freeze, "vm-1"), processStep((*daemon).Wake, "vm-1"), true},
+		{"leaf killed", processStep((*daemon).Kill, "leaf/"+faultyLeaf), processStep((*daemon).Start, "leaf/"+faultyLeaf), false},
+		{"leaf frozen", processStep((*daemon).Freeze, "leaf/"+faultyLeaf), processStep((*daemon).Wake, "leaf/"+faultyLeaf), true},
+		{"leaf drains", faultStep(faultyLeaf, `{"drain":true}`), faultStep(faultyLeaf, `{}`), true},
+		{"leaf sheds", faultStep(faultyLeaf, `{"shed":true}`), faultStep(faultyLeaf, `{}`), true},
+		{"leaf slower than the deadline", faultStep(faultyLeaf, `{"hold_execute":"3s"}`), faultStep(faultyLeaf, `{}`), false},
+		{"leaf fails after executing", faultStep(faultyLeaf, `{"error_after_execute":true}`), faultStep(faultyLeaf, `{}`), false},
+		{"VM cut from a leaf", cutStep("vm-1", faultyLeaf, true), cutStep("vm-1", faultyLeaf, false), true},
 		{"zones cut", cutStep("az-1", "az-2", true), cutStep("az-1", "az-2", false), true},
-		{"connections to leaves silent", silenceStep("vms", "leaves"), nothing, false},
-		{"connections between VMs silent", silenceStep("vms", "vms"), nothing, true},
+		{"connections to leaves silent", silenceStep("vms", "leaves"), noStep, false},
+		{"connections between VMs silent", silenceStep("vms", "vms"), noStep, true},
 	}
 }
 
 const (
 	// unknownCallers send in each case; the fault begins after caseLead and holds for caseHold.
 	unknownCallers = 12
-	caseLead       = 400 * time.Millisecond
-	caseHold       = time.Second
-	caseTail       = 300 * time.Millisecond
+	faultDelay     = 400 * time.Millisecond
+	faultDuration  = time.Second
+	recoveryTime   = 300 * time.Millisecond
 )
 
 // TestOrderUnknownShare counts how orders end for their callers under one fault after the other,
@@ -133,23 +133,23 @@
 			oc := &orderCaller{f: f, h: h, id: i, random: rand.New(rand.NewPCG(1, uint64(i)))}
 			callers.Go(func() { oc.run(ctx) })
 		}
-		pause(ctx, caseLead)
+		sleep(ctx, faultDelay)
 		is.NoErr(c.begin(f))
-		pause(ctx, caseHold)
+		sleep(ctx, faultDuration)
 		is.NoErr(c.end(f))
-		pause(ctx, caseTail)
+		sleep(ctx, recoveryTime)
 		cancel()
 		callers.Wait()
-		is.NoErr(await("everything ready", readyBound, func() error { return f.ready(f.daemons) }))
+		is.NoErr(await("everything ready", readyTimeout, func() error { return f.allReady(f.daemons) }))
 		written, err := f.journal()
 		is.NoErr(err)
 		for _, b := range h.check(written.lines) {
 			t.Errorf("%s: %s", c.name, b)
 		}
-		ends := h.callerEnds
+		ends := h.callerOutcomes
 		t.Logf("%-32s %4d orders, %v", c.name, len(h.orders), ends)
-		if c.avoidable && ends[endUnknown]+ends[endUndecided] > 0 {
-			t.Errorf("%s: %d orders ended unknown, %d undecided", c.name, ends[endUnknown], ends[endUndecided])
+		if c.avoidable && ends[outcomeUnknown]+ends[outcomeUndecided] > 0 {
+			t.Errorf("%s: %d orders ended unknown, %d undecided", c.name, ends[outcomeUnknown], ends[outcomeUndecided])
 		}
 	}
 }
--- a/scenarios/verbs_leaving_test.go
+++ b/scenarios/verbs_leaving_test.go
@@ -13,9 +13,9 @@
 	"github.com/burdockplank/burdockplank/internal/standin/leaf"
 )
 
-// quietAfter is how long past the bound other leaves still have to get work before a leaf that got
+// quietPeriod is how long past the bound other leaves still have to get work before a leaf that got
 // none counts as left alone.
-const quietAfter = 3 * time.Second
+const quietPeriod = 3 * time.Second
 
 // verbLeaving is: leaving LEAF within=D [zone=D]. Counted by the leaf's own clock from the first
 // evidence that it leaves, no new work reaches it after within from the whole fleet, nor after zone
@@ -23,7 +23,7 @@
 // work too; status polls aren't. It waits until traffic went on long enough on other leaves.
 func verbLeaving(f *fleet, a *arguments) error {
 	within, inZone := a.duration("within", 0), a.duration("zone", 0)
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	n, err := f.leaf(a.words[0])
@@ -34,22 +34,22 @@
 	if err != nil {
 		return err
 	}
-	end := first.Add(within + quietAfter)
-	if err := await("traffic on other leaves", awaitBound, func() error { return f.othersBusy(n, end) }); err != nil {
+	end := first.Add(within + quietPeriod)
+	if err := await("traffic on other leaves", awaitTimeout, func() error { return f.otherLeafGotWork(n, end) }); err != nil {
 		return err
 	}
 	arrivals, err := f.arrivals(n)
 	if err != nil {
 		return err
 	}
-	if err := f.busyBefore(arrivals, first); err != nil {
+	if err := f.checkWorkBefore(arrivals, first); err != nil {
 		return err
 	}
 	last := f.lastWork(arrivals, first)
-	f.note("%s: evidence first in %s; last new work after it by availability zone: %v", n.name, zone, last)
-	for z, took := range last {
-		if took > within || z == zone && inZone > 0 && took > inZone {
-			return fmt.Errorf("%s got new work from %s %s after the first evidence, in %s", n.name, z, took, zone)
+	f.logf("%s: evidence first in %s; last new work after it by availability zone: %v", n.name, zone, last)
+	for z, elapsed := range last {
+		if elapsed > within || z == zone && inZone > 0 && elapsed > inZone {
+			return fmt.Errorf("%s got new work from %s %s after the first evidence, in %s", n.name, z, elapsed, zone)
 		}
 	}
 	return nil
@@ -58,10 +58,10 @@
 // firstEvidence returns when the leaf's departure could first be known and to which zone of VMs, empty
 // for all: by its own word, or by the platform's list.
 func (f *fleet) firstEvidence(n *node) (first time.Time, zone string, err error) {
-	if at, ok := f.listedLeaving[n.name]; ok {
+	if at, ok := f.listedLeavingSince[n.name]; ok {
 		return at, "", nil
 	}
-	err = await("evidence of "+n.name, awaitBound, func() error {
+	err = await("evidence of "+n.name, awaitTimeout, func() error {
 		lines, err := f.leafLines(n)
 		if err != nil {
 			return err
@@ -76,10 +76,10 @@
 	return first, zone, err
 }
 
-// othersBusy returns an error until another leaf of the shard got work after the time.
-func (f *fleet) othersBusy(left *node, after time.Time) error {
+// otherLeafGotWork returns an error until another leaf of the shard got work after the time.
+func (f *fleet) otherLeafGotWork(leaving *node, after time.Time) error {
 	for _, n := range f.leaves {
-		if n == left || n.shard != left.shard {
+		if n == leaving || n.shard != leaving.shard {
 			continue
 		}
 		arrivals, err := f.arrivals(n)
@@ -93,9 +93,9 @@
 	return fmt.Errorf("no work on other leaves of the shard after %s", after)
 }
 
-// busyBefore wants that each VM gave the leaf work before the evidence; else its silence after it
+// checkWorkBefore wants that each VM gave the leaf work before the evidence; else its silence after it
 // proves nothing.
-func (f *fleet) busyBefore(arrivals []leaf.Arrival, first time.Time) error {
+func (f *fleet) checkWorkBefore(arrivals []leaf.Arrival, first time.Time) error {
 	for _, vm := range f.vms {
 		if !slices.ContainsFunc(arrivals, func(a leaf.Arrival) bool { return a.From == vm.bind && a.At.Before(first) }) {
 			return fmt.Errorf("%s gave the leaf no work before the evidence", vm.name)
@@ -106,19 +106,19 @@
 
 // verbBusy is: busy LEAF. It waits until each VM has given the leaf work.
 func verbBusy(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	n, err := f.leaf(a.words[0])
 	if err != nil {
 		return err
 	}
-	return await("work on "+n.name, awaitBound, func() error {
+	return await("work on "+n.name, awaitTimeout, func() error {
 		arrivals, err := f.arrivals(n)
 		if err != nil {
 			return err
 		}
-		return f.busyBefore(arrivals, time.Now())
+		return f.checkWorkBefore(arrivals, time.Now())
 	})
 }
 
@@ -126,9 +126,9 @@
 func (f *fleet) lastWork(arrivals []leaf.Arrival, first time.Time) map[string]time.Duration {
 	last := make(map[string]time.Duration)
 	for _, a := range arrivals {
-		if took := a.At.Sub(first); took > 0 {
+		if elapsed := a.At.Sub(first); elapsed > 0 {
 			z := f.zoneOf(a.From)
-			last[z] = max(last[z], took.Round(time.Millisecond))
+			last[z] = max(last[z], elapsed.Round(time.Millisecond))
 		}
 	}
 	return last
@@ -178,7 +178,7 @@
 // verbReturns is: returns LEAF. It ends the leaf's faults, which begins a new incarnation, and waits
 // until the leaf has started new searches.
 func verbReturns(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	n, err := f.leaf(a.words[0])
@@ -189,7 +189,7 @@
 		return err
 	}
 	back := time.Now()
-	return await("work on "+n.name, awaitBound, func() error {
+	return await("work on "+n.name, awaitTimeout, func() error {
 		lines, err := f.leafLines(n)
 		if err != nil {
 			return err
@@ -203,7 +203,7 @@
 
 // verbDrainTo is: drain_to LEAF VM. The leaf tells only that VM that it drains and serves the others.
 func verbDrainTo(f *fleet, a *arguments) error {
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	n, err := f.leaf(a.words[0])
@@ -250,10 +250,10 @@
 
 // verbWorked is: worked PROCESS. Its VM has brought searches to leaves since the process woke.
 func verbWorked(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
-	return await("work of "+a.words[0], awaitBound, func() error {
+	return await("work of "+a.words[0], awaitTimeout, func() error {
 		_, searches, err := f.workSinceWake(a.words[0])
 		if err == nil && len(searches) == 0 {
 			err = errors.New("none yet")
@@ -266,7 +266,7 @@
 // from its VM, and nothing of the index version was started for it anywhere.
 func verbNoWork(f *fleet, a *arguments) error {
 	at, snapshot := a.text("leaf", ""), a.number("snapshot", 0)
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	if _, err := f.leaf(at); err != nil {
@@ -282,7 +282,7 @@
 			old++
 		}
 	}
-	f.note("since %s woke: %d searches started, %d of snapshot %d; arrivals %v", a.words[0], len(searches), old, snapshot, arrivals)
+	f.logf("since %s woke: %d searches started, %d of snapshot %d; arrivals %v", a.words[0], len(searches), old, snapshot, arrivals)
 	if old > 0 || arrivals[at] > 0 {
 		return fmt.Errorf("since %s woke %d searches of snapshot %d were started, and %d calls came to %s",
 			a.words[0], old, snapshot, arrivals[at], at)
--- a/scenarios/verbs_load_test.go
+++ b/scenarios/verbs_load_test.go
@@ -31,9 +31,9 @@
 	a := parseArguments(args)
 	l := &load{
 		fleet: f, callers: a.number("callers", 8), kinds: strings.Split(a.text("kinds", "dawn,roster"), ","),
-		texts: a.number("texts", 0), timeout: a.duration("timeout", 5*time.Second), pause: a.duration("pause", 5*time.Millisecond),
-		text: a.text("text", ""), seed: f.seed, cuts: a.number("cuts", 0),
-		connection: connection{slow: a.duration("slow", 0), http1: a.flag("http1")},
+		textCount: a.number("texts", 0), timeout: a.duration("timeout", 5*time.Second), pause: a.duration("pause", 5*time.Millisecond),
+		text: a.text("text", ""), seed: f.seed, maxCutBytes: a.number("cuts", 0),
+		connection: connection{readDelay: a.duration("slow", 0), http1: a.flag("http1")},
 	}
 	for _, k := range strings.Split(a.text("top_k", "0,1,5,30"), ",") {
 		n, err := strconv.Atoi(k)
@@ -43,9 +43,9 @@
 	for _, name := range strings.Split(a.text("via", strings.Join(nodeNames(f.vms), ",")), ",") {
 		n, err := f.vm(name)
 		ts.Check(err)
-		l.vias = append(l.vias, n)
+		l.entries = append(l.entries, n)
 	}
-	ts.Check(a.done(1, 1))
+	ts.Check(a.validate(1, 1))
 	l.word = a.words[0]
 	if neg || f.loads[l.word] != nil {
 		ts.Fatalf("a load is started once")
@@ -67,7 +67,7 @@
 		ts.Fatalf("no load %s", a.words[0])
 	}
 	answered, total := a.number("answered", 1), a.number("replies", 1)
-	ts.Check(await("replies", awaitBound, func() error {
+	ts.Check(await("replies", awaitTimeout, func() error {
 		if t := l.soFar(); t.answered() < answered || t.total < total {
 			return fmt.Errorf("want %d replies, %d of them answers: %s", total, answered, t)
 		}
@@ -82,7 +82,7 @@
 // of the faults, at random, and takes all faults away at the end.
 func verbUpset(f *fleet, a *arguments) error {
 	lasts, every := a.duration("for", 0), a.duration("every", 30*time.Millisecond)
-	if err := a.done(2, anyNumber); err != nil {
+	if err := a.validate(2, anyNumber); err != nil {
 		return err
 	}
 	leaves, err := f.leavesNamed(a.words[0])
@@ -115,20 +115,20 @@
 func verbAbandoned(ts *testscript.TestScript, neg bool, args []string) {
 	f, a := fleetOf(ts), parseArguments(args)
 	within, port := a.duration("within", 0), a.number("port", 0)
-	ts.Check(a.done(0, 0))
+	ts.Check(a.validate(0, 0))
 	if neg || f.relay == nil {
 		ts.Fatalf("want a fleet with a relay")
 	}
 	var longest *link
-	ts.Check(await("silent connections are given up", awaitBound, func() (err error) {
-		longest, err = f.relay.abandoned(port)
+	ts.Check(await("silent connections are given up", awaitTimeout, func() (err error) {
+		longest, err = f.relay.longestKeptSilent(port)
 		return err
 	}))
 	if longest == nil {
 		ts.Fatalf("nothing was made silent")
 	}
-	ts.Logf("the longest kept silent connection was %s: %s", longest, longest.kept().Round(time.Millisecond))
-	if longest.kept() > within {
+	ts.Logf("the longest kept silent connection was %s: %s", longest, longest.keptFor().Round(time.Millisecond))
+	if longest.keptFor() > within {
 		ts.Fatalf("want it given up within %s", within)
 	}
 }
--- a/scenarios/verbs_log_test.go
+++ b/scenarios/verbs_log_test.go
@@ -21,7 +21,7 @@
 //
 // N is a number, or a range such as 1..3.
 func verbLog(f *fleet, a *arguments) error {
-	if err := a.done(1, 4); err != nil {
+	if err := a.validate(1, 4); err != nil {
 		return err
 	}
 	j, err := f.journal()
@@ -31,23 +31,23 @@
 	lines := j.lines
 	switch {
 	case len(a.words) == 3 && a.words[0] == "executions":
-		return f.executions(lines, a.words[1], a.words[2])
+		return f.checkExecutions(lines, a.words[1], a.words[2])
 	case len(a.words) == 3 && a.words[0] == "searches":
-		return compare("searches for "+a.words[1], countSearches(lines, a.words[1]), a.words[2])
+		return checkCount("searches for "+a.words[1], countSearches(lines, a.words[1]), a.words[2])
 	case slices.Equal(a.words, []string{"searches", "none"}):
-		return f.noneOfLast(j)
+		return f.checkLastNotRun(j)
 	case slices.Equal(a.words, []string{"coverage"}):
-		return f.coverageDelivered(j)
+		return f.checkCoverageDelivered(j)
 	case len(a.words) == 4 && a.words[0] == "crashes":
-		return inRange("crashes at "+a.words[1], countCrashes(lines, a.words[1]), a.words[2], a.words[3])
+		return checkRange("crashes at "+a.words[1], countCrashes(lines, a.words[1]), a.words[2], a.words[3])
 	case slices.Equal(a.words, []string{"history"}):
 		return f.checkHistory(f.requests.history())
 	}
 	return fmt.Errorf("can't read %q", a.words)
 }
 
-// executions counts by the payload, which is the ticket's own, and by the ticket's text.
-func (f *fleet) executions(lines []leaf.FileLine, name, want string) error {
+// checkExecutions counts by the payload, which is the ticket's own, and by the ticket's text.
+func (f *fleet) checkExecutions(lines []leaf.FileLine, name, want string) error {
 	t := f.requests.tickets[name]
 	if t == nil {
 		return fmt.Errorf("no ticket %q", name)
@@ -58,11 +58,11 @@
 			count++
 		}
 	}
-	return compare("executions of "+name, count, want)
+	return checkCount("executions of "+name, count, want)
 }
 
-// executed returns an error until a leaf has executed each of the tickets.
-func (f *fleet) executed(names []string) error {
+// ordersExecuted returns an error until a leaf has executed each of the tickets.
+func (f *fleet) ordersExecuted(names []string) error {
 	j, err := f.journal()
 	if err != nil {
 		return err
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// noneOfLast wants that the last request, a refused one, has reached no leaf.
-func (f *fleet) noneOfLast(j *journal) error {
+// checkLastNotRun wants that the last request, a refused one, has reached no leaf.
+func (f *fleet) checkLastNotRun(j *journal) error {
 	last, err := f.requests.getLast()
 	if err != nil {
 		return err
@@ -103,8 +103,8 @@
 	return count
 }
 
-// compare wants a number, or one within a range such as 1..3.
-func compare(what string, count int, want string) error {
+// checkCount wants a number, or one within a range such as 1..3.
+func checkCount(what string, count int, want string) error {
 	low, high, ranged := strings.Cut(want, "..")
 	if !ranged {
 		high = low
@@ -130,8 +130,8 @@
 	return count
 }
 
-// inRange wants a count from low to high.
-func inRange(what string, count int, low, high string) error {
+// checkRange wants a count from low to high.
+func checkRange(what string, count int, low, high string) error {
 	l, err := strconv.Atoi(low)
 	if err != nil {
 		return err
@@ -146,9 +146,9 @@
 	return nil
 }
 
-// coverageDelivered wants, for each shard that the last answer counts as covered, a leaf that
+// checkCoverageDelivered wants, for each shard that the last answer counts as covered, a leaf that
 // delivered it for the request at the answer's snapshot.
-func (f *fleet) coverageDelivered(j *journal) error {
+func (f *fleet) checkCoverageDelivered(j *journal) error {
 	last, err := f.requests.getLast()
 	if err != nil {
 		return err
--- a/scenarios/verbs_platform_test.go
+++ b/scenarios/verbs_platform_test.go
@@ -12,7 +12,7 @@
 
 // verbList changes a VM's or leaf's state in the platform's list: live, leaving or absent.
 func verbList(f *fleet, a *arguments) error {
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	name, state := a.words[0], platform.State(a.words[1])
@@ -23,9 +23,9 @@
 		return err
 	}
 	f.states[name] = state
-	delete(f.listedLeaving, name)
+	delete(f.listedLeavingSince, name)
 	if state == stateLeaving && f.listLag == 0 {
-		f.listedLeaving[name] = time.Now()
+		f.listedLeavingSince[name] = time.Now()
 	}
 	return putJSON(f.platformURL("/list"), f.list())
 }
@@ -33,7 +33,7 @@
 // verbReplace kills a VM and starts another in its place, at the same address, under a new name.
 // The platform's list changes with it.
 func verbReplace(f *fleet, a *arguments) error {
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	n, err := f.vm(a.words[0])
@@ -41,7 +41,7 @@
 		return err
 	}
 	old, name := n.name, a.words[1]
-	ds, err := f.find(old)
+	ds, err := f.findProcesses(old)
 	if err != nil {
 		return err
 	}
@@ -69,24 +69,24 @@
 	snapshots := a.text("snapshots", "")
 	signers, by := a.number("signers", len(f.reviewers)), a.text("by", "")
 	size := a.number("bytes", 0)
-	if err := a.done(0, anyNumber); err != nil {
+	if err := a.validate(0, anyNumber); err != nil {
 		return err
 	}
 	if version < 1 || signers < 0 || signers > len(f.reviewers) {
 		return fmt.Errorf("want version=N from 1 and signers=0 to %d", len(f.reviewers))
 	}
-	text, err := f.edited(uint64(version), snapshots, a.words)
+	text, err := f.editBundle(uint64(version), snapshots, a.words)
 	if err != nil {
 		return err
 	}
 	signing := f.reviewers[:signers]
 	if by != "" {
-		if signing, err = f.signersNamed(by); err != nil {
+		if signing, err = f.parseSigners(by); err != nil {
 			return err
 		}
 	}
 	if size > 0 {
-		text = padded(text, size)
+		text = padBundle(text, size)
 	}
 	return f.publish(text, signing)
 }
@@ -94,7 +94,7 @@
 // verbStale is: stale N. The platform serves the bundle as it stood when version N was the newest;
 // stale 0 ends that.
 func verbStale(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	var version uint64
@@ -110,7 +110,7 @@
 
 // verbLag makes the platform serve each list that long after its publication.
 func verbLag(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	d, err := time.ParseDuration(a.words[0])
--- a/scenarios/verbs_request_test.go
+++ b/scenarios/verbs_request_test.go
@@ -17,16 +17,16 @@
 // The kinds that the verbs use where the script gives none.
 const orderKind = "booking"
 
-// base takes the options that all requests have: via=VM, timeout=D, as=CALLER, slow=D, cut_after=BYTES
+// baseRequest takes the options that all requests have: via=VM, timeout=D, as=CALLER, slow=D, cut_after=BYTES
 // and http1.
-func (f *fleet) base(a *arguments) (*request, error) {
+func (f *fleet) baseRequest(a *arguments) (*request, error) {
 	entry, err := f.vm(a.text("via", f.vms[0].name))
 	if err != nil {
 		return nil, err
 	}
 	q := &request{
 		entry: entry, timeout: a.duration("timeout", requestTimeout),
-		connection: connection{slow: a.duration("slow", 0), cutAfter: a.number("cut_after", 0), http1: a.flag("http1")},
+		connection: connection{readDelay: a.duration("slow", 0), cutAfterBytes: a.number("cut_after", 0), http1: a.flag("http1")},
 	}
 	switch as := a.text("as", callerName); as {
 	case callerName:
@@ -41,8 +41,8 @@
 	return q, nil
 }
 
-// run sends the request, in the background where it has a name.
-func (f *fleet) run(q *request, name string) *reply {
+// runRequest sends the request, in the background where it has a name.
+func (f *fleet) runRequest(q *request, name string) *reply {
 	if name != "" {
 		f.requests.background(name, q)
 		return nil
@@ -60,16 +60,16 @@
 		return err
 	}
 	name := a.name()
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	q.search.Kind, q.search.Query = a.words[0], a.words[1]
-	f.run(q, name)
+	f.runRequest(q, name)
 	return nil
 }
 
 func (f *fleet) searchRequest(a *arguments) (*request, error) {
-	q, err := f.base(a)
+	q, err := f.baseRequest(a)
 	if err != nil {
 		return nil, err
 	}
@@ -79,11 +79,11 @@
 
 // verbTicket is: ticket NAME [via=VM] [timeout=D] [as=CALLER]. The ticket is kept under the name.
 func verbTicket(f *fleet, a *arguments) error {
-	q, err := f.base(a)
+	q, err := f.baseRequest(a)
 	if err != nil {
 		return err
 	}
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	name := a.words[0]
@@ -91,15 +91,15 @@
 		return fmt.Errorf("there is a ticket %s already", name)
 	}
 	q.issue = &pb.IssueTicketRequest{Service: serviceName, Kind: orderKind}
-	rep := f.run(q, "")
-	f.requests.tickets[name] = &heldTicket{text: rep.issue.GetTicket(), key: "key of " + name, payload: "payload of " + name}
+	rep := f.runRequest(q, "")
+	f.requests.tickets[name] = &issuedTicket{text: rep.issue.GetTicket(), key: "key of " + name, payload: "payload of " + name}
 	return nil
 }
 
 // verbSend is: send TICKET [via=VM] [timeout=D] [as=CALLER] [key=K] [payload=P] [&NAME]. Key and
 // payload are those of the ticket where the script gives none.
 func verbSend(f *fleet, a *arguments) error {
-	q, err := f.base(a)
+	q, err := f.baseRequest(a)
 	if err != nil {
 		return err
 	}
@@ -112,10 +112,10 @@
 		Ticket: t.text, Service: serviceName, Kind: orderKind,
 		Key: a.text("key", t.key), Payload: a.text("payload", t.payload),
 	}
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
-	f.run(q, name)
+	f.runRequest(q, name)
 	return nil
 }
 
@@ -132,7 +132,7 @@
 	if last, _ := f.requests.getLast(); last.issue == nil {
 		return fmt.Errorf("no ticket: %s", last)
 	}
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	return verbSend(f, parseArguments(words))
@@ -140,10 +140,10 @@
 
 // verbReply waits for a background request and makes its reply the last one.
 func verbReply(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
-	return await("reply "+a.words[0], awaitBound, func() error { return f.requests.take(a.words[0]) })
+	return await("reply "+a.words[0], awaitTimeout, func() error { return f.requests.takeReply(a.words[0]) })
 }
 
 // verbExpect compares the last reply with its words; README.md lists them.
@@ -171,7 +171,7 @@
 	if send == nil {
 		ts.Fatalf("until can search and send, not %s", args[i+1])
 	}
-	err := await("until "+args[0], awaitBound, func() error {
+	err := await("until "+args[0], awaitTimeout, func() error {
 		if err := send(f, parseArguments(args[i+2:])); err != nil {
 			return err
 		}
--- a/scenarios/verbs_test.go
+++ b/scenarios/verbs_test.go
@@ -13,12 +13,12 @@
 // fleetKey finds the scenario's holder of its fleet.
 type fleetKey struct{}
 
-// holder has the fleet of a script once the verb fleet ran.
-type holder struct{ fleet *fleet }
+// fleetHolder has the fleet of a script once the verb fleet ran.
+type fleetHolder struct{ fleet *fleet }
 
 // setUp prepares a scenario: what it starts is ended with it, whatever its end is.
 func setUp(env *testscript.Env) error {
-	h := &holder{}
+	h := &fleetHolder{}
 	env.Values[fleetKey{}] = h
 	env.Defer(func() {
 		if h.fleet == nil {
@@ -45,9 +45,9 @@
 func verbs() map[string]func(*testscript.TestScript, bool, []string) {
 	all := map[string]func(*testscript.TestScript, bool, []string){"fleet": verbFleet}
 	for name, v := range map[string]verb{
-		"start": each((*daemon).Start), "crash": each((*daemon).Kill),
-		"freeze": each((*daemon).Freeze), "wake": each((*daemon).Wake),
-		"shutdown": verbShutdown, "terminate": each((*daemon).Terminate),
+		"start": eachProcess((*daemon).Start), "crash": eachProcess((*daemon).Kill),
+		"freeze": eachProcess((*daemon).Freeze), "wake": eachProcess((*daemon).Wake),
+		"shutdown": verbShutdown, "terminate": eachProcess((*daemon).Terminate),
 		"cut": verbCut, "heal": verbHeal, "silence": verbSilence, "sever": verbSever,
 		"fault": verbFault, "snapshots": verbSnapshots, "list": verbList, "replace": verbReplace, "lag": verbLag,
 		"publish": verbPublish, "stale": verbStale, "watch": verbWatch, "bundles": verbBundles,
@@ -83,7 +83,7 @@
 }
 
 func fleetOf(ts *testscript.TestScript) *fleet {
-	f := ts.Value(fleetKey{}).(*holder).fleet
+	f := ts.Value(fleetKey{}).(*fleetHolder).fleet
 	if f == nil {
 		ts.Fatalf("no fleet yet")
 	}
@@ -91,7 +91,7 @@
 }
 
 func verbFleet(ts *testscript.TestScript, neg bool, args []string) {
-	h := ts.Value(fleetKey{}).(*holder)
+	h := ts.Value(fleetKey{}).(*fleetHolder)
 	if h.fleet != nil || neg {
 		ts.Fatalf("a scenario has one fleet")
 	}
@@ -105,23 +105,23 @@
 	l.BalancerLag = a.duration("balancer_lag", l.BalancerLag)
 	l.HitBytes, l.CrashMark = a.number("hit_bytes", l.HitBytes), a.text("crash_mark", l.CrashMark)
 	l.Concurrency, l.Queue = a.number("concurrency", l.Concurrency), a.number("queue", l.Queue)
-	ts.Check(a.done(0, 0))
+	ts.Check(a.validate(0, 0))
 	f, err := newFleet(ts.MkAbs("."), l)
 	ts.Check(err)
-	h.fleet, f.note = f, ts.Logf
+	h.fleet, f.logf = f, ts.Logf
 	f.seed, err = f.newSeed()
 	ts.Check(err)
 	ts.Logf("seed %d (to run it again set %s)", f.seed, seedVariable)
 	ts.Check(f.startAll())
 }
 
-// each makes a verb of an action on the processes that its words name.
-func each(action func(*daemon) error) verb {
+// eachProcess makes a verb of an action on the processes that its words name.
+func eachProcess(action func(*daemon) error) verb {
 	return func(f *fleet, a *arguments) error {
-		if err := a.done(1, anyNumber); err != nil {
+		if err := a.validate(1, anyNumber); err != nil {
 			return err
 		}
-		found, err := f.findAll(a.words)
+		found, err := f.findAllProcesses(a.words)
 		if err != nil {
 			return err
 		}
@@ -136,27 +136,27 @@
 
 // verbShutdown asks all named processes to end, then waits until each has ended with exit code 0.
 func verbShutdown(f *fleet, a *arguments) error {
-	if err := each((*daemon).Terminate)(f, a); err != nil {
+	if err := eachProcess((*daemon).Terminate)(f, a); err != nil {
 		return err
 	}
-	return each((*daemon).Ended)(f, a)
+	return eachProcess((*daemon).Ended)(f, a)
 }
 
-// pair resolves the two sides of a cut or silence; the relay must be there.
-func (f *fleet) pair(a *arguments) (as, bs []string, err error) {
-	if err := a.done(2, 2); err != nil {
+// resolvePair resolves the two sides of a cut or silence; the relay must be there.
+func (f *fleet) resolvePair(a *arguments) (as, bs []string, err error) {
+	if err := a.validate(2, 2); err != nil {
 		return nil, nil, err
 	}
 	if f.relay == nil {
 		return nil, nil, errors.New("the fleet has no relay; say: fleet relay")
 	}
-	as, errA := f.names(a.words[0])
-	bs, errB := f.names(a.words[1])
+	as, errA := f.resolveNodeNames(a.words[0])
+	bs, errB := f.resolveNodeNames(a.words[1])
 	return as, bs, errors.Join(errA, errB)
 }
 
 func verbCut(f *fleet, a *arguments) error {
-	as, bs, err := f.pair(a)
+	as, bs, err := f.resolvePair(a)
 	if err == nil {
 		f.relay.setCut(as, bs, true)
 	}
@@ -164,7 +164,7 @@
 }
 
 func verbHeal(f *fleet, a *arguments) error {
-	as, bs, err := f.pair(a)
+	as, bs, err := f.resolvePair(a)
 	if err == nil {
 		f.relay.setCut(as, bs, false)
 	}
@@ -172,7 +172,7 @@
 }
 
 func verbSilence(f *fleet, a *arguments) error {
-	as, bs, err := f.pair(a)
+	as, bs, err := f.resolvePair(a)
 	if err == nil && f.relay.silence(as, bs) == 0 {
 		return fmt.Errorf("no open connection between %s and %s", a.words[0], a.words[1])
 	}
@@ -182,7 +182,7 @@
 // verbSever is: sever A B after=BYTES.
 func verbSever(f *fleet, a *arguments) error {
 	after := a.number("after", 1)
-	as, bs, err := f.pair(a)
+	as, bs, err := f.resolvePair(a)
 	if err == nil {
 		f.relay.sever(as, bs, after)
 	}
@@ -191,7 +191,7 @@
 
 // verbFault replaces the faults of the platform, or of a leaf or several.
 func verbFault(f *fleet, a *arguments) error {
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	if !json.Valid([]byte(a.words[1])) {
@@ -227,7 +227,7 @@
 }
 
 func verbSnapshots(f *fleet, a *arguments) error {
-	if err := a.done(2, anyNumber); err != nil {
+	if err := a.validate(2, anyNumber); err != nil {
 		return err
 	}
 	leaves, err := f.leavesNamed(a.words[0])
@@ -253,13 +253,13 @@
 // verbAwait polls for a condition; with within=D the scenario promises a time, else a generous bound
 // holds. The first word names the condition, in some cases with a number, the others processes.
 func verbAwait(f *fleet, a *arguments) error {
-	bound := a.duration("within", awaitBound)
-	if err := a.done(2, anyNumber); err != nil {
+	bound := a.duration("within", awaitTimeout)
+	if err := a.validate(2, anyNumber); err != nil {
 		return err
 	}
 	what, rest := a.words[0], a.words[1:]
 	if what == "executed" {
-		return await(fmt.Sprint(a.words), bound, func() error { return f.executed(rest) })
+		return await(fmt.Sprint(a.words), bound, func() error { return f.ordersExecuted(rest) })
 	}
 	var number float64
 	metric := ""
@@ -273,17 +273,17 @@
 		}
 		number, rest = n, rest[1:]
 	}
-	daemons, err := f.findAll(rest)
+	daemons, err := f.findAllProcesses(rest)
 	if err != nil {
 		return err
 	}
 	conditions := map[string]func() error{
-		"ready":   func() error { return f.ready(daemons) },
+		"ready":   func() error { return f.allReady(daemons) },
 		"ended":   func() error { return allEnded(daemons) },
 		"running": func() error { return allRunning(daemons) },
-		"version": func() error { return f.atVersion(number, vmProcesses(daemons)) },
-		"refused": func() error { return f.refused(number, vmProcesses(daemons)) },
-		"metric":  func() error { return f.counted(metric, number, vmProcesses(daemons)) },
+		"version": func() error { return f.atBundleVersion(number, vmProcesses(daemons)) },
+		"refused": func() error { return f.refusedAtLeast(number, vmProcesses(daemons)) },
+		"metric":  func() error { return f.metricAtLeast(metric, number, vmProcesses(daemons)) },
 	}
 	if conditions[what] == nil {
 		return fmt.Errorf("can't await %q", what)
--- a/scenarios/verbs_traffic_test.go
+++ b/scenarios/verbs_traffic_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// trafficEndBound is how long a run of load may take beyond its own duration.
-const trafficEndBound = time.Minute
+// trafficEndTimeout is how long a run of load may take beyond its own duration.
+const trafficEndTimeout = time.Minute
 
 // trafficRun is a run of burdock-load in the background.
 type trafficRun struct {
@@ -30,7 +30,7 @@
 	rate, orders := a.text("rate", "100"), a.text("orders", "0.1")
 	resend, lag := a.text("resend", string(openloop.ResendNone)), a.duration("lag", 0)
 	duration := a.duration("duration", 5*time.Second)
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	name := a.words[0]
@@ -96,7 +96,7 @@
 		return fmt.Errorf("want the name of one traffic, got %q", a.words)
 	}
 	run := f.traffic[a.words[0]]
-	bound := run.duration + trafficEndBound
+	bound := run.duration + trafficEndTimeout
 	if err := await("the end of the traffic", bound, func() error { return allEnded([]*daemon{run.daemon}) }); err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	if err := json.Unmarshal(data, &result); err != nil {
 		return err
 	}
-	got := sums(&result)
+	got := sumOutcomes(&result)
 	for key, want := range a.options {
 		if want == "all" {
 			want = strconv.FormatUint(got["requests"], 10)
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// sums adds up requests by outcome, whatever its reason, over phases and kinds.
-func sums(r *openloop.Result) map[string]uint64 {
+// sumOutcomes adds up requests by outcome, whatever its reason, over phases and kinds.
+func sumOutcomes(r *openloop.Result) map[string]uint64 {
 	all := make(map[string]uint64)
 	for _, k := range r.Kinds {
 		all["requests"] += k.Requests
--- a/scenarios/watch_test.go
+++ b/scenarios/watch_test.go
@@ -12,8 +12,8 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// watchEvery is the wait between two looks at a VM.
-const watchEvery = 50 * time.Millisecond
+// watchInterval is the wait between two looks at a VM.
+const watchInterval = 50 * time.Millisecond
 
 // watcher looks at the bundle version of every process and of answers through every entry until the
 // scenario ends, and keeps each one that went down. What a process showed outlives its restart: once
@@ -27,14 +27,14 @@
 	// The fields below are guarded by mu. highest was seen anywhere; shown is by process, callers'
 	// by VM.
 	highest  uint64
-	shown    map[string]*shown
+	observed map[string]*observation
 	problems []error
-	looks    int
+	dumps    int
 	answers  int
 }
 
-// shown is what one process, or a VM's answers, showed so far.
-type shown struct {
+// observation is what one process, or a VM's answers, showed so far.
+type observation struct {
 	// start counts the starts of the process; highest is of this start, floor of all before it.
 	start          int
 	highest, floor uint64
@@ -45,17 +45,17 @@
 // verbWatch is: watch bundles. It looks in the background until the end of the scenario, which fails
 // where a version went down.
 func verbWatch(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	if a.words[0] != "bundles" || f.watcher != nil {
 		return errors.New("want: watch bundles, once")
 	}
-	w := &watcher{fleet: f, stop: make(chan struct{}), shown: make(map[string]*shown)}
+	w := &watcher{fleet: f, stop: make(chan struct{}), observed: make(map[string]*observation)}
 	f.watcher = w
 	for _, n := range f.vms {
-		w.running.Go(func() { w.loop(func() { w.look(n) }) })
-		w.running.Go(func() { w.loop(func() { w.ask(n) }) })
+		w.running.Go(func() { w.loop(func() { w.checkDump(n) }) })
+		w.running.Go(func() { w.loop(func() { w.checkSearch(n) }) })
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 		select {
 		case <-w.stop:
 			return
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 			step()
 		}
 	}
@@ -77,14 +77,14 @@
 	w.running.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.looks == 0 || w.answers == 0 {
-		return fmt.Errorf("the watch of bundles saw %d dumps and %d answers", w.looks, w.answers)
+	if w.dumps == 0 || w.answers == 0 {
+		return fmt.Errorf("the watch of bundles saw %d dumps and %d answers", w.dumps, w.answers)
 	}
 	return errors.Join(w.problems...)
 }
 
-// look reads the dumps of a VM's processes; one that is down or frozen shows nothing.
-func (w *watcher) look(n *node) {
+// checkDump reads the dumps of a VM's processes; one that is down or frozen shows nothing.
+func (w *watcher) checkDump(n *node) {
 	for _, role := range roles {
 		name := role + "/" + n.name
 		d := w.fleet.daemon(name)
@@ -97,23 +97,23 @@
 		if err != nil || d.Starts() != start {
 			continue
 		}
-		w.saw(name, start, ready, dump)
+		w.recordDump(name, start, ready, dump)
 	}
 }
 
-// saw compares what a process shows with what was seen before.
-func (w *watcher) saw(name string, start int, ready bool, dump *bundle.StoreDump) {
+// recordDump compares what a process shows with what was seen before.
+func (w *watcher) recordDump(name string, start int, ready bool, dump *bundle.StoreDump) {
 	version := dump.Version
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.looks++
-	s := w.shown[name]
+	w.dumps++
+	s := w.observed[name]
 	if s == nil {
-		s = &shown{start: start}
-		w.shown[name] = s
+		s = &observation{start: start}
+		w.observed[name] = s
 	}
 	if s.start != start {
-		*s = shown{start: start, floor: w.highest}
+		*s = observation{start: start, floor: w.highest}
 	}
 	if version < s.highest {
 		w.problems = append(w.problems, fmt.Errorf("%s shows bundle version %d after %d", name, version, s.highest))
@@ -129,9 +129,9 @@
 	s.highest, w.highest = max(s.highest, version), max(w.highest, version)
 }
 
-// ask searches through a VM's entry and compares the answer's version with those of the answers
+// checkSearch searches through a VM's entry and compares the answer's version with those of the answers
 // before it.
-func (w *watcher) ask(n *node) {
+func (w *watcher) checkSearch(n *node) {
 	if d := w.fleet.daemon("entry/" + n.name); d.Frozen() || !d.Running() {
 		return
 	}
@@ -148,10 +148,10 @@
 	defer w.mu.Unlock()
 	w.answers++
 	name := "answers through " + n.name
-	s := w.shown[name]
+	s := w.observed[name]
 	if s == nil {
-		s = &shown{}
-		w.shown[name] = s
+		s = &observation{}
+		w.observed[name] = s
 	}
 	if version < s.highest {
 		w.problems = append(w.problems, fmt.Errorf("%s have bundle version %d after %d", name, version, s.highest))
@@ -197,16 +197,16 @@
 //	                                         the bundle that was published last was refused
 func verbBundles(f *fleet, a *arguments) error {
 	within := a.duration("within", 0)
-	if err := a.done(3, anyNumber); err != nil {
+	if err := a.validate(3, anyNumber); err != nil {
 		return err
 	}
-	found, err := f.findAll(a.words[2:])
+	found, err := f.findAllProcesses(a.words[2:])
 	if err != nil {
 		return err
 	}
 	daemons, what, arg := vmProcesses(found), a.words[0], a.words[1]
 	if what == "refused" {
-		return await("refused", awaitBound, func() error { return f.eachDump(daemons, f.refusedFor(bundle.RefusalReason(arg))) })
+		return await("refused", awaitTimeout, func() error { return f.eachDump(daemons, f.refusedFor(bundle.RefusalReason(arg))) })
 	}
 	version, err := strconv.ParseUint(arg, 10, 64)
 	if err != nil {
@@ -223,7 +223,7 @@
 		}
 		return nil
 	case "settle":
-		return await("settle", awaitBound, func() error { return f.eachDump(daemons, agreement(version)) })
+		return await("settle", awaitTimeout, func() error { return f.eachDump(daemons, agreement(version)) })
 	}
 	return fmt.Errorf("bundles can't check %q", what)
 }
@@ -249,8 +249,8 @@
 		if d.Version != version || d.Since == nil {
 			return fmt.Errorf("%s has bundle version %d, want %d", name, d.Version, version)
 		}
-		if took := d.Since.Sub(f.published[version]); took > within {
-			return fmt.Errorf("%s put version %d in force %s after its publication, want %s", name, version, took, within)
+		if elapsed := d.Since.Sub(f.publishedAt[version]); elapsed > within {
+			return fmt.Errorf("%s put version %d in force %s after its publication, want %s", name, version, elapsed, within)
 		}
 		return nil
 	}
@@ -275,10 +275,10 @@
 			return err
 		}
 		for _, r := range d.Refusals {
-			if r.Reason == reason && r.Digest == f.offered.String() && r.Message != "" {
+			if r.Reason == reason && r.Digest == f.offeredDigest.String() && r.Message != "" {
 				return nil
 			}
 		}
-		return fmt.Errorf("the dump of %s names no refusal %s of bundle %s: %+v", name, reason, f.offered, d.Refusals)
+		return fmt.Errorf("the dump of %s names no refusal %s of bundle %s: %+v", name, reason, f.offeredDigest, d.Refusals)
 	}
 }
