--- a/scenarios/args_test.go
+++ b/scenarios/args_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// arguments are a verb's words: plain ones in order and KEY=VALUE options. An option that no one
-// asked for is an error, so that a misspelt one isn't passed over.
+// arguments holds the arguments of a verb: positional words in order and KEY=VALUE options. An option
+// that the verb does not read is an error, so that a misspelt option is not ignored.
 type arguments struct {
 	words   []string
 	options map[string]string
@@ -29,12 +29,12 @@
 	return a
 }
 
-// isOptionKey tells an option's key from text that happens to hold a "=".
+// isOptionKey reports whether key is the key of an option, rather than text that contains a "=".
 func isOptionKey(key string) bool {
 	return key != "" && strings.Trim(key, "abcdefghijklmnopqrstuvwxyz_") == ""
 }
 
-// take returns an option's value and whether it was given.
+// take removes an option and returns its value and whether it was given.
 func (a *arguments) take(key string) (string, bool) {
 	v, ok := a.options[key]
 	delete(a.options, key)
@@ -68,7 +68,7 @@
 	return d
 }
 
-// flag takes a plain word away and tells whether it was there.
+// flag removes a positional word and reports whether it was present.
 func (a *arguments) flag(word string) bool {
 	i := slices.Index(a.words, word)
 	if i < 0 {
@@ -78,7 +78,8 @@
 	return true
 }
 
-// name takes the last word away where it is &NAME, for a request in the background.
+// name removes the last word if it has the form &NAME and returns NAME, the name of a background
+// request. It returns an empty string otherwise.
 func (a *arguments) name() string {
 	last := len(a.words) - 1
 	if last < 0 || !strings.HasPrefix(a.words[last], "&") {
@@ -89,13 +90,15 @@
 	return name
 }
 
+// setError keeps the first error.
 func (a *arguments) setError(err error) {
 	if a.err == nil {
 		a.err = err
 	}
 }
 
-// validate returns the first error; the words must be from low to high in number.
+// validate returns the first error of the arguments. Unread options and a number of words outside low
+// to high are errors.
 func (a *arguments) validate(low, high int) error {
 	if a.err != nil {
 		return a.err
--- a/scenarios/await_test.go
+++ b/scenarios/await_test.go
@@ -8,15 +8,14 @@
 )
 
 const (
-	// readyTimeout is how long a fleet may take to be ready on a busy machine.
+	// readyTimeout is the time within which a fleet has to be ready, also on a busy machine.
 	readyTimeout = 60 * time.Second
-	// awaitTimeout is how long a condition may take where the scenario promises no time.
+	// awaitTimeout is the timeout of a condition for which the scenario sets none.
 	awaitTimeout = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
 )
 
-// await polls until the condition holds, that is until it returns nil, and fails at the bound with
-// the condition's last error.
+// await polls until the condition returns nil. After the timeout it returns the condition's last error.
 func await(what string, timeout time.Duration, condition func() error) error {
 	start := time.Now()
 	for {
@@ -36,14 +35,14 @@
 	return err
 }
 
-// allReady returns what isn't ready among the processes; one that has ended is an error at once.
+// allReady returns an error that names the first process that has ended or is not ready.
 func (f *fleet) allReady(daemons []*daemon) error {
 	for _, d := range daemons {
 		if !d.Running() {
-			return fmt.Errorf("%s has ended; its log ends:\n%s", d.Name(), d.LogTail())
+			return fmt.Errorf("%s has ended; last lines of its log:\n%s", d.Name(), d.LogTail())
 		}
 		if err := f.processReady(d.Name()); err != nil {
-			return fmt.Errorf("%s isn't ready: %w", d.Name(), err)
+			return fmt.Errorf("%s is not ready: %w", d.Name(), err)
 		}
 	}
 	return nil
@@ -70,8 +69,8 @@
 	return err
 }
 
-// metric returns the value of a metric without labels, or summed over the label sets that contain
-// all of the given label texts, such as reason="overload".
+// metric returns the value of a metric, summed over the label sets that contain all of the given label
+// texts, such as reason="overload".
 func (f *fleet) metric(process, name string, labels ...string) (float64, error) {
 	url, err := f.operatorURL(process, "/metrics")
 	if err != nil {
@@ -89,7 +88,7 @@
 		}
 	}
 	if !found {
-		return 0, fmt.Errorf("%s shows no metric %s %v", process, name, labels)
+		return 0, fmt.Errorf("%s exports no metric %s %v", process, name, labels)
 	}
 	return sum, nil
 }
@@ -108,7 +107,7 @@
 	return v, err == nil
 }
 
-// atBundleVersion returns an error until each of the VMs' processes has the bundle version in force.
+// atBundleVersion returns an error until the bundle version is in force in each of the processes.
 func (f *fleet) atBundleVersion(version float64, daemons []*daemon) error {
 	for _, d := range daemons {
 		v, err := f.metric(d.Name(), "burdock_bundle_version")
@@ -122,7 +121,7 @@
 	return nil
 }
 
-// refusedAtLeast returns an error until each of the processes has refused a bundle at least that often.
+// refusedAtLeast returns an error until each of the processes has refused at least that many bundles.
 func (f *fleet) refusedAtLeast(times float64, daemons []*daemon) error {
 	for _, d := range daemons {
 		n, err := f.metric(d.Name(), "burdock_bundle_refused_total")
@@ -130,28 +129,28 @@
 			return err
 		}
 		if n < times {
-			return fmt.Errorf("%s has refused %g bundles, want %g", d.Name(), n, times)
+			return fmt.Errorf("%s has refused %g bundles, want at least %g", d.Name(), n, times)
 		}
 	}
 	return nil
 }
 
-// metricAtLeast returns an error until the metric, summed over the processes, is at least that high.
+// metricAtLeast returns an error until the metric, summed over the processes, reaches the minimum.
 func (f *fleet) metricAtLeast(metric string, minimum float64, daemons []*daemon) error {
 	sum := 0.0
 	for _, d := range daemons {
 		n, err := f.metric(d.Name(), metric)
-		if err == nil { // one that wasn't counted yet isn't shown
+		if err == nil { // a counter that was never incremented is not exported
 			sum += n
 		}
 	}
 	if sum < minimum {
-		return fmt.Errorf("%s is %g, want %g", metric, sum, minimum)
+		return fmt.Errorf("%s is %g, want at least %g", metric, sum, minimum)
 	}
 	return nil
 }
 
-// vmProcesses leaves stand-ins and what isn't running out.
+// vmProcesses returns the running processes of VMs, without stand-ins and frozen processes.
 func vmProcesses(daemons []*daemon) []*daemon {
 	var all []*daemon
 	for _, d := range daemons {
--- a/scenarios/block_test.go
+++ b/scenarios/block_test.go
@@ -6,11 +6,11 @@
 	"net"
 )
 
-// block is the range of loopback addresses that one scenario has for itself: 127.A.B.x for what
-// processes listen on and 127.A.(B+1).x, with the same x, for the relay in front of them.
+// block is the range of loopback addresses reserved for one scenario. Processes listen on 127.A.B.x,
+// the relay in front of each on 127.A.(B+1).x with the same x.
 type block struct {
 	a, b int
-	// claim is held open for the scenario, so that no other one takes the block.
+	// claim is a listener that reserves the block until the end of the scenario.
 	claim net.Listener
 }
 
@@ -20,7 +20,7 @@
 	claimAttempts = 200
 )
 
-// newBlock claims a block that no other scenario on the machine holds.
+// newBlock reserves a block that no other scenario on the machine uses.
 func newBlock() (*block, error) {
 	var lastErr error
 	for range claimAttempts {
@@ -35,6 +35,8 @@
 	return nil, fmt.Errorf("no free block of loopback addresses: %w", lastErr)
 }
 
-// bindIP is the address a process listens on, relayed the one at which the relay stands before it.
-func (b *block) bindIP(host int) string  { return fmt.Sprintf("127.%d.%d.%d", b.a, b.b, host) }
+// bindIP returns the IP that a process listens on.
+func (b *block) bindIP(host int) string { return fmt.Sprintf("127.%d.%d.%d", b.a, b.b, host) }
+
+// relayIP returns the IP at which the relay listens for that process.
 func (b *block) relayIP(host int) string { return fmt.Sprintf("127.%d.%d.%d", b.a, b.b+1, host) }
--- a/scenarios/caller_test.go
+++ b/scenarios/caller_test.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// readChunkBytes is how much a slow caller reads at once.
+	// readChunkBytes is the most that a slow caller reads at once.
 	readChunkBytes = 16 << 10
-	// receiveBufferBytes is how much the kernel holds for a caller that doesn't read, so that the entry has
-	// to wait for a slow one.
+	// receiveBufferBytes is the size of the caller's kernel receive buffer, small enough that the entry
+	// has to wait for a slow caller.
 	receiveBufferBytes = 64 << 10
 )
 
-// errCutOff ends a caller's connection in the middle of what it reads.
+// errCutOff is the read error of a connection that breaks after connection.cutAfterBytes.
 var errCutOff = errors.New("the caller's connection was cut")
 
-// connection says how a caller is connected to an entry.
+// connection describes the connections of a caller to an entry.
 type connection struct {
-	// readDelay is the wait before each read of readBytes at most.
+	// readDelay is the wait before each read of at most readChunkBytes; 0 is none.
 	readDelay time.Duration
-	// cutAfterBytes is how many bytes the caller reads before its connection breaks; 0 is never.
+	// cutAfterBytes is the number of bytes that the caller reads before its connection breaks; 0 is never.
 	cutAfterBytes int
-	// http1 takes HTTP/1.1 in place of HTTP/2.
+	// http1 selects HTTP/1.1 instead of HTTP/2.
 	http1 bool
 }
 
-// client returns a client with the connection. Each of its connections has the fault anew.
+// client returns an HTTP client with such connections. The fault applies to each of its connections
+// separately.
 func (c connection) client() *http.Client {
 	if c == (connection{}) {
 		return rpc.NewClient("")
@@ -55,7 +56,8 @@
 	}}
 }
 
-// options leave compression out where the connection has a fault, so that its size is the answer's.
+// options turns compression off for a connection with a fault, so that the bytes on the connection are
+// those of the answer.
 func (c connection) options() []connect.ClientOption {
 	if c == (connection{}) {
 		return nil
@@ -63,7 +65,7 @@
 	return []connect.ClientOption{connect.WithAcceptCompression("gzip", nil, nil)}
 }
 
-// faultyConn reads as its fault says. Its reads are made by one goroutine.
+// faultyConn applies a connection's fault to reads. Only one goroutine may read from it.
 type faultyConn struct {
 	net.Conn
 	fault     connection
--- a/scenarios/control_test.go
+++ b/scenarios/control_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// controlClient speaks to the control listeners of stand-ins and the operator listeners of processes. It
-// makes a connection for each request, so that nothing is kept over a kill or a freeze.
+// controlClient calls the control listeners of stand-ins and the operator listeners of processes. It
+// opens a connection for each request, so that no connection outlives a kill or a freeze.
 var controlClient = &http.Client{
 	Timeout:   10 * time.Second,
 	Transport: &http.Transport{DisableKeepAlives: true},
@@ -45,7 +45,7 @@
 	return put(url, body)
 }
 
-// readBody reads and closes the body; a status other than 2xx is an error.
+// readBody reads and closes the body. A status other than 2xx is an error.
 func readBody(res *http.Response) (string, error) {
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(res.Body)
--- a/scenarios/expect_test.go
+++ b/scenarios/expect_test.go
@@ -11,11 +11,10 @@
 	"github.com/burdockplank/burdockplank/internal/standin/leaf"
 )
 
-// check is one thing that can be expected of a reply: it returns what the reply has, to be equal to
-// what is wanted.
+// check returns a property of a reply as text, to be compared with the wanted value.
 type check func(r *reply) string
 
-// checks are the KEY=VALUE forms of the verb expect.
+// checks holds the KEY=VALUE forms of the verb expect by key.
 var checks = map[string]check{
 	"reason": func(r *reply) string { return outcome.ReasonName(r.outcome.GetReason()) },
 	"step":   func(r *reply) string { return r.outcome.GetStep() },
@@ -47,7 +46,7 @@
 	return "no"
 }
 
-// missingShards lists the missing shards in order, such as "1,3", or "none".
+// missingShards returns the sorted missing shards, such as "1,3", or "none".
 func missingShards(r *reply) string {
 	var shards []string
 	for _, m := range r.search.GetCoverage().GetMissing() {
@@ -60,8 +59,8 @@
 	return strings.Join(shards, ",")
 }
 
-// expect compares the reply with what is wanted: an outcome's name and KEY=VALUE checks. The error
-// names the first difference.
+// expect compares the reply with the wanted name of an outcome and KEY=VALUE checks. The error names
+// the first difference.
 func expect(r *reply, wants []string) error {
 	if r.err != nil {
 		return fmt.Errorf("no typed outcome: %w", r.err)
@@ -83,7 +82,7 @@
 		default:
 			c := checks[key]
 			if c == nil {
-				return fmt.Errorf("can't expect %q", key)
+				return fmt.Errorf("unknown check %q", key)
 			}
 			got = c(r)
 		}
@@ -94,7 +93,7 @@
 	return nil
 }
 
-// outcomeOf names the outcome; an issued ticket has none of its own.
+// outcomeOf returns the name of the outcome, "ticket" for an issued ticket, which has no outcome.
 func outcomeOf(r *reply) string {
 	if r.issue != nil {
 		return "ticket"
@@ -108,12 +107,13 @@
 		return err
 	}
 	if r.elapsed > bound {
-		return fmt.Errorf("the reply took %s, want at most %s", r.elapsed, bound)
+		return fmt.Errorf("the reply came after %s, want at most %s", r.elapsed, bound)
 	}
 	return nil
 }
 
-// checkOwnAnswer refuses hits that another query or another snapshot has produced; every expect checks it.
+// checkOwnAnswer returns an error if an answer has a hit of another query or another snapshot. Every
+// expect runs it.
 func checkOwnAnswer(r *reply) error {
 	if r.search == nil {
 		return nil
--- a/scenarios/fleet_test.go
+++ b/scenarios/fleet_test.go
@@ -17,19 +17,19 @@
 	"github.com/burdockplank/burdockplank/internal/ticket"
 )
 
-// The roles of a VM's processes, in the order in which they start.
+// roles are the roles of a VM's processes in start order.
 var roles = []string{"sync", "gather", "entry"}
 
-// operatorPorts holds the operator listener of each role.
+// operatorPorts holds the port of the operator listener by role.
 var operatorPorts = map[string]int{
 	"entry": settings.DefaultEntryOperatorPort, "gather": settings.DefaultGatherOperatorPort, "sync": settings.DefaultSyncOperatorPort,
 }
 
-// vmPorts are the ports that other VMs use.
+// vmPorts are the ports of a VM that other VMs connect to.
 var vmPorts = []int{settings.DefaultEntryPort, settings.DefaultGatherPort, settings.DefaultSyncPort}
 
-// fleet is what one scenario runs: the platform, leaves and VMs. It belongs to the goroutine of its
-// script, but for the results of requests in the background.
+// fleet is the platform, the leaves and the VMs of one scenario. Only the goroutine of the script uses
+// it, except for the results of background requests.
 type fleet struct {
 	dir    string
 	block  *block
@@ -37,42 +37,43 @@
 
 	platformNode *node
 	vms, leaves  []*node
-	// daemons are in the order of their start.
+	// daemons are in start order.
 	daemons []*daemon
 	relay   *relay
 
 	reviewers []reviewer
-	// bundleText and digest of the newest bundle that was published with all signatures.
+	// bundleText and bundleDigest are those of the newest bundle published with all signatures.
 	bundleText   string
 	bundleDigest bundle.Digest
-	// bundles holds those published with all signatures, by version.
+	// bundles holds the bundles published with all signatures, by version.
 	bundles map[uint64]*bundle.Bundle
-	// states holds what the platform's list says of a VM or leaf where it isn't live.
+	// states holds the state in the platform's list of VMs and leaves that are not live, by name.
 	states map[string]platform.State
 
-	// publishedAt and revisions hold, by version, when a manifest was sent to the platform last, and
-	// the revision that it got; offered is the digest of the newest, signed well or not.
+	// publishedAt and revisions hold, by version, when a manifest was last sent to the platform, and
+	// its revision there. offeredDigest is the digest of the newest manifest, validly signed or not.
 	publishedAt   map[uint64]time.Time
 	revisions     map[uint64]uint64
 	offeredDigest bundle.Digest
-	// listedLeavingSince holds since when the platform's list says of a leaf that it leaves.
+	// listedLeavingSince holds the time since which the platform's list has a leaf as leaving.
 	listedLeavingSince map[string]time.Time
-	// listLag is what the verb lag set.
+	// listLag is the delay set by the verb lag.
 	listLag time.Duration
 	// logf writes to the scenario's log.
 	logf func(format string, args ...any)
-	// watcher is nil until the verb watch.
+	// watcher is nil until the verb watch runs.
 	watcher *watcher
 
 	requests   *requests
 	traffic    map[string]*trafficRun
 	respawners []*respawner
-	// loads by name, and the seed of the scenario's random choices.
+	// loads holds the background loads by name.
 	loads map[string]*load
-	seed  uint64
+	// seed is that of the scenario's random choices.
+	seed uint64
 }
 
-// newFleet lays a fleet out and writes its settings files under dir; nothing is started.
+// newFleet returns a fleet with the layout and writes its settings files to dir. It starts no process.
 func newFleet(dir string, l layout) (*fleet, error) {
 	b, err := newBlock()
 	if err != nil {
@@ -87,14 +88,14 @@
 	f.vms, f.leaves = l.vmNodes(b), l.leafNodes(b)
 	for i := range 2 {
 		seed := make([]byte, ed25519.SeedSize)
-		seed[0] = byte(i + 1) // the keys are for scenarios only and may as well be the same each time
+		seed[0] = byte(i + 1) // fixed keys: they are used by scenarios only
 		key := ed25519.NewKeyFromSeed(seed)
 		f.reviewers = append(f.reviewers, reviewer{id: bundle.KeyID(key.Public().(ed25519.PublicKey)), key: key})
 	}
 	return f, f.writeSettingsFiles()
 }
 
-// writeSettingsFiles writes settings files and names the processes.
+// writeSettingsFiles writes the settings files and adds the processes to daemons.
 func (f *fleet) writeSettingsFiles() error {
 	f.add(platformName, "burdock-standin", "platform",
 		"--listen", fmt.Sprintf("%s:%d", f.platformNode.bind, platformPort),
@@ -139,7 +140,7 @@
 	return text
 }
 
-// list is the platform's list; VMs and leaves whose state is absent are left out.
+// list returns the platform's list. It omits VMs and leaves whose state is stateAbsent.
 func (f *fleet) list() platform.List {
 	var l platform.List
 	for _, n := range f.vms {
@@ -174,7 +175,7 @@
 	return stateLive
 }
 
-// startAll starts everything, publishes bundle version 1, and waits until all is ready.
+// startAll starts all processes, publishes bundle version 1 and waits until all processes are ready.
 func (f *fleet) startAll() error {
 	if f.layout.Relay {
 		if err := f.startRelay(); err != nil {
@@ -213,7 +214,7 @@
 	return nil
 }
 
-// startRelay puts the relay before every node. Datagrams go between VMs only.
+// startRelay starts a relay in front of every node. It relays datagrams between VMs only.
 func (f *fleet) startRelay() error {
 	f.relay = newRelay(f.nodes())
 	for _, n := range f.vms {
@@ -239,12 +240,13 @@
 	return err
 }
 
-// nodes are the platform, VMs and leaves.
+// nodes returns the platform, the VMs and the leaves.
 func (f *fleet) nodes() []*node {
 	return append(append([]*node{f.platformNode}, f.vms...), f.leaves...)
 }
 
-// resolveNodeNames resolves what a cut can name: a node, a zone with its VMs and leaves, "vms" or "leaves".
+// resolveNodeNames returns the names of the nodes that what stands for: a node, a zone with its VMs and
+// leaves, "vms" or "leaves".
 func (f *fleet) resolveNodeNames(what string) ([]string, error) {
 	var names []string
 	what = f.resolveAlias(what)
@@ -265,8 +267,8 @@
 	return names, nil
 }
 
-// resolveAlias puts the name of a VM in the place of minter-of-T and witness-of-T, which are the VM whose
-// gather minted the ticket T and the one that is its witness.
+// resolveAlias replaces minter-of-T and witness-of-T by the name of the VM whose gather minted the
+// ticket T, or of the VM that is its witness.
 func (f *fleet) resolveAlias(what string) string {
 	role, of, ok := strings.Cut(what, "/")
 	if !ok {
@@ -293,8 +295,8 @@
 	return names
 }
 
-// findProcesses returns the processes that a verb names: entry/vm-1, vm-1 for all of a VM, a leaf, a role
-// such as "gather" for all of it, "platform", or "everywhere".
+// findProcesses returns the processes that what stands for: one process such as entry/vm-1, all of a VM
+// such as vm-1, a leaf, all of a role such as "gather", "platform", or "everywhere".
 func (f *fleet) findProcesses(what string) ([]*daemon, error) {
 	var found []*daemon
 	what = f.resolveAlias(what)
@@ -310,7 +312,8 @@
 	return found, nil
 }
 
-// findAllProcesses is find over several words; none is an error.
+// findAllProcesses returns the processes of all words, as findProcesses does. It is an error if there
+// are none.
 func (f *fleet) findAllProcesses(words []string) ([]*daemon, error) {
 	var all []*daemon
 	for _, w := range words {
@@ -321,7 +324,7 @@
 		all = append(all, found...)
 	}
 	if len(all) == 0 {
-		return nil, errors.New("no process was named")
+		return nil, errors.New("no process is named")
 	}
 	return all, nil
 }
@@ -343,14 +346,14 @@
 }
 func (f *fleet) platformURL(path string) string { return "http://" + f.platformControl() + path }
 
-// leafLogFile is where a leaf writes what it starts; it outlives the leaf's process.
+// leafLogFile returns the path of a leaf's journal. The file outlives the leaf's process.
 func (f *fleet) leafLogFile(n *node) string { return filepath.Join(f.dir, n.name+".journal") }
 
 func leafURL(n *node, path string) string {
 	return fmt.Sprintf("http://%s:%d%s", n.bind, leafControlPort, path)
 }
 
-// operatorURL is a path of the operator listener of a VM's process such as entry/vm-1.
+// operatorURL returns the URL of a path at the operator listener of a VM's process such as entry/vm-1.
 func (f *fleet) operatorURL(process, path string) (string, error) {
 	role, of, _ := strings.Cut(process, "/")
 	n, err := f.vm(of)
@@ -360,7 +363,8 @@
 	return "http://" + n.bind + ":" + strconv.Itoa(operatorPorts[role]) + path, nil
 }
 
-// stop ends everything in order, last started first, and reports what didn't end by itself.
+// stop terminates all processes, last started first, and returns an error for those that do not exit by
+// themselves.
 func (f *fleet) stop() error {
 	for _, l := range f.loads {
 		l.finish()
--- a/scenarios/history_order_test.go
+++ b/scenarios/history_order_test.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// historyDuration is how long callers send orders while faults come and go.
+	// historyDuration is the time for which callers send orders under random faults.
 	historyDuration = 15 * time.Second
-	// historyCallers send at the same time.
+	// historyCallers is the number of concurrent callers.
 	historyCallers = 16
-	// sendTimeout is the deadline of one send, above the kind's own.
+	// sendTimeout is the timeout of one send, longer than the kind's own.
 	sendTimeout = 3 * time.Second
-	// maxSends bounds how often one order is sent in a row while it has no final outcome.
+	// maxSends is how often a caller sends an order in sequence while it has no final outcome.
 	maxSends = 12
-	// maxRetryWait bounds how long a caller waits before it sends again.
+	// maxRetryWait limits the wait of a caller before it sends an order again.
 	maxRetryWait = 300 * time.Millisecond
-	// thinkTime is between two orders of one caller.
+	// thinkTime is the wait between two orders of one caller.
 	thinkTime = 20 * time.Millisecond
-	// settleWorkers send through each entry at the end.
+	// settleWorkers is the number of concurrent senders through each entry at the end.
 	settleWorkers = 4
 )
 
-// orderSend is one send of an order, with the reply.
+// orderSend is one send of an order and its reply. Its times count from the start of the history.
 type orderSend struct {
 	ticket            int
 	caller            int
@@ -42,12 +42,12 @@
 	reply             *reply
 }
 
-// bookedOrder is what one ticket is for.
+// bookedOrder is a ticket and the payload of its order.
 type bookedOrder struct {
 	ticket, payload string
 }
 
-// orderHistory records what callers saw. It is safe for concurrent use.
+// orderHistory records the sends of orders and their replies. It is safe for concurrent use.
 type orderHistory struct {
 	start time.Time
 
@@ -57,14 +57,14 @@
 	sends  []orderSend
 	// refused counts tickets that were not issued.
 	refused int
-	// callerOutcomes counts orders by how they ended for their callers.
+	// callerOutcomes counts orders by their outcome for the caller.
 	callerOutcomes map[callerOutcome]int
 }
 
-// callerOutcome is how an order ended for its caller.
+// callerOutcome is the outcome of an order for its caller.
 type callerOutcome string
 
-// The ends of orders for their callers.
+// The outcomes of orders for their callers.
 const (
 	outcomeAnswered  callerOutcome = "answered"
 	outcomeNeverRun  callerOutcome = "never run"
@@ -119,7 +119,7 @@
 	}
 }
 
-// bookOne gets a ticket and books its order.
+// bookOne requests a ticket and books its order.
 func (c *orderCaller) bookOne(ctx context.Context) {
 	q := &request{entry: c.anyVM(), token: callerToken, timeout: sendTimeout, issue: &pb.IssueTicketRequest{Service: serviceName, Kind: orderKind}}
 	text := q.send().issue.GetTicket()
@@ -135,8 +135,8 @@
 	c.book(ctx, ticket)
 }
 
-// book sends an order, at once through up to three entries, until it has a final outcome; now and
-// then once more after that.
+// book sends an order through up to three entries at the same time until it has a final outcome, and at
+// random (one time in four) again after that.
 func (c *orderCaller) book(ctx context.Context, ticket int) {
 	end := outcomeUndecided
 	for range maxSends {
@@ -152,7 +152,7 @@
 	c.h.countOutcome(end)
 }
 
-// sendAtOnce sends through n entries drawn at random.
+// sendAtOnce sends the order through n random entries concurrently.
 func (c *orderCaller) sendAtOnce(ticket, n int) []*reply {
 	reps := make([]*reply, n)
 	var wg sync.WaitGroup
@@ -164,7 +164,7 @@
 	return reps
 }
 
-// after returns the end that a caller knows after a further reply: an answer or "never" decides.
+// after returns the outcome for the caller after a further reply. An answer or "never run" is final.
 func (e callerOutcome) after(r *reply) callerOutcome {
 	switch {
 	case e == outcomeAnswered || e == outcomeNeverRun:
@@ -188,8 +188,8 @@
 	}
 }
 
-// isFinal tells whether the reply decides the order: answered, never, or unknown without a time to
-// come back.
+// isFinal reports whether the reply decides the order: answered, never run, or unknown without a
+// retry-after time.
 func isFinal(r *reply) bool {
 	return isAnswered(r) || isNeverRun(r) ||
 		r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_UNKNOWN && r.outcome.GetRetryAfter() == nil
@@ -199,19 +199,20 @@
 	return r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE
 }
 
-// isNeverRun tells whether the reply says that the order of the ticket will never run, which only the
-// ticket's own keepers can; any other not_run speaks of one send.
+// isNeverRun reports whether the reply says that the order of the ticket never ran and never will. Only
+// the ticket's gather and witness can say so (step order.*); any other not_run is about one send.
 func isNeverRun(r *reply) bool {
 	return r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN && strings.HasPrefix(r.outcome.GetStep(), "order.")
 }
 
-// The porcupine model of one ticket: it starts undecided and becomes executed or never for good.
+// The state and the outputs of the porcupine model of one ticket. A ticket starts undecided and becomes
+// executed or never run; it does not change after that.
 type (
 	ticketState struct {
 		executed, never, answeredFirst bool
 	}
 	ticketOutput struct {
-		// reply of a send, nil for the audit of the leaves' journals at the end.
+		// reply is that of a send, nil for the audit of the leaves' journals at the end.
 		reply      *reply
 		executions int
 	}
@@ -231,7 +232,8 @@
 	},
 }
 
-// stepTicket takes one send or the audit. The input is the ticket's text.
+// stepTicket applies a send or the audit to the state and reports whether the output is allowed. The
+// input is the ticket's text.
 func stepTicket(s ticketState, ticket string, o ticketOutput) (bool, ticketState) {
 	switch {
 	case o.reply == nil:
@@ -262,7 +264,7 @@
 	return byTicket, byRequest
 }
 
-// check compares the history with the leaves' journals; it returns what breaks a promise.
+// check compares the history with the leaves' journals and returns the violations.
 func (h *orderHistory) check(lines []leaf.FileLine) []string {
 	byTicket, byRequest := executionsBy(lines)
 	var violations []string
@@ -284,7 +286,7 @@
 		if porcupine.CheckOperations(ticketModel, all) {
 			continue
 		}
-		violations = append(violations, fmt.Sprintf("ticket %d: no order of its sends explains what they got, with %d executions", i, byTicket[o.ticket]))
+		violations = append(violations, fmt.Sprintf("ticket %d: no order of its sends explains their replies, with %d executions", i, byTicket[o.ticket]))
 		for _, s := range h.sends {
 			if s.ticket == i {
 				violations = append(violations, fmt.Sprintf("    %8s to %8s through %s: %s", s.sentAt.Round(time.Millisecond), s.repliedAt.Round(time.Millisecond), s.entry, s.reply))
@@ -294,8 +296,8 @@
 	return violations
 }
 
-// TestOrderHistory runs many callers against random faults: no order runs twice, none that was said
-// never to run runs, each answered one has run once, and no answer is taken back.
+// TestOrderHistory sends orders from many callers under random faults. No order runs twice, none that
+// was reported as never run runs, each answered order has run once, and no answer is withdrawn later.
 func TestOrderHistory(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -318,14 +320,14 @@
 	h.settle(f)
 	written, err := f.journal()
 	is.NoErr(err)
-	t.Logf("%d orders, %d sends, %d tickets refused; ends: %v", len(h.orders), len(h.sends), h.refused, h.callerOutcomes)
+	t.Logf("%d orders, %d sends, %d tickets refused; outcomes: %v", len(h.orders), len(h.sends), h.refused, h.callerOutcomes)
 	for _, b := range h.check(written.lines) {
 		t.Error(b)
 	}
-	is.True(h.callerOutcomes[outcomeAnswered] > historyCallers) // the run means something
+	is.True(h.callerOutcomes[outcomeAnswered] > historyCallers) // else the run proves nothing
 }
 
-// settle sends every order once more through every entry, after all faults.
+// settle sends every order once more through every entry, after the faults have ended.
 func (h *orderHistory) settle(f *fleet) {
 	var wg sync.WaitGroup
 	for _, n := range f.vms {
--- a/scenarios/history_test.go
+++ b/scenarios/history_test.go
@@ -12,16 +12,16 @@
 	"github.com/burdockplank/burdockplank/internal/standin/leaf"
 )
 
-// maxProblems bounds how many violations are shown; their number is always told.
+// maxProblems limits the violations in an error; their total is always given.
 const maxProblems = 5
 
-// checkHistory compares every reply of the scenario with what the leaves' journals say:
+// checkHistory compares every reply of the scenario with the leaves' journals:
 //
 //   - Each hit of an answer comes from the answer's snapshot and query, and the hits are the best
-//     ones of just the shards that the answer counts as covered.
+//     ones of exactly the shards that the answer counts as covered.
 //   - The coverage is of the shard map of the answer's snapshot and bundle, and every shard that
-//     counts as covered was delivered for this very request.
-//   - An answer names its own request.
+//     counts as covered was delivered for this request.
+//   - An answer names its own request, and no two replies name the same one.
 //   - A request that ended as not run never reached a leaf.
 func (f *fleet) checkHistory(all []*reply) error {
 	j, err := f.journal()
@@ -43,13 +43,13 @@
 	if len(problems) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%d of %d replies break a promise:\n%w", len(problems), len(all),
+	return fmt.Errorf("%d of %d replies violate a guarantee:\n%w", len(problems), len(all),
 		errors.Join(problems[:min(len(problems), maxProblems)]...))
 }
 
 func (f *fleet) checkReply(r *reply, j *journal) error {
 	if r.err != nil {
-		return nil // the caller got nothing, so nothing was promised; settle counts these
+		return nil // the caller got no answer to check; the verb settle counts these
 	}
 	if r.header != "" && r.requestID() != r.header {
 		return fmt.Errorf("the reply names the request %s, its header %s", r.requestID(), r.header)
@@ -62,9 +62,9 @@
 	case r.outcome.GetKind() != pb.OutcomeKind_OUTCOME_KIND_NOT_RUN:
 		return nil
 	case id == "":
-		return errors.New("a refusal that names no request")
+		return errors.New("the refusal names no request")
 	case j.arrived[id]:
-		return fmt.Errorf("request %s was refused as not run and reached a leaf", id)
+		return fmt.Errorf("request %s was refused as not run but reached a leaf", id)
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 	for _, shard := range covered {
 		counts := j.hitCounts(id, shard, snapshot.Version)
 		if len(counts) == 0 {
-			return fmt.Errorf("shard %d counts as covered, no leaf delivered it for %s", shard, id)
+			return fmt.Errorf("shard %d counts as covered, but no leaf delivered it for %s", shard, id)
 		}
 		exact = exact && len(counts) == 1
 		for n := range counts {
@@ -96,26 +96,26 @@
 		}
 	}
 	if !exact {
-		return nil // several replicas answered a shard, with unlike hits; any of them is right
+		return nil // replicas delivered a shard with different numbers of hits; any of them is correct
 	}
 	return sameHits(r.search.GetHits(), topHits(best, topK))
 }
 
-// snapshotOf finds the shard map of the answer and how many hits were asked for.
+// snapshotOf returns the snapshot of the answer and the number of hits that were requested.
 func (f *fleet) snapshotOf(r *reply) (*bundle.Snapshot, int, error) {
 	b := f.bundles[r.search.GetBundleVersion()]
 	if b == nil {
 		return nil, 0, fmt.Errorf("bundle %d was never published", r.search.GetBundleVersion())
 	}
-	asked := r.request.search
-	service := b.Services[asked.GetService()]
+	wanted := r.request.search
+	service := b.Services[wanted.GetService()]
 	snapshot := service.Snapshot(r.search.GetSnapshot())
 	if snapshot == nil {
 		return nil, 0, fmt.Errorf("bundle %d has no snapshot %d", b.Version, r.search.GetSnapshot())
 	}
-	topK := int(asked.GetTopK())
+	topK := int(wanted.GetTopK())
 	if topK == 0 {
-		topK = service.Kinds[asked.GetKind()].TopK
+		topK = service.Kinds[wanted.GetKind()].TopK
 	}
 	return snapshot, topK, nil
 }
@@ -139,7 +139,7 @@
 	whole := a.GetOutcome().GetKind() == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE
 	switch {
 	case len(missing) > 0:
-		return nil, fmt.Errorf("shards are missing that snapshot %d doesn't have: %v", s.Version, missing)
+		return nil, fmt.Errorf("missing shards that snapshot %d does not have: %v", s.Version, missing)
 	case int(c.GetShardsTotal()) != len(s.Shards) || int(c.GetShardsCovered()) != len(covered):
 		return nil, fmt.Errorf("shards %d/%d, want %d/%d", c.GetShardsCovered(), c.GetShardsTotal(), len(covered), len(s.Shards))
 	case c.GetDocumentsTotal() != s.Documents() || c.GetDocumentsCovered() != documents:
@@ -150,7 +150,7 @@
 	return covered, nil
 }
 
-// topHits returns the topK best hits, in the order in which an answer has them.
+// topHits returns the topK best hits in the order of an answer. It sorts hits in place.
 func topHits(hits []*pb.Hit, topK int) []*pb.Hit {
 	slices.SortFunc(hits, func(a, b *pb.Hit) int {
 		return cmp.Or(cmp.Compare(b.GetScore(), a.GetScore()), cmp.Compare(a.GetDocument(), b.GetDocument()), cmp.Compare(a.GetShard(), b.GetShard()))
@@ -158,7 +158,8 @@
 	return hits[:min(topK, len(hits))]
 }
 
-// sameHits compares an answer's hits with the expected ones, whose text leaves may have padded.
+// sameHits compares an answer's hits with the expected ones. Leaves may have padded the text of the
+// answer's hits.
 func sameHits(got, want []*pb.Hit) error {
 	if len(got) != len(want) {
 		return fmt.Errorf("%d hits, want %d", len(got), len(want))
--- a/scenarios/journal_test.go
+++ b/scenarios/journal_test.go
@@ -11,17 +11,17 @@
 	"github.com/burdockplank/burdockplank/internal/standin/leaf"
 )
 
-// journal is what all leaves have written since the scenario's beginning. A line is written before
-// the effect of what it names, so the journal tells the truth of a leaf that was killed too.
+// journal is what all leaves have written since the start of the scenario. A leaf writes a line before
+// the effect that the line names, so that the journal is complete for a killed leaf too.
 type journal struct {
 	lines []leaf.FileLine
-	// arrived holds the requests that reached a leaf in any way, refused there or not.
+	// arrived holds the ids of the requests that reached a leaf, refused there or not.
 	arrived map[string]bool
-	// delivered holds what leaves answered, as the answers say of themselves.
+	// delivered holds the leaves' answers by request id, with the shard and snapshot that each answer names.
 	delivered map[string][]leaf.Delivery
 }
 
-// journal reads the files of all leaves.
+// journal reads the journals of all leaves.
 func (f *fleet) journal() (*journal, error) {
 	j := &journal{arrived: make(map[string]bool), delivered: make(map[string][]leaf.Delivery)}
 	for _, n := range f.leaves {
@@ -51,8 +51,8 @@
 	}
 }
 
-// hitCounts returns with how many hits the shard of the snapshot was delivered for the request, each
-// number once; none where it wasn't delivered.
+// hitCounts returns the distinct numbers of hits with which leaves delivered the shard of the snapshot
+// for the request. It is empty if no leaf delivered it.
 func (j *journal) hitCounts(id string, shard uint32, snapshot uint64) map[int]bool {
 	counts := make(map[int]bool)
 	for _, d := range j.delivered[id] {
--- a/scenarios/layout_test.go
+++ b/scenarios/layout_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The ports of stand-ins. Each process has an address of its own.
+// Ports of the stand-ins. Each process has its own IP.
 const (
 	platformPort        = 8500
 	platformControlPort = 8501
@@ -35,23 +35,23 @@
 	otherToken   = "token-of-payroll"
 )
 
-// layout is what the verb fleet asks for.
+// layout holds the options of the verb fleet.
 type layout struct {
 	VMs, Zones, Shards, Replicas int
 	Slots, Connections           int
 	Documents                    int
-	// HitBytes is the length that leaves pad the text of a hit to.
+	// HitBytes is the length to which leaves pad the text of a hit.
 	HitBytes int
-	// CrashMark is the text at which leaves crash from their start on.
+	// CrashMark is the text in a request at which leaves crash, set from their start.
 	CrashMark string
-	// Concurrency and Queue fix the limits of each entry's admission; 0 leaves the defaults.
+	// Concurrency and Queue fix the admission limits of each entry; 0 selects the defaults.
 	Concurrency, Queue int
 	ServiceTime        time.Duration
 	// ConnectDelay is how long a leaf takes to answer on a new connection.
 	ConnectDelay time.Duration
-	// BalancerLag is how long an entry that drains still takes new work.
+	// BalancerLag is how long a draining entry still accepts new requests.
 	BalancerLag time.Duration
-	// Relay puts a relay before each VM, leaf and the platform.
+	// Relay places a relay in front of each VM, each leaf and the platform.
 	Relay bool
 }
 
@@ -62,18 +62,18 @@
 	}
 }
 
-// node is a VM, a leaf or the platform: what a relay can stand before and a cut can name.
+// node is a VM, a leaf or the platform. A relay can be placed in front of it and a cut can name it.
 type node struct {
 	name, zone string
-	// bind is what its processes listen on, address what others use.
+	// bind is the IP that its processes listen on, address the IP that others connect to.
 	bind, address string
 	shard         int
 }
 
-// zoneName counts zones from 1.
+// zoneName returns the name of the zone with the index, which counts from 0; names count from 1.
 func zoneName(i int) string { return fmt.Sprintf("az-%d", i+1) }
 
-// vmNodes lays out VMs round robin over zones.
+// vmNodes returns the VMs, assigned to zones round robin.
 func (l layout) vmNodes(b *block) []*node {
 	var ns []*node
 	for i := range l.VMs {
@@ -82,8 +82,8 @@
 	return ns
 }
 
-// leafNodes lays out the replicas of each shard over zones: teachers-2-b is the second replica of
-// shard 2.
+// leafNodes returns the leaves, the replicas of each shard spread over zones. teachers-2-b is the second
+// replica of shard 2.
 func (l layout) leafNodes(b *block) []*node {
 	var ns []*node
 	for s := range l.Shards {
@@ -107,7 +107,7 @@
 
 func tokenHash(token string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(token))) }
 
-// bundleText writes a bundle for the layout; snapshots are listed as given, each with every shard.
+// bundleText returns the text of a bundle for the layout with the given snapshots, each with every shard.
 func (l layout) bundleText(version uint64, snapshots []string, leaves []*node) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version = %d\n[limits]\nmax_query_bytes = 4096\nmax_top_k = 100\nmax_timeout = \"10s\"\n", version)
@@ -132,7 +132,7 @@
 	return b.String()
 }
 
-// kindsText holds the kinds that scenarios send: dawn weighs latency, roster weighs coverage.
+// kindsText declares the kinds that scenarios use: dawn prefers latency, roster prefers coverage.
 const kindsText = `[[service.kind]]
 name = "dawn"
 mode = "search"
@@ -162,7 +162,8 @@
 timeout = "2s"
 `
 
-// groupLeaves lists the leaves of a group, named by the shard that it holds in the first partition.
+// groupLeaves lists the leaves of a group in TOML. A group is numbered by the shard that it holds in the
+// first partition.
 func groupLeaves(shard int, leaves []*node) string {
 	var ids []string
 	for _, n := range leaves {
@@ -173,7 +174,7 @@
 	return strings.Join(ids, ", ")
 }
 
-// leafSettings is the settings file of a leaf stand-in.
+// leafSettings returns the settings file of a leaf stand-in.
 func (l layout) leafSettings(n *node, logFile string) string {
 	return fmt.Sprintf(`id = %q
 zone = %q
@@ -194,7 +195,7 @@
 		n.shard, l.Documents, l.HitBytes, l.ServiceTime, l.ConnectDelay, logFile, l.CrashMark)
 }
 
-// admissionSettings is the table of an entry that fixes its limits.
+// admissionSettings returns the settings table that fixes an entry's admission limits.
 func (l layout) admissionSettings() string {
 	if l.Concurrency == 0 {
 		return ""
@@ -203,13 +204,13 @@
 		l.Concurrency, l.Concurrency, l.Concurrency, l.Queue)
 }
 
-// commonSettings are the tables that the processes of a VM share.
+// commonSettings returns the settings tables that all processes of a VM have.
 func commonSettings(n *node, operatorPort int) string {
 	return fmt.Sprintf("[vm]\nid = %q\nzone = %q\nbind = %q\naddress = %q\n[operator]\nlisten = \"%s:%d\"\n",
 		n.name, n.zone, n.bind, n.address, n.bind, operatorPort)
 }
 
-// trustSettings names the reviewers for a sync.
+// trustSettings returns the settings table of a sync that names the trusted reviewers.
 func trustSettings(threshold int, reviewers []reviewer) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[trust]\nthreshold = %d\n", threshold)
@@ -220,7 +221,7 @@
 	return b.String()
 }
 
-// reviewer signs bundles.
+// reviewer is a signer of bundles.
 type reviewer struct {
 	id  string
 	key ed25519.PrivateKey
--- a/scenarios/load_test.go
+++ b/scenarios/load_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockplank/burdockplank/internal/outcome"
 )
 
-// load is a number of callers that search again and again in the background. Their replies become
-// part of the scenario's history.
+// load is a group of callers that send searches and orders in the background until finish. Their replies
+// are part of the scenario's history.
 type load struct {
 	fleet   *fleet
 	callers int
@@ -23,28 +23,28 @@
 	topKs   []int32
 	timeout time.Duration
 	pause   time.Duration
-	// textCount is how many texts the callers share; 0 is a text of its own for each search.
+	// textCount is the number of texts that the callers share; with 0 each search has its own text.
 	textCount int
-	// connection is how each caller is connected; where cuts is set each request has a connection that
-	// breaks after 1 to that many bytes.
-	connection  connection
+	// connection describes the connection of each caller.
+	connection connection
+	// maxCutBytes, if set, gives each request its own connection that breaks after 1 to maxCutBytes bytes.
 	maxCutBytes int
-	// text is the only one where it is set, word else part of every text.
+	// text, if set, is the text of every search. Otherwise word is part of every text.
 	text string
 	word string
 	seed uint64
 
 	stop    chan struct{}
 	running sync.WaitGroup
-	// shared is the connection that half of the callers use together.
+	// shared is the client that half of the callers share.
 	shared *http.Client
 
 	mu sync.Mutex
-	// replies are guarded by mu.
+	// replies is guarded by mu.
 	replies []*reply
 }
 
-// start begins to send.
+// start starts the callers.
 func (l *load) start() {
 	l.stop, l.shared = make(chan struct{}), l.connection.client()
 	for i := range l.callers {
@@ -52,14 +52,14 @@
 	}
 }
 
-// soFar counts the replies so far.
+// soFar returns the tally of the replies so far.
 func (l *load) soFar() *tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return tallyOf(l.replies)
 }
 
-// finish lets each caller get the reply that it waits for, and returns all replies.
+// finish stops the callers, waits for the replies in flight and returns all replies.
 func (l *load) finish() []*reply {
 	if l.stop == nil {
 		return l.replies
@@ -71,7 +71,7 @@
 	return l.replies
 }
 
-// run is one caller.
+// run sends the requests of one caller until finish.
 func (l *load) run(caller int) {
 	random := rand.New(rand.NewPCG(l.seed, uint64(caller)))
 	client := l.shared
@@ -98,7 +98,7 @@
 	}
 }
 
-// send sends and keeps the reply.
+// send sends the request and records the reply.
 func (l *load) send(q *request) *reply {
 	rep := q.send()
 	l.fleet.requests.record(rep)
@@ -108,7 +108,7 @@
 	return rep
 }
 
-// order makes an order of what was drawn as a search: it gets a ticket, and sends the order through
+// order turns a search of the order kind into an order: it requests a ticket and sends the order through
 // the same entry.
 func (l *load) order(q *request) {
 	text := q.search.GetQuery()
@@ -123,8 +123,8 @@
 	l.send(&order)
 }
 
-// request draws a search. Callers of both names share texts and ask for unlike numbers of hits, so
-// that no two of them can get each other's answer unnoticed.
+// request returns a random search. Callers of both names share texts and request different numbers of
+// hits, so that an answer that goes to the wrong caller is noticed.
 func (l *load) request(caller, n int, random *rand.Rand) *request {
 	text := fmt.Sprintf("%s %d of caller %d", l.word, n, caller)
 	switch {
@@ -153,14 +153,14 @@
 	reasons  map[string]int
 	// first holds the first reply of each outcome.
 	first map[string]*reply
-	// refusedForLoad counts those not run because queue or gate was full.
+	// refusedForLoad counts the requests that were not run because the queue or the limiter was full.
 	refusedForLoad int
-	// untyped is the error of one reply without an outcome.
+	// untyped is the error of the last reply without an outcome.
 	untyped error
 	longest time.Duration
 }
 
-// forLoad tells whether a refusal speaks of the load alone.
+// forLoad reports whether load alone is the reason of a refusal.
 func forLoad(r *reply) bool {
 	reason := r.outcome.GetReason()
 	return reason == pb.Reason_REASON_QUEUE_FULL || reason == pb.Reason_REASON_OVERLOAD
@@ -198,7 +198,7 @@
 // answered counts whole and partial answers.
 func (t *tally) answered() int { return t.outcomes["answered_whole"] + t.outcomes["answered_partial"] }
 
-// check compares the tally with what is wanted; README.md lists the options.
+// check compares the tally with the options of the verb settle; see README.md.
 func (t *tally) check(a *arguments) error {
 	only := strings.Split(a.text("only", "answered_whole,answered_partial,not_run,failed"), ",")
 	saw := strings.FieldsFunc(a.text("saw", ""), func(r rune) bool { return r == ',' })
--- a/scenarios/main_test.go
+++ b/scenarios/main_test.go
@@ -1,6 +1,6 @@
-// Package scenarios runs the scripted scenarios of testdata: each starts stand-ins and the system
-// as separate processes on loopback addresses of its own, drives and disturbs them by the verbs of
-// README.md, and checks what callers and leaves saw.
+// Package scenarios runs the scripts of testdata. Each starts stand-ins and the system as separate
+// processes on its own loopback addresses, sends requests and injects faults with the verbs of README.md,
+// and checks the replies to callers against the journals of the leaves.
 package scenarios
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// programs are built once for all scenarios.
+// programs are the commands that TestMain builds once for all scenarios.
 var programs = []string{"burdock-entry", "burdock-gather", "burdock-sync", "burdock-standin", "burdock-load"}
 
-// binDir holds the built programs; set by TestMain before any scenario runs.
+// binDir is the directory of the built programs. TestMain sets it before any scenario runs.
 var binDir string
 
 func TestMain(m *testing.M) {
@@ -55,8 +55,8 @@
 	})
 }
 
-// misleadingCommand are testscript's own commands that a script could take for verbs here: stop and skip
-// end it as passed, kill knows only what exec started.
+// misleadingCommand matches testscript's own commands that look like verbs of this package. stop and skip
+// end the script as passed; kill and wait know only processes started by exec.
 var misleadingCommand = regexp.MustCompile(`(?m)^\s*!?\s*(stop|skip|kill|wait)\b.*`)
 
 func TestScriptsHoldNoMisleadingCommand(t *testing.T) {
--- a/scenarios/mischief_test.go
+++ b/scenarios/mischief_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-var seedFlag = flag.Uint64("seed", 0, "seed of the random faults; drawn anew where it is 0")
+var seedFlag = flag.Uint64("seed", 0, "seed of the random faults; 0 draws a new one")
 
-// runSeed returns the seed of a run and prints it.
+// runSeed returns the seed of a run and logs it.
 func runSeed(t *testing.T) uint64 {
 	seed := *seedFlag
 	if seed == 0 {
@@ -22,7 +22,7 @@
 	return seed
 }
 
-// startFleet starts a fleet for a test that is no script; it is stopped with the test.
+// startFleet starts a fleet for a test without a script and stops it at the end of the test.
 func startFleet(t *testing.T, l layout) *fleet {
 	t.Helper()
 	f, err := newFleet(t.TempDir(), l)
@@ -40,18 +40,18 @@
 	return f
 }
 
-// injectedFault is one fault that begins and ends.
+// injectedFault is a fault with its start and end actions.
 type injectedFault struct {
 	name       string
 	begin, end func() error
-	// duration is how long it lasts.
+	// duration is the time from begin to end.
 	duration time.Duration
 }
 
-// faultKind draws a mishap of its kind.
+// faultKind returns a random fault of one kind.
 type faultKind func(m *faultInjector) injectedFault
 
-// faultInjector lets random faults happen, up to two at a time. It belongs to one goroutine.
+// faultInjector injects random faults, up to two at a time. Only one goroutine may use it.
 type faultInjector struct {
 	f      *fleet
 	random *rand.Rand
@@ -59,7 +59,7 @@
 	start  time.Time
 }
 
-// run lets faults of the kinds happen until ctx ends, then undoes what still holds.
+// run injects faults of the kinds until ctx ends. No fault is active when it returns without an error.
 func (m *faultInjector) run(ctx context.Context, kinds []faultKind) error {
 	m.start = time.Now()
 	for ctx.Err() == nil {
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// injectSecond lets a second fault happen while the first holds; one that needs a process that the first
-// has taken away is passed over.
+// injectSecond injects a second fault while the first is active. It skips a fault of the same name and
+// one that cannot begin because the first fault has taken its process.
 func (m *faultInjector) injectSecond(ctx context.Context, kinds []faultKind, first injectedFault) error {
 	second := kinds[m.random.IntN(len(kinds))](m)
 	if second.name == first.name || m.begin(second) != nil {
@@ -91,7 +91,7 @@
 
 func (m *faultInjector) begin(h injectedFault) error {
 	if err := h.begin(); err != nil {
-		m.log("%6dms can't begin: %s: %v", time.Since(m.start).Milliseconds(), h.name, err)
+		m.log("%6dms cannot begin: %s: %v", time.Since(m.start).Milliseconds(), h.name, err)
 		return err
 	}
 	m.log("%6dms %s", time.Since(m.start).Milliseconds(), h.name)
@@ -116,7 +116,7 @@
 func (m *faultInjector) vm() *node   { return m.f.vms[m.random.IntN(len(m.f.vms))] }
 func (m *faultInjector) leaf() *node { return m.f.leaves[m.random.IntN(len(m.f.leaves))] }
 
-// processes draws one process of a VM, a leaf, or all three of a VM.
+// processes returns at random one process of a VM, a leaf, or all three processes of a VM.
 func (m *faultInjector) processes() (name string, ds []*daemon) {
 	names := []string{
 		"gather/" + m.vm().name, "gather/" + m.vm().name, "entry/" + m.vm().name, "sync/" + m.vm().name,
@@ -127,7 +127,7 @@
 	return name, ds
 }
 
-// eachOf does the action to all processes; the first error ends it.
+// eachOf runs the action on the processes in order until the first error.
 func eachOf(ds []*daemon, action func(*daemon) error) error {
 	for _, d := range ds {
 		if err := action(d); err != nil {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// allAvailable is an error where one of the processes is gone or frozen by another fault.
+// allAvailable returns an error if another fault has ended or frozen one of the processes.
 func allAvailable(ds []*daemon) error {
 	return eachOf(ds, func(d *daemon) error {
 		if !d.Running() || d.Frozen() {
@@ -157,7 +157,8 @@
 	}
 }
 
-// eachIfAvailable is eachOf where no other fault holds any of the processes.
+// eachIfAvailable runs the action on the processes like eachOf, but does nothing if another fault has
+// ended or frozen one of them.
 func eachIfAvailable(ds []*daemon, action func(*daemon) error) error {
 	if allAvailable(ds) != nil {
 		return nil
@@ -165,7 +166,7 @@
 	return eachOf(ds, action)
 }
 
-// freezeFault stops processes for up to 4 s, beyond the deadline of an order, and wakes them.
+// freezeFault freezes processes for up to 4 s, longer than the timeout of an order, and wakes them.
 func freezeFault(m *faultInjector) injectedFault {
 	name, ds := m.processes()
 	return injectedFault{
@@ -175,7 +176,7 @@
 	}
 }
 
-// restartFault asks a process to end in order and starts it again.
+// restartFault terminates processes gracefully and starts them again.
 func restartFault(m *faultInjector) injectedFault {
 	name, ds := m.processes()
 	return injectedFault{
@@ -190,7 +191,7 @@
 	}
 }
 
-// startIfDown starts a process, unless another fault killed it meanwhile and has started it again.
+// startIfDown starts a process unless another fault has killed and restarted it in the meantime.
 func startIfDown(d *daemon) error {
 	if d.Running() {
 		return nil
@@ -198,7 +199,7 @@
 	return d.Start()
 }
 
-// cutFault cuts two VMs, a VM from a leaf, or two availability zones from each other.
+// cutFault cuts the network between two VMs, a VM and a leaf, or two availability zones.
 func cutFault(m *faultInjector) injectedFault {
 	pairs := [][2]string{{m.vm().name, m.vm().name}, {m.vm().name, m.leaf().name}, {m.f.vms[0].zone, m.f.vms[1].zone}}
 	p := pairs[m.random.IntN(len(pairs))]
@@ -214,7 +215,7 @@
 	}
 }
 
-// silenceFault makes the open connections between two nodes silent.
+// silenceFault makes the open connections between two nodes silent for good.
 func silenceFault(m *faultInjector) injectedFault {
 	pairs := [][2]string{{m.vm().name, m.vm().name}, {m.vm().name, m.leaf().name}}
 	p := pairs[m.random.IntN(len(pairs))]
@@ -225,13 +226,13 @@
 	}
 }
 
-// The faults of leaves that concern orders.
+// leafOrderFaults are the settings of leaf faults that affect orders.
 var leafOrderFaults = []string{
 	`{"hold_execute":"300ms"}`, `{"hold_execute":"2500ms"}`, `{"error_after_execute":true}`, `{"stall":true}`,
 	`{"error_share":0.3}`, `{"shed":true}`, `{"drain":true}`, `{"refuse_connections":true}`,
 }
 
-// leafFault switches a fault on at one leaf.
+// leafFault turns a random fault on at one leaf.
 func leafFault(m *faultInjector) injectedFault {
 	n, fault := m.leaf(), leafOrderFaults[m.random.IntN(len(leafOrderFaults))]
 	set := func(json string) error { return put(leafURL(n, "/faults"), []byte(json)) }
@@ -249,14 +250,15 @@
 		},
 		end: func() error {
 			if running() != nil {
-				return nil // it starts again without faults
+				return nil // a restarted leaf has no faults
 			}
 			return set(`{}`)
 		},
 	}
 }
 
-// orderFaults are those that are thrown at orders.
+// orderFaults returns the kinds of faults injected while orders are sent; a kind that is listed twice is
+// twice as likely.
 func orderFaults() []faultKind {
 	return []faultKind{crashFault, crashFault, freezeFault, freezeFault, restartFault, cutFault, silenceFault, leafFault, leafFault}
 }
--- a/scenarios/partition_test.go
+++ b/scenarios/partition_test.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// partition says how a snapshot's data is cut into shards and which groups of leaves hold them.
+// partition describes the shards of a snapshot and the groups of leaves that hold them.
 type partition struct {
 	snapshot uint64
 	shards   int
-	// groups of leaves there are; moved by how many groups each shard has been moved.
+	// groups is the number of groups of leaves, moved the number of groups by which each shard has moved.
 	groups, moved int
 }
 
-// parsePartition reads "2" for snapshot 2 as the layout has it, or "2/5" for 5 shards of which each
-// is with the next group of leaves: a repartition moves every shard. It panics on anything else,
-// which can only come from a script.
+// parsePartition parses "2" as snapshot 2 with the partition of the layout, and "2/5" as snapshot 2 with
+// 5 shards, each at the next group of leaves: a repartition moves every shard. It panics on any other
+// text, which can only come from a script.
 func parsePartition(text string, groups int) partition {
 	version, shards, repartitioned := strings.Cut(text, "/")
 	n, err := strconv.ParseUint(version, 10, 64)
@@ -31,10 +31,10 @@
 	return p
 }
 
-// group returns which group of leaves holds the shard.
+// group returns the group of leaves that holds the shard.
 func (p partition) group(shard int) int { return (shard + p.moved) % p.groups }
 
-// verbShards is: shards LEAF PARTITION... . It tells leaves which shards they hold of the snapshots.
+// verbShards is: shards LEAF PARTITION... . It sets which shards of the snapshots the leaves hold.
 func verbShards(f *fleet, a *arguments) error {
 	if err := a.validate(2, anyNumber); err != nil {
 		return err
--- a/scenarios/post_test.go
+++ b/scenarios/post_test.go
@@ -18,7 +18,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// procedurePaths are what the verb post can call.
+// procedurePaths holds the HTTP paths that the verb post can call.
 var procedurePaths = map[string]string{
 	"search": burdockv1connect.QueryServiceSearchProcedure,
 	"ticket": burdockv1connect.QueryServiceIssueTicketProcedure,
@@ -27,8 +27,8 @@
 }
 
 // verbPost is: post search|ticket|order|none BODY [via=vm-1] [as=CALLER] [type=T] [deadline=TEXT]
-// [repeat=N] [short=BYTES]. It sends any body, N times over where that is given, as a caller without
-// the library may; with short the body ends that many bytes before its announced length.
+// [repeat=N] [short=BYTES]. It sends an arbitrary body, repeated N times, as a caller
+// without the client library may. With short the body ends that many bytes before its Content-Length.
 func verbPost(f *fleet, a *arguments) error {
 	q, err := f.baseRequest(a)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 	path := procedurePaths[a.words[0]]
 	if path == "" {
-		return fmt.Errorf("can't post %q", a.words[0])
+		return fmt.Errorf("unknown procedure %q", a.words[0])
 	}
 	body := strings.Repeat(a.words[1], repeat)
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// decodeOutcome reads the typed outcome of a connect error in JSON.
+// decodeOutcome returns the typed outcome of a connect error in JSON.
 func decodeOutcome(res *http.Response) (*pb.Outcome, error) {
 	defer func() { _ = res.Body.Close() }()
 	var e struct {
@@ -96,10 +96,10 @@
 		o := &pb.Outcome{}
 		return o, proto.Unmarshal(raw, o)
 	}
-	return nil, fmt.Errorf("%s without an outcome", res.Status)
+	return nil, fmt.Errorf("status %s without an outcome", res.Status)
 }
 
-// verbPause is: pause PROCESS... for=D. It freezes processes for that long.
+// verbPause is: pause PROCESS... for=D. It freezes the processes for D and wakes them.
 func verbPause(f *fleet, a *arguments) error {
 	lasts := a.duration("for", 0)
 	if err := eachProcess((*daemon).Freeze)(f, a); err != nil {
--- a/scenarios/publish_test.go
+++ b/scenarios/publish_test.go
@@ -18,7 +18,7 @@
 	"github.com/burdockplank/burdockplank/internal/standin/platform"
 )
 
-// publish signs a bundle's text as the child of the newest published one and puts it on the
+// publish signs a bundle's text, with the newest fully signed bundle as its parent, and stores it on the
 // platform, sections first.
 func (f *fleet) publish(text string, signers []reviewer) error {
 	b, parseErr := bundle.Parse([]byte(text))
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// signManifest makes the signed manifest of a text. One that can't work, for which parsed is nil, is signed
-// all the same, as by reviewers who don't use the tool that refuses it.
+// signManifest returns the signed manifest of a text. It also signs an invalid text, for which parsed is
+// nil, and signs with the same key twice, as reviewers could without the tool that refuses to.
 func signManifest(text string, parent bundle.Digest, parsed *bundle.Bundle, keys []ed25519.PrivateKey) (*pb.SignedManifest, error) {
 	if parsed != nil && !hasDuplicate(keys) {
 		return bundle.Sign([]byte(text), parent, keys...)
@@ -85,7 +85,7 @@
 	return signed, nil
 }
 
-// hasDuplicate tells whether a key is there twice, which the tool that signs would leave out.
+// hasDuplicate reports whether a key occurs twice. bundle.Sign would drop the second signature.
 func hasDuplicate(keys []ed25519.PrivateKey) bool {
 	seen := make(map[string]bool)
 	for _, k := range keys {
@@ -105,8 +105,8 @@
 	return ids
 }
 
-// parseSigners reads a list such as 1,2 of reviewers by number; "stranger" is one that no
-// process trusts.
+// parseSigners parses a list of reviewers by number, such as 1,2. "stranger" is a signer that no process
+// trusts.
 func (f *fleet) parseSigners(list string) ([]reviewer, error) {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = 99
@@ -126,7 +126,7 @@
 	return all, nil
 }
 
-// putKey puts a value on the platform and returns its revision.
+// putKey stores a value on the platform and returns its revision.
 func putKey(url string, body []byte) (uint64, error) {
 	req, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
@@ -143,7 +143,7 @@
 	return strconv.ParseUint(revision, 10, 64)
 }
 
-// padBundle adds callers to a bundle's text until it has at least that many bytes.
+// padBundle adds callers to a bundle's text until it has at least size bytes.
 func padBundle(text string, size int) string {
 	head, tail, _ := strings.Cut(text, "[[service]]")
 	var b strings.Builder
@@ -157,8 +157,8 @@
 
 var versionLine = regexp.MustCompile(`(?m)^version = \d+\n\[limits\]`)
 
-// editBundle returns the newest text with another version and the edits made, each "OLD -> NEW". An
-// edit whose OLD isn't there is an error.
+// editBundle returns the newest bundle text with the version, the snapshots if given, and the edits, each
+// "OLD -> NEW". An edit whose OLD does not occur is an error.
 func (f *fleet) editBundle(version uint64, snapshots string, edits []string) (string, error) {
 	text := f.bundleText
 	if snapshots != "" {
--- a/scenarios/relay_check_test.go
+++ b/scenarios/relay_check_test.go
@@ -12,7 +12,7 @@
 
 const echoPort = 9100
 
-// relayedPair is a relay before two nodes, the second of which echoes TCP and UDP.
+// relayedPair returns a relay in front of two nodes. The second node echoes TCP.
 func relayedPair(t *testing.T) (r *relay, from, to *node) {
 	t.Helper()
 	is := is.New(t)
@@ -53,7 +53,7 @@
 	return c
 }
 
-// echo writes text and returns what comes back.
+// echo writes text and returns the echo.
 func echo(t *testing.T, c net.Conn, text string) string {
 	t.Helper()
 	if _, err := c.Write([]byte(text)); err != nil {
@@ -66,14 +66,14 @@
 	return string(buf)
 }
 
-// A silent connection passes nothing again, not even its end, while a new one works. What was
-// written during a cut arrives after it.
+// TestRelaySilenceAndCut checks that a silent connection passes nothing more, not even its close, while
+// a new one works, and that data written during a cut arrives after it.
 func TestRelaySilenceAndCut(t *testing.T) {
 	is := is.New(t)
 	r, from, to := relayedPair(t)
 	old := dialRelayed(t, from, to)
 	is.Equal(echo(t, old, "one"), "one")
-	is.Equal(r.silence([]string{"vm-2"}, []string{"vm-1"}), 1) // in either order of the names
+	is.Equal(r.silence([]string{"vm-2"}, []string{"vm-1"}), 1) // the order of the names does not matter
 
 	fresh := dialRelayed(t, from, to)
 	is.Equal(echo(t, fresh, "two"), "two")
@@ -91,7 +91,7 @@
 	is.True(r.wouldPass(fresh))
 	is.True(!r.wouldPass(old))
 
-	// The relay knows how long a silent connection is kept by the side that opened it.
+	// The relay records how long the side that opened a silent connection keeps it.
 	_, err = r.longestKeptSilent(0)
 	is.True(err != nil)
 	is.NoErr(old.Close())
@@ -101,7 +101,7 @@
 	}))
 }
 
-// A severed connection passes just so many bytes of answers and breaks.
+// TestRelaySever checks that a severed connection passes the given number of answer bytes and breaks.
 func TestRelaySever(t *testing.T) {
 	is := is.New(t)
 	r, from, to := relayedPair(t)
@@ -112,11 +112,11 @@
 	_, err := c.Write([]byte("three"))
 	is.NoErr(err)
 	got, err := io.ReadAll(c)
-	is.True(err != nil) // reset, not ended
+	is.True(err != nil) // reset, not closed
 	is.True(strings.HasPrefix("th", string(got)))
 }
 
-// wouldPass tells whether the relay would pass data of the connection.
+// wouldPass reports whether the relay would pass data of the connection.
 func (r *relay) wouldPass(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,7 +128,8 @@
 	return false
 }
 
-// A datagram goes on from its sender's relayed address, and none in a cut.
+// TestRelayDatagrams checks that a datagram is forwarded from its sender's relayed address, and dropped
+// during a cut.
 func TestRelayDatagrams(t *testing.T) {
 	is := is.New(t)
 	r, from, to := relayedPair(t)
@@ -144,8 +145,9 @@
 		_, err := a.WriteToUDP([]byte(text), address)
 		is.NoErr(err)
 	}
-	// Datagrams of one sender stay in order here, so that the one after the cut proves the one in
-	// it lost. The relay must have read it first: the heal waits for the count.
+	// Datagrams of one sender stay in order here, so that the arrival of the one sent after the cut proves
+	// that the one sent during it was lost. The relay must have read that one before the heal, which
+	// therefore waits for the count of dropped datagrams.
 	send("before")
 	buf := make([]byte, 100)
 	n, sender, err := b.ReadFromUDP(buf)
--- a/scenarios/relay_test.go
+++ b/scenarios/relay_test.go
@@ -12,27 +12,28 @@
 	"time"
 )
 
-// relay stands before nodes and passes TCP and UDP on to them. It knows a sender by the address
-// that its connections come from. A cut holds what is under way and drops datagrams, as packet loss
-// does: nothing is closed or refused. (The kernel still accepts connections during a cut; they
-// stay silent, which is harder to notice than a connection that doesn't open.)
+// relay forwards TCP and UDP to the nodes behind it. It identifies a sender by the source address of its
+// connections. A cut delays TCP data and drops datagrams, as packet loss does: it closes and refuses no
+// connection. (The kernel still accepts connections during a cut; they stay silent, which is harder to
+// detect than a connection that does not open.)
 type relay struct {
 	byBind map[string]*node
 
 	mu sync.Mutex
-	// Guarded by mu. cuts holds pairs of node names, both ways; changed is closed at each change of
-	// cuts or of a link's silence; closers end what the relay has open.
+	// The fields below are guarded by mu. cuts holds pairs of node names, in both directions. changed is
+	// closed and replaced at each change of cuts or of a link's silence. closers are the open listeners
+	// and connections.
 	cuts    map[[2]string]bool
 	changed chan struct{}
 	closed  bool
 	links   map[*link]bool
-	// silenced are all links that were ever made silent.
+	// silenced holds all links that were ever made silent.
 	silenced []*link
 	closers  []io.Closer
-	// datagrams holds the UDP socket at each node's address.
+	// datagrams holds the UDP socket at the relayed address of each node.
 	datagrams map[string]*net.UDPConn
 
-	// dropped counts datagrams lost in cuts.
+	// dropped counts the datagrams dropped by cuts.
 	dropped atomic.Int64
 	running sync.WaitGroup
 }
@@ -41,17 +42,17 @@
 type link struct {
 	from, to string
 	port     int
-	// ends are the side that opened the connection and the side that answers.
+	// ends are the connection from the side that opened the link and the connection to the node.
 	ends [2]*net.TCPConn
-	// The rest is guarded by the relay's mu. silentAt is set on a link that never passes anything
-	// again, givenUpAt once the side that opened it has closed it.
+	// The fields below are guarded by the relay's mu. silentAt is set when the link becomes silent for
+	// good, openerClosedAt when the side that opened it has closed it.
 	silentAt, openerClosedAt time.Time
-	// severed is true on a link that breaks once left more bytes of answers have passed.
+	// severed is true on a link that breaks after remainingBytes more bytes of answers.
 	severed        bool
 	remainingBytes int
 }
 
-// linkState says what a link does with what was sent.
+// linkState is what a link does with data: pass it, discard it, or end.
 type linkState int
 
 const (
@@ -126,8 +127,8 @@
 	both.Wait()
 }
 
-// copy passes bytes and the end of the stream from src to dst, holding both while cut. On a silent
-// link it swallows them, as when something between the ends has lost track of the connection.
+// copy passes data and the end of the stream from src to dst, and delays both during a cut. On a silent
+// link it discards them, as a middlebox does that has lost the state of the connection.
 func (r *relay) copy(l *link, dst, src *net.TCPConn) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -164,7 +165,7 @@
 	}
 }
 
-// recordOpenerClose notes when the link's opener gave it up.
+// recordOpenerClose records the time at which the side that opened the link closed it.
 func (r *relay) recordOpenerClose(l *link, src *net.TCPConn, err error) {
 	if err == nil || src != l.ends[0] {
 		return
@@ -174,7 +175,8 @@
 	l.openerClosedAt = time.Now()
 }
 
-// consumeBytes returns how many of n bytes still pass, and whether the link breaks then.
+// consumeBytes returns how many of n bytes still pass, and whether the link breaks after them. Only
+// answers on a severed link are limited.
 func (r *relay) consumeBytes(l *link, src *net.TCPConn, n int) (keep int, broken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,13 +188,14 @@
 	return keep, l.remainingBytes <= 0
 }
 
-// reset closes a connection so that its peer sees it broken rather than ended.
+// reset closes a connection with a TCP reset, so that its peer sees an error rather than the end of the
+// stream.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// waitWhileCut waits until the link isn't cut, and tells what to do with what it carries.
+// waitWhileCut waits until the link is not cut and returns its state.
 func (r *relay) waitWhileCut(l *link) linkState {
 	for {
 		r.mu.Lock()
@@ -235,8 +238,8 @@
 	}
 }
 
-// serveUDP relays datagrams to a port of the node. What a node sends comes on from its own relayed
-// address, so that answers pass the relay too. All nodes must be served before any traffic.
+// serveUDP relays datagrams to a port of the node. A datagram is forwarded from the relayed address of
+// its sender, so that answers pass the relay too. All nodes must be served before any traffic.
 func (r *relay) serveUDP(n *node, port int) error {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(n.address), Port: port})
 	if err != nil {
@@ -272,7 +275,7 @@
 	_, _ = c.WriteToUDP(data, addr)
 }
 
-// setCut cuts or heals each pair of a node of as and one of bs, both ways.
+// setCut cuts or heals each pair of a node of as and a node of bs, in both directions.
 func (r *relay) setCut(as, bs []string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -287,8 +290,8 @@
 	r.notifyChange()
 }
 
-// silence makes every open connection between the nodes silent for good; new ones work. It returns
-// how many there were.
+// silence makes every open connection between the nodes silent for good; new ones work. It returns their
+// number.
 func (r *relay) silence(as, bs []string) int {
 	now := time.Now()
 	return r.each(as, bs, func(l *link) {
@@ -297,8 +300,8 @@
 	})
 }
 
-// sever makes every open connection between the nodes break once that many more bytes of answers
-// have passed on it. It returns how many there were.
+// sever makes every open connection between the nodes break after the given number of further answer
+// bytes. It returns the number of connections.
 func (r *relay) sever(as, bs []string, after int) int {
 	return r.each(as, bs, func(l *link) { l.severed, l.remainingBytes = true, after })
 }
@@ -319,9 +322,9 @@
 	return count
 }
 
-// longestKeptSilent returns an error while any link that was made silent is still open at the side that
-// opened it, and else the one that was kept for the longest time; nil where there was none. Only links
-// to the port count, to any where it is 0.
+// longestKeptSilent returns the silent link that the side that opened it kept open for the longest time,
+// nil if there was none. It returns an error while any silent link is still open at that side. Only links
+// to the port count, to any port if it is 0.
 func (r *relay) longestKeptSilent(port int) (longest *link, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -330,7 +333,7 @@
 			continue
 		}
 		if l.openerClosedAt.IsZero() {
-			return nil, fmt.Errorf("%s is kept since %s", l, time.Since(l.silentAt))
+			return nil, fmt.Errorf("%s is still open %s after it became silent", l, time.Since(l.silentAt))
 		}
 		if longest == nil || l.keptFor() > longest.keptFor() {
 			longest = l
@@ -339,10 +342,11 @@
 	return longest, nil
 }
 
-// keptFor is how long the side that opened a silent link kept it, once it has given it up.
+// keptFor returns how long the side that opened a silent link kept it open. It is valid once
+// openerClosedAt is set.
 func (l *link) keptFor() time.Duration { return l.openerClosedAt.Sub(l.silentAt) }
 
-// String names the link.
+// String describes the link for error messages.
 func (l *link) String() string {
 	return fmt.Sprintf("a connection of %s to port %d of %s", l.from, l.port, l.to)
 }
@@ -351,13 +355,13 @@
 	return slices.Contains(froms, l.from) && slices.Contains(tos, l.to)
 }
 
-// notifyChange wakes all who wait; mu is held.
+// notifyChange wakes all goroutines that wait for a change. The caller holds mu.
 func (r *relay) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// close ends the relay and waits for its goroutines.
+// close closes the relay and waits for its goroutines.
 func (r *relay) close() {
 	r.mu.Lock()
 	r.closed = true
--- a/scenarios/request_test.go
+++ b/scenarios/request_test.go
@@ -19,7 +19,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// request is one send by a caller through an entry.
+// request is a request of a caller through an entry.
 type request struct {
 	entry   *node
 	token   string
@@ -28,42 +28,42 @@
 	search *pb.SearchRequest
 	issue  *pb.IssueTicketRequest
 	order  *pb.OrderRequest
-	// client sends the request; a client of its own with the connection where it is nil.
+	// client sends the request; if it is nil, a new client with the connection does.
 	client     *http.Client
 	connection connection
 }
 
-// reply is what came back.
+// reply is the result of a request.
 type reply struct {
 	outcome *pb.Outcome
 	search  *pb.SearchResponse
 	issue   *pb.IssueTicketResponse
 	order   *pb.OrderResponse
-	// request is what was sent, query the text that was searched.
+	// request is the request that was sent, query the text of a search.
 	request *request
 	query   string
-	// header is the request's id as the response's header names it.
+	// header is the request id in the response's header.
 	header  string
 	elapsed time.Duration
-	// err is set where the answer wasn't a typed one.
+	// err is set if the response had no typed outcome.
 	err error
 }
 
-// requests keeps replies and tickets by the names the script gave them.
+// requests holds the replies of a scenario, and tickets by the names that the script gave them.
 type requests struct {
 	mu sync.Mutex
-	// Guarded by mu. last is the newest reply of the script itself, named ones of the background.
-	// all are the replies of the scenario in the order in which they came.
+	// The fields below are guarded by mu. last is the newest reply of the script itself, named holds the
+	// replies of background requests, all holds every reply of the scenario in order of arrival.
 	last  *reply
 	named map[string]*reply
 	all   []*reply
 
 	running sync.WaitGroup
-	// tickets belong to the script's goroutine.
+	// tickets is used by the script's goroutine only.
 	tickets map[string]*issuedTicket
 }
 
-// issuedTicket is an issued ticket and the order that it is for.
+// issuedTicket is an issued ticket with the key and payload of its order.
 type issuedTicket struct {
 	text         string
 	key, payload string
@@ -75,7 +75,7 @@
 
 func (r *requests) wait() { r.running.Wait() }
 
-// record keeps a reply for the check of the whole history.
+// record adds a reply to the history.
 func (r *requests) record(rep *reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,12 +99,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.last == nil {
-		return nil, fmt.Errorf("no request was sent yet")
+		return nil, fmt.Errorf("no request has been sent yet")
 	}
 	return r.last, nil
 }
 
-// background sends without waiting; the reply is kept under the name, which no earlier one may have.
+// background sends the request without waiting and stores the reply under the name, which must be new.
 func (r *requests) background(name string, req *request) {
 	r.mu.Lock()
 	_, used := r.named[name]
@@ -125,7 +125,7 @@
 	})
 }
 
-// backgroundReplies shows what came back so far.
+// backgroundReplies returns the background replies so far as text.
 func (r *requests) backgroundReplies() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +138,7 @@
 	return strings.Join(all, "; ")
 }
 
-// takeReply makes a background reply the last one, or says that it isn't there yet.
+// takeReply makes the named background reply the last one. It returns an error if there is no reply yet.
 func (r *requests) takeReply(name string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,11 +150,11 @@
 	return nil
 }
 
-// replyGracePeriod is how long after its deadline a caller still takes a reply, which a busy machine may bring
-// late; the reply's time tells. After it there is none.
+// replyGracePeriod is how long after its timeout a caller still accepts a reply, which may come late on a
+// busy machine; the reply's elapsed time shows it. After that the request fails.
 const replyGracePeriod = 2 * time.Second
 
-// send sends once and waits for the reply.
+// send sends the request once and waits for the reply.
 func (q *request) send() *reply {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer time.AfterFunc(q.timeout+replyGracePeriod, cancel).Stop()
@@ -192,7 +192,7 @@
 	return err
 }
 
-// setError takes the typed outcome out of an error.
+// setError sets the outcome from the details of an error, or err if there is none.
 func (r *reply) setError(err error) {
 	if err == nil {
 		return
@@ -210,7 +210,7 @@
 	}
 }
 
-// requestID of the reply, empty where an error carried none.
+// requestID returns the request id that the reply names, empty if an error has none.
 func (r *reply) requestID() string {
 	switch {
 	case r.search != nil:
@@ -223,7 +223,7 @@
 	return r.outcome.GetRequestId()
 }
 
-// String shows the reply in a scenario's log.
+// String describes the reply for the scenario's log.
 func (r *reply) String() string {
 	elapsed := r.elapsed.Round(time.Millisecond)
 	switch {
--- a/scenarios/respawn_test.go
+++ b/scenarios/respawn_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// respawner starts processes again that end by themselves, as the owners of upstreams do.
+// respawner restarts processes that exit, as the operators of upstreams do.
 type respawner struct {
 	after time.Duration
 	stop  chan struct{}
@@ -13,8 +13,8 @@
 	running sync.WaitGroup
 }
 
-// verbRespawn is: respawn PROCESS... [after=500ms]. From now on the processes are started again that
-// long after they end.
+// verbRespawn is: respawn PROCESS... [after=500ms]. From then on the processes are restarted that
+// long after they exit.
 func verbRespawn(f *fleet, a *arguments) error {
 	r := &respawner{after: a.duration("after", 500*time.Millisecond), stop: make(chan struct{})}
 	if err := a.validate(1, anyNumber); err != nil {
@@ -44,12 +44,12 @@
 		case <-time.After(r.after):
 		}
 		if err := d.Start(); err != nil {
-			return // the script itself has started it
+			return // the script has restarted it
 		}
 	}
 }
 
-// end lets everything stay ended from now on.
+// end stops the restarts and waits for the respawner's goroutines.
 func (r *respawner) end() {
 	close(r.stop)
 	r.running.Wait()
--- a/scenarios/unknown_share_test.go
+++ b/scenarios/unknown_share_test.go
@@ -10,16 +10,16 @@
 	"github.com/matryer/is"
 )
 
-// unknownCase is one fault under which orders are counted by how they end for their callers.
+// unknownCase is a fault under which orders are counted by their outcome for the caller.
 type unknownCase struct {
 	name string
-	// begin and end act on the fleet; the fault holds for a second between them.
+	// begin and end start and end the fault; faultDuration passes between them.
 	begin, end func(f *fleet) error
-	// avoidable is true where the system can know the end of every order.
+	// avoidable is true if the system can determine the outcome of every order under the fault.
 	avoidable bool
 }
 
-// processStep makes a step of a case of an action on processes.
+// processStep returns a step of a case that runs the action on the named processes.
 func processStep(action func(*daemon) error, names ...string) func(*fleet) error {
 	return func(f *fleet) error {
 		ds, err := f.findAllProcesses(names)
@@ -72,7 +72,7 @@
 
 func noStep(*fleet) error { return nil }
 
-// endAndStart waits for the end of a process that was asked to end, and starts it again.
+// endAndStart returns a step that waits for the exit of terminated processes and starts them again.
 func endAndStart(names ...string) func(*fleet) error {
 	return processStep(func(d *daemon) error {
 		if err := d.Ended(); err != nil {
@@ -109,15 +109,17 @@
 }
 
 const (
-	// unknownCallers send in each case; the fault begins after caseLead and holds for caseHold.
+	// unknownCallers is the number of concurrent callers in each case.
 	unknownCallers = 12
-	faultDelay     = 400 * time.Millisecond
-	faultDuration  = time.Second
-	recoveryTime   = 300 * time.Millisecond
+	// faultDelay is the time under load before the fault begins.
+	faultDelay    = 400 * time.Millisecond
+	faultDuration = time.Second
+	// recoveryTime is the time under load after the fault has ended.
+	recoveryTime = 300 * time.Millisecond
 )
 
-// TestOrderUnknownShare counts how orders end for their callers under one fault after the other,
-// and wants that none ends unknown where its end can be known.
+// TestOrderUnknownShare counts the outcomes of orders for their callers under each fault in turn, and
+// checks that no order ends unknown where the system can determine its outcome.
 func TestOrderUnknownShare(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -149,7 +151,7 @@
 		ends := h.callerOutcomes
 		t.Logf("%-32s %4d orders, %v", c.name, len(h.orders), ends)
 		if c.avoidable && ends[outcomeUnknown]+ends[outcomeUndecided] > 0 {
-			t.Errorf("%s: %d orders ended unknown, %d undecided", c.name, ends[outcomeUnknown], ends[outcomeUndecided])
+			t.Errorf("%s: %d orders ended unknown, %d undecided, want none", c.name, ends[outcomeUnknown], ends[outcomeUndecided])
 		}
 	}
 }
--- a/scenarios/verbs_leaving_test.go
+++ b/scenarios/verbs_leaving_test.go
@@ -13,14 +13,14 @@
 	"github.com/burdockplank/burdockplank/internal/standin/leaf"
 )
 
-// quietPeriod is how long past the bound other leaves still have to get work before a leaf that got
-// none counts as left alone.
+// quietPeriod is how long after the bound other leaves of the shard must still get work, so that the
+// absence of work at the leaving leaf proves that it gets none.
 const quietPeriod = 3 * time.Second
 
-// verbLeaving is: leaving LEAF within=D [zone=D]. Counted by the leaf's own clock from the first
-// evidence that it leaves, no new work reaches it after within from the whole fleet, nor after zone
-// from the VMs of the availability zone that had evidence first. Searches that it refuses are new
-// work too; status polls aren't. It waits until traffic went on long enough on other leaves.
+// verbLeaving is: leaving LEAF within=D [zone=D]. From the first evidence of its departure, by the
+// leaf's own clock, no new work reaches the leaf later than within from the whole fleet, nor later than
+// zone from the VMs of the availability zone that had evidence first. Searches that it refuses count as
+// new work; status polls do not. It waits until other leaves have had traffic for long enough.
 func verbLeaving(f *fleet, a *arguments) error {
 	within, inZone := a.duration("within", 0), a.duration("zone", 0)
 	if err := a.validate(1, 1); err != nil {
@@ -49,14 +49,14 @@
 	f.logf("%s: evidence first in %s; last new work after it by availability zone: %v", n.name, zone, last)
 	for z, elapsed := range last {
 		if elapsed > within || z == zone && inZone > 0 && elapsed > inZone {
-			return fmt.Errorf("%s got new work from %s %s after the first evidence, in %s", n.name, z, elapsed, zone)
+			return fmt.Errorf("%s got new work from zone %s %s after the first evidence, which was in zone %s", n.name, z, elapsed, zone)
 		}
 	}
 	return nil
 }
 
-// firstEvidence returns when the leaf's departure could first be known and to which zone of VMs, empty
-// for all: by its own word, or by the platform's list.
+// firstEvidence returns when the leaf's departure could first be known, from the leaf itself or from the
+// platform's list, and to the VMs of which zone; the zone is empty for all.
 func (f *fleet) firstEvidence(n *node) (first time.Time, zone string, err error) {
 	if at, ok := f.listedLeavingSince[n.name]; ok {
 		return at, "", nil
@@ -68,7 +68,7 @@
 		}
 		i := slices.IndexFunc(lines, func(l leaf.FileLine) bool { return l.Notice != nil })
 		if i < 0 {
-			return fmt.Errorf("nobody was told")
+			return fmt.Errorf("the leaf has notified no VM")
 		}
 		first, zone = lines[i].Notice.At, f.zoneOf(lines[i].Notice.To)
 		return nil
@@ -76,7 +76,7 @@
 	return first, zone, err
 }
 
-// otherLeafGotWork returns an error until another leaf of the shard got work after the time.
+// otherLeafGotWork returns an error until another leaf of the shard has got work after the time.
 func (f *fleet) otherLeafGotWork(leaving *node, after time.Time) error {
 	for _, n := range f.leaves {
 		if n == leaving || n.shard != leaving.shard {
@@ -93,8 +93,8 @@
 	return fmt.Errorf("no work on other leaves of the shard after %s", after)
 }
 
-// checkWorkBefore wants that each VM gave the leaf work before the evidence; else its silence after it
-// proves nothing.
+// checkWorkBefore returns an error unless each VM gave the leaf work before the evidence. Without that,
+// the absence of work after it proves nothing.
 func (f *fleet) checkWorkBefore(arrivals []leaf.Arrival, first time.Time) error {
 	for _, vm := range f.vms {
 		if !slices.ContainsFunc(arrivals, func(a leaf.Arrival) bool { return a.From == vm.bind && a.At.Before(first) }) {
@@ -122,7 +122,8 @@
 	})
 }
 
-// lastWork returns by zone how long after the evidence its VMs last gave work.
+// lastWork returns, by zone, how long after the evidence its VMs last gave the leaf work. It omits zones
+// that gave none.
 func (f *fleet) lastWork(arrivals []leaf.Arrival, first time.Time) map[string]time.Duration {
 	last := make(map[string]time.Duration)
 	for _, a := range arrivals {
@@ -134,7 +135,7 @@
 	return last
 }
 
-// zoneOf returns the zone of the VM with the IP number, empty for none.
+// zoneOf returns the zone of the VM with the IP, empty if there is none.
 func (f *fleet) zoneOf(ip string) string {
 	for _, vm := range f.vms {
 		if vm.bind == ip {
@@ -164,7 +165,7 @@
 	var all []leaf.FileLine
 	for text := range bytes.Lines(data) {
 		if !bytes.HasSuffix(text, []byte("\n")) {
-			break // still being written
+			break // incomplete line: the leaf is still writing it
 		}
 		var line leaf.FileLine
 		if err := json.Unmarshal(text, &line); err != nil {
@@ -175,7 +176,7 @@
 	return all, nil
 }
 
-// verbReturns is: returns LEAF. It ends the leaf's faults, which begins a new incarnation, and waits
+// verbReturns is: returns LEAF. It ends the leaf's faults, which starts a new incarnation, and waits
 // until the leaf has started new searches.
 func verbReturns(f *fleet, a *arguments) error {
 	if err := a.validate(1, 1); err != nil {
@@ -195,13 +196,14 @@
 			return err
 		}
 		if !slices.ContainsFunc(lines, func(l leaf.FileLine) bool { return l.Search != nil && l.Search.At.After(back) }) {
-			return fmt.Errorf("no search since it came back")
+			return fmt.Errorf("no search since its faults ended")
 		}
 		return nil
 	})
 }
 
-// verbDrainTo is: drain_to LEAF VM. The leaf tells only that VM that it drains and serves the others.
+// verbDrainTo is: drain_to LEAF VM. The leaf reports that it drains to that VM only and
+// continues to serve the others.
 func verbDrainTo(f *fleet, a *arguments) error {
 	if err := a.validate(2, 2); err != nil {
 		return err
@@ -217,8 +219,8 @@
 	return putJSON(leafURL(n, "/faults"), leaf.Faults{DrainTo: []string{vm.bind}})
 }
 
-// workSinceWake returns what came to each leaf from the VM of a process since it was woken last, and
-// the searches of it that were started.
+// workSinceWake returns the number of requests that reached each leaf from the VM of a process since the
+// process was last woken, and those of its searches that leaves started.
 func (f *fleet) workSinceWake(process string) (arrivals map[string]int, searches []leaf.Search, err error) {
 	_, name, _ := strings.Cut(process, "/")
 	vm, err := f.vm(name)
@@ -227,7 +229,7 @@
 	}
 	woken := f.daemon(process).WokenAt()
 	if woken.IsZero() {
-		return nil, nil, fmt.Errorf("%s wasn't woken", process)
+		return nil, nil, fmt.Errorf("%s has not been woken", process)
 	}
 	arrivals, ids := make(map[string]int), make(map[string]bool)
 	for _, n := range f.leaves {
@@ -248,7 +250,8 @@
 	return arrivals, searches, nil
 }
 
-// verbWorked is: worked PROCESS. Its VM has brought searches to leaves since the process woke.
+// verbWorked is: worked PROCESS. It waits until leaves have started searches of the process's VM since
+// the process woke.
 func verbWorked(f *fleet, a *arguments) error {
 	if err := a.validate(1, 1); err != nil {
 		return err
@@ -256,14 +259,14 @@
 	return await("work of "+a.words[0], awaitTimeout, func() error {
 		_, searches, err := f.workSinceWake(a.words[0])
 		if err == nil && len(searches) == 0 {
-			err = errors.New("none yet")
+			err = errors.New("no search started since the process woke")
 		}
 		return err
 	})
 }
 
-// verbNoWork is: no_work PROCESS leaf=LEAF snapshot=N. Since the process woke nothing came to the leaf
-// from its VM, and nothing of the index version was started for it anywhere.
+// verbNoWork is: no_work PROCESS leaf=LEAF snapshot=N. Since the process woke, no request from its VM
+// has reached the leaf, and no leaf has started a search of the index version for it.
 func verbNoWork(f *fleet, a *arguments) error {
 	at, snapshot := a.text("leaf", ""), a.number("snapshot", 0)
 	if err := a.validate(1, 1); err != nil {
@@ -284,7 +287,7 @@
 	}
 	f.logf("since %s woke: %d searches started, %d of snapshot %d; arrivals %v", a.words[0], len(searches), old, snapshot, arrivals)
 	if old > 0 || arrivals[at] > 0 {
-		return fmt.Errorf("since %s woke %d searches of snapshot %d were started, and %d calls came to %s",
+		return fmt.Errorf("since %s woke %d searches of snapshot %d were started, and %d calls reached %s; want none",
 			a.words[0], old, snapshot, arrivals[at], at)
 	}
 	return nil
--- a/scenarios/verbs_load_test.go
+++ b/scenarios/verbs_load_test.go
@@ -12,11 +12,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// seedVariable names the environment variable that sets the seed of all random choices, to run a
-// failed scenario again with the choices that it logged.
+// seedVariable is the environment variable that sets the seed of all random choices, to repeat a failed
+// scenario with the seed that it logged.
 const seedVariable = "SCENARIO_SEED"
 
-// seed returns the scenario's seed, the same for all its verbs.
+// newSeed returns the seed for all verbs of the scenario: that of seedVariable, or a random one.
 func (f *fleet) newSeed() (uint64, error) {
 	if text := os.Getenv(seedVariable); text != "" {
 		return strconv.ParseUint(text, 10, 64)
@@ -25,7 +25,8 @@
 }
 
 // verbLoad is: load NAME [callers=8] [kinds=dawn,roster] [via=vm-1,...] [top_k=0,1,5,30] [texts=0|text=T]
-// [timeout=5s] [pause=5ms] [slow=D] [cuts=BYTES] [http1]. It searches in the background until settle.
+// [timeout=5s] [pause=5ms] [slow=D] [cuts=BYTES] [http1]. It sends searches in the background until
+// settle.
 func verbLoad(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	a := parseArguments(args)
@@ -48,15 +49,15 @@
 	ts.Check(a.validate(1, 1))
 	l.word = a.words[0]
 	if neg || f.loads[l.word] != nil {
-		ts.Fatalf("a load is started once")
+		ts.Fatalf("a load cannot be negated or started twice")
 	}
 	f.loads[l.word] = l
 	l.start()
 }
 
 // verbSettle is: settle NAME [only=OUTCOME,...] [saw=REASON|OUTCOME,...] [answered=1] [replies=1]
-// [within=D]. It waits for that many answers and replies, ends the load once each caller has its reply, and checks how the
-// replies ended.
+// [within=D]. It waits for that many answers and replies, ends the load once each caller has its reply,
+// and checks the outcomes of the replies.
 func verbSettle(ts *testscript.TestScript, neg bool, args []string) {
 	a := parseArguments(args)
 	if len(a.words) != 1 || neg {
@@ -78,8 +79,8 @@
 	ts.Check(t.check(a))
 }
 
-// verbUpset is: upset LEAVES for=D [every=30ms] JSON... . It gives one random leaf after another one
-// of the faults, at random, and takes all faults away at the end.
+// verbUpset is: upset LEAVES for=D [every=30ms] JSON... . At each interval it sets a random one of the
+// faults, or none, at a random leaf. It clears all faults at the end.
 func verbUpset(f *fleet, a *arguments) error {
 	lasts, every := a.duration("for", 0), a.duration("every", 30*time.Millisecond)
 	if err := a.validate(2, anyNumber); err != nil {
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// verbAbandoned is: abandoned within=D [port=N]. Every connection that was made silent has been closed by the
-// side that opened it, by the relay's own times within D of its silence.
+// verbAbandoned is: abandoned within=D [port=N]. It waits until the side that opened each
+// silent connection has closed it, which by the relay's clock must be within D of its silence.
 func verbAbandoned(ts *testscript.TestScript, neg bool, args []string) {
 	f, a := fleetOf(ts), parseArguments(args)
 	within, port := a.duration("within", 0), a.number("port", 0)
@@ -120,15 +121,15 @@
 		ts.Fatalf("want a fleet with a relay")
 	}
 	var longest *link
-	ts.Check(await("silent connections are given up", awaitTimeout, func() (err error) {
+	ts.Check(await("silent connections are closed", awaitTimeout, func() (err error) {
 		longest, err = f.relay.longestKeptSilent(port)
 		return err
 	}))
 	if longest == nil {
-		ts.Fatalf("nothing was made silent")
+		ts.Fatalf("no connection was made silent")
 	}
-	ts.Logf("the longest kept silent connection was %s: %s", longest, longest.keptFor().Round(time.Millisecond))
+	ts.Logf("the silent connection kept open longest was %s: %s", longest, longest.keptFor().Round(time.Millisecond))
 	if longest.keptFor() > within {
-		ts.Fatalf("want it given up within %s", within)
+		ts.Fatalf("want it closed within %s", within)
 	}
 }
--- a/scenarios/verbs_log_test.go
+++ b/scenarios/verbs_log_test.go
@@ -10,14 +10,14 @@
 	"github.com/burdockplank/burdockplank/internal/standin/leaf"
 )
 
-// verbLog compares what the leaves have run with what is expected:
+// verbLog compares the journals of the leaves with the expectation:
 //
 //	log executions TICKET N   the order of the ticket was executed N times, over all leaves
-//	log searches none         no leaf has started anything of the last request
+//	log searches none         the last request, a refused one, has reached no leaf
 //	log searches QUERY N      N leaf searches for the text were started, over all leaves
-//	log coverage              leaves delivered every shard that the last answer claims
-//	log crashes TEXT MIN MAX  leaves crashed MIN to MAX times at requests whose text has TEXT
-//	log history               every reply so far keeps what checkHistory checks
+//	log coverage              leaves delivered every shard that the last answer counts as covered
+//	log crashes TEXT MIN MAX  leaves crashed MIN to MAX times at requests whose text contains TEXT
+//	log history               every reply so far passes checkHistory
 //
 // N is a number, or a range such as 1..3.
 func verbLog(f *fleet, a *arguments) error {
@@ -43,10 +43,11 @@
 	case slices.Equal(a.words, []string{"history"}):
 		return f.checkHistory(f.requests.history())
 	}
-	return fmt.Errorf("can't read %q", a.words)
+	return fmt.Errorf("unknown arguments %q", a.words)
 }
 
-// checkExecutions counts by the payload, which is the ticket's own, and by the ticket's text.
+// checkExecutions compares the number of executions of the ticket's order with want. It counts executions
+// with the payload, which no other ticket has, or with the ticket's text.
 func (f *fleet) checkExecutions(lines []leaf.FileLine, name, want string) error {
 	t := f.requests.tickets[name]
 	if t == nil {
@@ -61,7 +62,7 @@
 	return checkCount("executions of "+name, count, want)
 }
 
-// ordersExecuted returns an error until a leaf has executed each of the tickets.
+// ordersExecuted returns an error until leaves have executed the order of each of the tickets.
 func (f *fleet) ordersExecuted(names []string) error {
 	j, err := f.journal()
 	if err != nil {
@@ -71,13 +72,13 @@
 	for _, name := range names {
 		t := f.requests.tickets[name]
 		if t == nil || byTicket[t.text] == 0 {
-			return fmt.Errorf("%s was not executed; in the background: %s", name, f.requests.backgroundReplies())
+			return fmt.Errorf("%s was not executed; background replies: %s", name, f.requests.backgroundReplies())
 		}
 	}
 	return nil
 }
 
-// checkLastNotRun wants that the last request, a refused one, has reached no leaf.
+// checkLastNotRun returns an error if the last request, a refused one, has reached a leaf.
 func (f *fleet) checkLastNotRun(j *journal) error {
 	last, err := f.requests.getLast()
 	if err != nil {
@@ -103,7 +104,7 @@
 	return count
 }
 
-// checkCount wants a number, or one within a range such as 1..3.
+// checkCount returns an error unless count is the wanted number, or within a range such as 1..3.
 func checkCount(what string, count int, want string) error {
 	low, high, ranged := strings.Cut(want, "..")
 	if !ranged {
@@ -130,7 +131,7 @@
 	return count
 }
 
-// checkRange wants a count from low to high.
+// checkRange returns an error unless count is from low to high.
 func checkRange(what string, count int, low, high string) error {
 	l, err := strconv.Atoi(low)
 	if err != nil {
@@ -146,15 +147,15 @@
 	return nil
 }
 
-// checkCoverageDelivered wants, for each shard that the last answer counts as covered, a leaf that
-// delivered it for the request at the answer's snapshot.
+// checkCoverageDelivered returns an error unless, for each shard that the last answer counts as covered,
+// a leaf delivered it for the request at the answer's snapshot.
 func (f *fleet) checkCoverageDelivered(j *journal) error {
 	last, err := f.requests.getLast()
 	if err != nil {
 		return err
 	}
 	if last.search == nil {
-		return fmt.Errorf("the last reply is no answered search: %s", last)
+		return fmt.Errorf("the last reply is not an answered search: %s", last)
 	}
 	return f.checkAnswer(last, j)
 }
--- a/scenarios/verbs_platform_test.go
+++ b/scenarios/verbs_platform_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockplank/burdockplank/internal/standin/platform"
 )
 
-// verbList changes a VM's or leaf's state in the platform's list: live, leaving or absent.
+// verbList sets the state of a VM or leaf in the platform's list: live, leaving or absent.
 func verbList(f *fleet, a *arguments) error {
 	if err := a.validate(2, 2); err != nil {
 		return err
@@ -30,8 +30,8 @@
 	return putJSON(f.platformURL("/list"), f.list())
 }
 
-// verbReplace kills a VM and starts another in its place, at the same address, under a new name.
-// The platform's list changes with it.
+// verbReplace kills a VM, starts another at the same address under a new name, and updates the platform's
+// list.
 func verbReplace(f *fleet, a *arguments) error {
 	if err := a.validate(2, 2); err != nil {
 		return err
@@ -63,7 +63,7 @@
 	return putJSON(f.platformURL("/list"), f.list())
 }
 
-// verbPublish publishes the newest bundle with another version, other snapshots and edits.
+// verbPublish publishes the newest bundle with another version and optionally other snapshots and edits.
 func verbPublish(f *fleet, a *arguments) error {
 	version := a.number("version", 0)
 	snapshots := a.text("snapshots", "")
@@ -91,8 +91,8 @@
 	return f.publish(text, signing)
 }
 
-// verbStale is: stale N. The platform serves the bundle as it stood when version N was the newest;
-// stale 0 ends that.
+// verbStale is: stale N. The platform serves the bundle as of the time when version N was the
+// newest; stale 0 ends that.
 func verbStale(f *fleet, a *arguments) error {
 	if err := a.validate(1, 1); err != nil {
 		return err
@@ -103,12 +103,12 @@
 	}
 	revision := f.revisions[version]
 	if version != 0 && revision == 0 {
-		return fmt.Errorf("version %d wasn't published", version)
+		return fmt.Errorf("version %d was not published", version)
 	}
 	return putJSON(f.platformURL("/faults"), platform.Faults{StaleRevision: revision})
 }
 
-// verbLag makes the platform serve each list that long after its publication.
+// verbLag makes the platform serve each list with that delay after its publication.
 func verbLag(f *fleet, a *arguments) error {
 	if err := a.validate(1, 1); err != nil {
 		return err
--- a/scenarios/verbs_request_test.go
+++ b/scenarios/verbs_request_test.go
@@ -11,14 +11,14 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// requestTimeout is the caller's deadline where the script gives none; the kinds' own are shorter.
+// requestTimeout is the caller's timeout if the script sets none; the timeouts of the kinds are shorter.
 const requestTimeout = 10 * time.Second
 
-// The kinds that the verbs use where the script gives none.
+// orderKind is the kind of all orders and tickets.
 const orderKind = "booking"
 
-// baseRequest takes the options that all requests have: via=VM, timeout=D, as=CALLER, slow=D, cut_after=BYTES
-// and http1.
+// baseRequest returns a request with the options common to all requests: via=VM, timeout=D, as=CALLER,
+// slow=D, cut_after=BYTES and http1.
 func (f *fleet) baseRequest(a *arguments) (*request, error) {
 	entry, err := f.vm(a.text("via", f.vms[0].name))
 	if err != nil {
@@ -36,12 +36,12 @@
 	case "nobody":
 		q.token = "token-of-nobody"
 	default:
-		return nil, fmt.Errorf("no caller %q", as)
+		return nil, fmt.Errorf("unknown caller %q", as)
 	}
 	return q, nil
 }
 
-// runRequest sends the request, in the background where it has a name.
+// runRequest sends the request, in the background if it has a name.
 func (f *fleet) runRequest(q *request, name string) *reply {
 	if name != "" {
 		f.requests.background(name, q)
@@ -77,7 +77,7 @@
 	return q, nil
 }
 
-// verbTicket is: ticket NAME [via=VM] [timeout=D] [as=CALLER]. The ticket is kept under the name.
+// verbTicket is: ticket NAME [via=VM] [timeout=D] [as=CALLER]. It stores the ticket under the name.
 func verbTicket(f *fleet, a *arguments) error {
 	q, err := f.baseRequest(a)
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 	name := a.words[0]
 	if f.requests.tickets[name] != nil {
-		return fmt.Errorf("there is a ticket %s already", name)
+		return fmt.Errorf("ticket %s already exists", name)
 	}
 	q.issue = &pb.IssueTicketRequest{Service: serviceName, Kind: orderKind}
 	rep := f.runRequest(q, "")
@@ -97,7 +97,7 @@
 }
 
 // verbSend is: send TICKET [via=VM] [timeout=D] [as=CALLER] [key=K] [payload=P] [&NAME]. Key and
-// payload are those of the ticket where the script gives none.
+// payload default to those of the ticket.
 func verbSend(f *fleet, a *arguments) error {
 	q, err := f.baseRequest(a)
 	if err != nil {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// verbOrder is a ticket and the first send of its order, both through the same entry.
+// verbOrder requests a ticket and sends its order for the first time, both through the same entry.
 func verbOrder(f *fleet, a *arguments) error {
 	if len(a.words) != 1 {
 		return fmt.Errorf("want one name for the ticket, got %q", a.words)
@@ -130,7 +130,7 @@
 		return err
 	}
 	if last, _ := f.requests.getLast(); last.issue == nil {
-		return fmt.Errorf("no ticket: %s", last)
+		return fmt.Errorf("no ticket was issued: %s", last)
 	}
 	if err := a.validate(1, 1); err != nil {
 		return err
@@ -146,7 +146,7 @@
 	return await("reply "+a.words[0], awaitTimeout, func() error { return f.requests.takeReply(a.words[0]) })
 }
 
-// verbExpect compares the last reply with its words; README.md lists them.
+// verbExpect compares the last reply with its arguments; README.md lists them.
 func verbExpect(ts *testscript.TestScript, neg bool, args []string) {
 	last, err := fleetOf(ts).requests.getLast()
 	ts.Check(err)
@@ -159,7 +159,7 @@
 	}
 }
 
-// verbUntil sends a request again until its reply is as expected:
+// verbUntil repeats a request until its reply is as expected:
 // until EXPECTATION... -- search|send ARGUMENT...
 func verbUntil(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
--- a/scenarios/verbs_test.go
+++ b/scenarios/verbs_test.go
@@ -10,13 +10,13 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// fleetKey finds the scenario's holder of its fleet.
+// fleetKey is the key of the scenario's fleetHolder in testscript's values.
 type fleetKey struct{}
 
-// fleetHolder has the fleet of a script once the verb fleet ran.
+// fleetHolder holds the fleet of a script. It is empty until the verb fleet has run.
 type fleetHolder struct{ fleet *fleet }
 
-// setUp prepares a scenario: what it starts is ended with it, whatever its end is.
+// setUp prepares a scenario. At its end, passed or failed, its fleet is stopped and its history checked.
 func setUp(env *testscript.Env) error {
 	h := &fleetHolder{}
 	env.Values[fleetKey{}] = h
@@ -35,13 +35,13 @@
 	return nil
 }
 
-// verb is a verb that needs a fleet.
+// verb is a script command that needs a fleet.
 type verb func(f *fleet, a *arguments) error
 
 const anyNumber = math.MaxInt
 
-// verbs returns all verbs; README.md tells what each does. None may bear the name of a command of
-// testscript itself, which would be run in its place.
+// verbs returns all verbs by name; README.md describes them. No verb may have the name of a command of
+// testscript, which would run instead of it.
 func verbs() map[string]func(*testscript.TestScript, bool, []string) {
 	all := map[string]func(*testscript.TestScript, bool, []string){"fleet": verbFleet}
 	for name, v := range map[string]verb{
@@ -65,13 +65,13 @@
 	return all
 }
 
-// withFleet turns a verb into a command that fails the script on an error. The last reply is logged
-// by the verbs that make one.
+// withFleet turns a verb into a command that fails the script on an error. It logs the last reply if the
+// verb has set a new one.
 func withFleet(v verb) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		f := fleetOf(ts)
 		if neg {
-			ts.Fatalf("this verb can't be negated")
+			ts.Fatalf("this verb cannot be negated")
 		}
 		before, _ := f.requests.getLast()
 		err := v(f, parseArguments(args))
@@ -85,7 +85,7 @@
 func fleetOf(ts *testscript.TestScript) *fleet {
 	f := ts.Value(fleetKey{}).(*fleetHolder).fleet
 	if f == nil {
-		ts.Fatalf("no fleet yet")
+		ts.Fatalf("the verb fleet has not run")
 	}
 	return f
 }
@@ -115,7 +115,7 @@
 	ts.Check(f.startAll())
 }
 
-// eachProcess makes a verb of an action on the processes that its words name.
+// eachProcess returns a verb that runs the action on the processes that its words name.
 func eachProcess(action func(*daemon) error) verb {
 	return func(f *fleet, a *arguments) error {
 		if err := a.validate(1, anyNumber); err != nil {
@@ -134,7 +134,7 @@
 	}
 }
 
-// verbShutdown asks all named processes to end, then waits until each has ended with exit code 0.
+// verbShutdown terminates all named processes, then waits until each has exited with code 0.
 func verbShutdown(f *fleet, a *arguments) error {
 	if err := eachProcess((*daemon).Terminate)(f, a); err != nil {
 		return err
@@ -142,13 +142,13 @@
 	return eachProcess((*daemon).Ended)(f, a)
 }
 
-// resolvePair resolves the two sides of a cut or silence; the relay must be there.
+// resolvePair returns the nodes of the two sides of a cut, silence or sever. The fleet must have a relay.
 func (f *fleet) resolvePair(a *arguments) (as, bs []string, err error) {
 	if err := a.validate(2, 2); err != nil {
 		return nil, nil, err
 	}
 	if f.relay == nil {
-		return nil, nil, errors.New("the fleet has no relay; say: fleet relay")
+		return nil, nil, errors.New("the fleet has no relay; use: fleet relay")
 	}
 	as, errA := f.resolveNodeNames(a.words[0])
 	bs, errB := f.resolveNodeNames(a.words[1])
@@ -179,7 +179,7 @@
 	return err
 }
 
-// verbSever is: sever A B after=BYTES.
+// verbSever is: sever A B after=BYTES. Open connections break after that many more bytes of answers.
 func verbSever(f *fleet, a *arguments) error {
 	after := a.number("after", 1)
 	as, bs, err := f.resolvePair(a)
@@ -189,7 +189,7 @@
 	return err
 }
 
-// verbFault replaces the faults of the platform, or of a leaf or several.
+// verbFault replaces the faults of the platform or of leaves.
 func verbFault(f *fleet, a *arguments) error {
 	if err := a.validate(2, 2); err != nil {
 		return err
@@ -212,7 +212,8 @@
 	return nil
 }
 
-// leavesNamed resolves a leaf, "shard-2" for the whole group of a shard, an availability zone, or "leaves".
+// leavesNamed returns the leaves that what stands for: a leaf, the group of a shard such as "shard-2", an
+// availability zone, or "leaves" for all.
 func (f *fleet) leavesNamed(what string) ([]*node, error) {
 	var found []*node
 	for _, n := range f.leaves {
@@ -250,8 +251,8 @@
 	return nil
 }
 
-// verbAwait polls for a condition; with within=D the scenario promises a time, else a generous bound
-// holds. The first word names the condition, in some cases with a number, the others processes.
+// verbAwait waits for a condition, within=D at most, or awaitTimeout if the scenario sets no time. The
+// first word names the condition, followed by a metric or a number for some conditions, then processes.
 func verbAwait(f *fleet, a *arguments) error {
 	bound := a.duration("within", awaitTimeout)
 	if err := a.validate(2, anyNumber); err != nil {
@@ -286,7 +287,7 @@
 		"metric":  func() error { return f.metricAtLeast(metric, number, vmProcesses(daemons)) },
 	}
 	if conditions[what] == nil {
-		return fmt.Errorf("can't await %q", what)
+		return fmt.Errorf("unknown condition %q", what)
 	}
 	return await(fmt.Sprint(a.words), bound, conditions[what])
 }
--- a/scenarios/verbs_traffic_test.go
+++ b/scenarios/verbs_traffic_test.go
@@ -13,7 +13,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// trafficEndTimeout is how long a run of load may take beyond its own duration.
+// trafficEndTimeout is how long a run of load may take beyond its duration.
 const trafficEndTimeout = time.Minute
 
 // trafficRun is a run of burdock-load in the background.
@@ -24,8 +24,8 @@
 }
 
 // verbTraffic is: traffic NAME [rate=100] [duration=5s] [orders=0.1] [resend=none|at_once|retry_after]
-// [lag=0s]. It starts an open loop of dawn searches, and orders as the given share, to the entries
-// that were ready the lag ago.
+// [lag=0s]. It starts an open loop of dawn searches, with the given share of orders, to the entries that
+// were ready a lag ago.
 func verbTraffic(f *fleet, a *arguments) error {
 	rate, orders := a.text("rate", "100"), a.text("orders", "0.1")
 	resend, lag := a.text("resend", string(openloop.ResendNone)), a.duration("lag", 0)
@@ -35,7 +35,7 @@
 	}
 	name := a.words[0]
 	if f.traffic[name] != nil {
-		return fmt.Errorf("there is a traffic %s already", name)
+		return fmt.Errorf("traffic %s already exists", name)
 	}
 	text, err := f.trafficSettings(rate, orders, resend, duration, lag)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return b.String(), nil
 }
 
-// vmAddresses lists a port of all VMs in TOML.
+// vmAddresses returns the addresses of a port of all VMs as TOML.
 func (f *fleet) vmAddresses(port int) string {
 	var all []string
 	for _, n := range f.vms {
@@ -88,12 +88,12 @@
 	return strings.Join(all, ", ")
 }
 
-// verbMeasured is: measured NAME WANT... It waits for the end of the run, whose table goes to the log,
-// and compares: answered_whole=all, or an outcome's name, untyped or mismatches with a number of
-// requests.
+// verbMeasured is: measured NAME WANT... It waits for the end of the run, whose table is in the process's
+// log, and compares the number of requests: answered_whole=all, or NAME=N with the name of an outcome,
+// untyped or mismatches.
 func verbMeasured(f *fleet, a *arguments) error {
 	if len(a.words) != 1 || f.traffic[a.words[0]] == nil {
-		return fmt.Errorf("want the name of one traffic, got %q", a.words)
+		return fmt.Errorf("want the name of one running traffic, got %q", a.words)
 	}
 	run := f.traffic[a.words[0]]
 	bound := run.duration + trafficEndTimeout
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// sumOutcomes adds up requests by outcome, whatever its reason, over phases and kinds.
+// sumOutcomes sums requests by outcome, regardless of the reason, over phases and kinds.
 func sumOutcomes(r *openloop.Result) map[string]uint64 {
 	all := make(map[string]uint64)
 	for _, k := range r.Kinds {
--- a/scenarios/watch_test.go
+++ b/scenarios/watch_test.go
@@ -12,20 +12,21 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// watchInterval is the wait between two looks at a VM.
+// watchInterval is the wait between two checks of a VM.
 const watchInterval = 50 * time.Millisecond
 
-// watcher looks at the bundle version of every process and of answers through every entry until the
-// scenario ends, and keeps each one that went down. What a process showed outlives its restart: once
-// ready, a new start shows no lower version than any process or caller saw before it was noticed.
+// watcher checks the bundle version of every process, and of answers through every entry, until the
+// scenario ends, and records each version that decreased. Observations outlive a restart of the process:
+// once ready, a restarted process must not show a lower version than any process or answer had shown
+// before the watcher noticed the restart.
 type watcher struct {
 	fleet   *fleet
 	stop    chan struct{}
 	running sync.WaitGroup
 
 	mu sync.Mutex
-	// The fields below are guarded by mu. highest was seen anywhere; shown is by process, callers'
-	// by VM.
+	// The fields below are guarded by mu. highest is the highest version seen anywhere. observed is by
+	// process name, for answers by VM. dumps and answers count the checks.
 	highest  uint64
 	observed map[string]*observation
 	problems []error
@@ -33,17 +34,18 @@
 	answers  int
 }
 
-// observation is what one process, or a VM's answers, showed so far.
+// observation is what one process, or the answers through one VM, have shown so far.
 type observation struct {
-	// start counts the starts of the process; highest is of this start, floor of all before it.
+	// start is the number of starts of the process, highest the highest version since this start. floor
+	// is the highest version seen anywhere before it.
 	start          int
 	highest, floor uint64
-	// digest is that of the highest version, in hex.
+	// digest is the bundle digest of the highest version, in hex.
 	digest string
 }
 
-// verbWatch is: watch bundles. It looks in the background until the end of the scenario, which fails
-// where a version went down.
+// verbWatch is: watch bundles. It checks in the background until the end of the scenario, which fails
+// if a version has decreased.
 func verbWatch(f *fleet, a *arguments) error {
 	if err := a.validate(1, 1); err != nil {
 		return err
@@ -71,7 +73,8 @@
 	}
 }
 
-// finish ends the watch and returns what went down; a watch that saw nothing is an error.
+// finish ends the watch and returns the versions that decreased. It is an error if the watch has seen no
+// dump or no answer.
 func (w *watcher) finish() error {
 	close(w.stop)
 	w.running.Wait()
@@ -83,7 +86,7 @@
 	return errors.Join(w.problems...)
 }
 
-// checkDump reads the dumps of a VM's processes; one that is down or frozen shows nothing.
+// checkDump reads the dumps of a VM's processes. It skips processes that are down or frozen.
 func (w *watcher) checkDump(n *node) {
 	for _, role := range roles {
 		name := role + "/" + n.name
@@ -101,7 +104,7 @@
 	}
 }
 
-// recordDump compares what a process shows with what was seen before.
+// recordDump compares a process's dump with earlier observations.
 func (w *watcher) recordDump(name string, start int, ready bool, dump *bundle.StoreDump) {
 	version := dump.Version
 	w.mu.Lock()
@@ -124,13 +127,13 @@
 	s.digest = dump.Digest
 	if ready && version < s.floor {
 		w.problems = append(w.problems, fmt.Errorf("%s is ready after its start %d with bundle version %d; %d was seen before", name, start, version, s.floor))
-		s.floor = 0 // said once
+		s.floor = 0 // report once
 	}
 	s.highest, w.highest = max(s.highest, version), max(w.highest, version)
 }
 
-// checkSearch searches through a VM's entry and compares the answer's version with those of the answers
-// before it.
+// checkSearch searches through a VM's entry and compares the answer's version with those of earlier
+// answers.
 func (w *watcher) checkSearch(n *node) {
 	if d := w.fleet.daemon("entry/" + n.name); d.Frozen() || !d.Running() {
 		return
@@ -159,7 +162,7 @@
 	s.highest, w.highest = max(s.highest, version), max(w.highest, version)
 }
 
-// daemon returns the process of that full name, which must be there.
+// daemon returns the process with the full name. It panics if there is none.
 func (f *fleet) daemon(name string) *daemon {
 	for _, d := range f.daemons {
 		if d.Name() == name {
@@ -169,7 +172,7 @@
 	panic("no process " + name)
 }
 
-// bundleDump returns what a process's dump says of its bundles.
+// bundleDump returns the bundle part of a process's dump.
 func (f *fleet) bundleDump(process string) (*bundle.StoreDump, error) {
 	url, err := f.operatorURL(process, "/dump")
 	if err != nil {
@@ -189,12 +192,13 @@
 
 // verbBundles is one of
 //
-//	bundles in_force N within=D PROCESS...   by the processes' own time, within D of the publication
+//	bundles in_force N within=D PROCESS...   version N is in force, by the processes' own time since
+//	                                         at most D after its publication
 //	bundles agree N PROCESS...               all have the same bundle of version N
-//	bundles differ N PROCESS...              they haven't
-//	bundles settle N PROCESS...              waits until they have
-//	bundles refused REASON PROCESS...        waits until dump and metric name the reason for which
-//	                                         the bundle that was published last was refused
+//	bundles differ N PROCESS...              not all have the same bundle of version N
+//	bundles settle N PROCESS...              waits until all have the same bundle of version N
+//	bundles refused REASON PROCESS...        waits until dump and metric name REASON for the refusal of
+//	                                         the bundle published last
 func verbBundles(f *fleet, a *arguments) error {
 	within := a.duration("within", 0)
 	if err := a.validate(3, anyNumber); err != nil {
@@ -225,10 +229,10 @@
 	case "settle":
 		return await("settle", awaitTimeout, func() error { return f.eachDump(daemons, agreement(version)) })
 	}
-	return fmt.Errorf("bundles can't check %q", what)
+	return fmt.Errorf("unknown check of bundles %q", what)
 }
 
-// dumpCheck compares what one process's dump says.
+// dumpCheck checks the bundle dump of one process.
 type dumpCheck func(name string, d *bundle.StoreDump) error
 
 func (f *fleet) eachDump(daemons []*daemon, check dumpCheck) error {
