--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,25 +1,26 @@
 #!/usr/bin/env bash
-# Measures the decisions under load on this machine: two fleets of six VMs in three availability zones,
-# one with the adaptive policy and one with the baseline, each before stand-in leaves of its own, take the
-# same cases one after the other. Writes bench/out/result.json and prints a table of ratios. Needs Go, a C
-# compiler and make; see docs/design/decisions.md.
+# Measures the decisions of the system under load on this machine, compared with a baseline policy. Two
+# fleets of six VMs in three availability zones, one with the adaptive policy and one with the baseline,
+# run the same cases one after the other, each against its own stand-in leaves. Writes
+# bench/out/result.json and prints a table of ratios. Needs Go, a C compiler and make; see
+# docs/design/decisions.md.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 readonly all_cases=calm,peak,straggler,group,zone,replica,lostgroup,cold,drain,lying,overload1.5,overload3,overload10,resend,crash
 readonly vms=6
 readonly leaf_port=9001 control_port=9002
-readonly ready_tries=900 end_tries=300 # of 0.1 s each
+readonly ready_tries=900 end_tries=300 # 0.1 s apart
 readonly service_ms=20                 # median service time of a leaf
-readonly capacity=430                  # searches a second of the first service: 9 slots / (20 ms x e^(0.3^2/2))
-readonly calm_rate=190 other_rate=50   # of the first service, of each other one
+readonly capacity=430                  # searches per second of the first service: 9 slots / (20 ms x e^(0.3^2/2))
+readonly calm_rate=190 other_rate=50   # searches per second of the first service, of each other service
 readonly token="token-of-the-bench"
 
 cases=$all_cases
 repeats=1
 deployment=agency
 policies=(adaptive baseline)
-seconds=4 settle=5 after=3 # of the case, of the way back, of the time after it
+seconds=4 settle=5 after=3 # durations in seconds: the case, the recovery, the time after it
 out=bench/out
 
 usage() {
@@ -40,8 +41,8 @@
   esac
 done
 
-# A line a service: name, groups, replicas of a group, slots, connections, time to connect in ms, and
-# its kinds as name:weight:partial. The first service takes the faults and the overload.
+# One line per service: name, groups, replicas per group, slots, connections, connect delay in ms, and its
+# kinds as name:weight. The first service gets the faults and the overload.
 case "$deployment" in
   agency)
     readonly partial=latency
@@ -57,12 +58,12 @@
 
 work="$(mktemp -d)"
 pids=()
-declare -A net # the first three numbers of each policy's addresses
+declare -A net # the first three octets of the addresses, by policy
 readonly me=bench
 # shellcheck source=scripts/processes.sh
 source scripts/processes.sh
 
-# Ends only what was started here, by process id; SIGKILL for what doesn't end by itself.
+# cleanup ends only the processes started here, by process id, with SIGKILL for those that do not exit.
 cleanup() {
   local status=$?
   trap - EXIT INT TERM
@@ -91,7 +92,7 @@
 
 letters=(a b c d e)
 
-leaf_settings() { # as of each_leaf
+leaf_settings() { # arguments as passed by each_leaf
   local s groups replicas slots connections connect _
   read -r s groups replicas slots connections connect _ <<<"$2"
   cat <<TOML
@@ -113,14 +114,14 @@
 TOML
 }
 
-load_leaf() { # as of each_leaf
+load_leaf() { # arguments as passed by each_leaf
   local s groups replicas slots connections _
   read -r s groups replicas slots connections _ <<<"$2"
   printf '[[leaf]]\nid = "%s-%s-%s"\ncontrol = "%s:%s"\nslots = %s\nconnections = %s\n' \
     "$s" "$3" "${letters[$4]}" "$5" "$control_port" "$slots" "$connections"
 }
 
-list_leaf() { # as of each_leaf
+list_leaf() { # arguments as passed by each_leaf
   local s _
   read -r s _ <<<"$2"
   printf '{"id":"%s-%s-%s","zone":"az-%s","address":"%s:%s","state":"live"},' "$s" "$3" "${letters[$4]}" "$(($4 % 3 + 1))" "$5" "$leaf_port"
@@ -171,14 +172,14 @@
   done
   printf '[drain]\nbalancer_lag = "0s"\n' >>"$work/$1-entry-$2.toml"
   printf '[balance]\npolicy = "%s"\n' "$1" >>"$work/$1-gather-$2.toml"
-  if [[ "$1" == baseline ]]; then # no limit of searches either
+  if [[ "$1" == baseline ]]; then # the baseline does not limit concurrent searches either
     printf '[search]\nconcurrency = "unbounded"\n' >>"$work/$1-gather-$2.toml"
     printf '[admission]\nmin_concurrency = 100000\nmax_concurrency = 100000\ninitial_concurrency = 100000\n' >>"$work/$1-entry-$2.toml"
   fi
   printf '[sync]\nfleet = "bench-%s"\n[platform]\naddress = "%s.1:8500"\n[trust]\nthreshold = 1\n%s\n' "$1" "${net[$1]}" "$(cat "$work/reviewer.trust")" >>"$work/$1-sync-$2.toml"
 }
 
-# start_fleet POLICY starts stand-ins and system of one policy on a block of addresses drawn at random.
+# start_fleet POLICY starts the stand-ins and the system with one policy on a random block of addresses.
 start_fleet() {
   local i role tries port platform
   for ((tries = 0; tries < 20; tries++)); do
@@ -209,8 +210,8 @@
   done
 }
 
-# faults POLICY GROUPS REPLICAS JSON sets the faults of leaves of the first service; GROUPS and REPLICAS
-# are lists of numbers, - for all.
+# faults POLICY GROUPS REPLICAS JSON sets the faults of leaves of the first service. GROUPS and REPLICAS
+# are lists of numbers, or - for all.
 faults() {
   local g r all_groups all_replicas
   all_groups="$(seq 0 $((groups - 1)))"
@@ -224,7 +225,8 @@
 
 clear_log() { http DELETE "$5:$control_port" /log >/dev/null; }
 
-# load POLICY FILE RESEND MIX-EXTRA PHASE... runs burdock-load; a phase is name:rate of the first service:seconds.
+# load POLICY FILE RESEND MIX-EXTRA PHASE... runs burdock-load. A phase is NAME:RATE:SECONDS with the rate
+# of the first service.
 load() {
   local policy="$1" file="$2" resend="$3" extra="$4" i line s kinds k p name rate time weight heavy=3 entries=""
   shift 4
@@ -242,7 +244,7 @@
       read -r s _ _ _ _ _ kinds <<<"$line"
       for k in $kinds; do
         weight=$((other_rate * 10))
-        if [[ "$s" == "$target" ]]; then # 3 in 10 are of the heavy kind, which stands first
+        if [[ "$s" == "$target" ]]; then # 3 in 10 are of the heavy kind, which is the first
           weight=$((rate * heavy))
           heavy=7
         fi
@@ -260,7 +262,8 @@
   "$work/bin/burdock-load" --settings "$work/load.toml" --out "$file" >"$work/load.out" || fail "burdock-load failed: $(cat "$work/load.out")"
 }
 
-# rolling POLICY FIELD sets a fault at one replica of each group after the other, each for a third of the case.
+# rolling POLICY FIELD sets a fault at each replica in turn, in all groups at the same time. With three
+# replicas each fault lasts a third of the case.
 rolling() {
   local r pause
   pause="$(printf '%d.%03d' $((seconds / replicas)) $((seconds % replicas * 1000 / replicas)))"
@@ -272,7 +275,7 @@
 }
 
 # run_case CASE POLICY FILE sets the faults of the case, loads the fleet, clears the faults, and loads it
-# again: the way back and the time after it.
+# again to measure the recovery and the time after it.
 run_case() {
   local p="$2" rate="$calm_rate" resend=none extra="" first=0 roll=""
   case "$1" in
@@ -297,7 +300,7 @@
       extra="$(printf '[[mix]]\nservice = "%s"\nkind = "%s"\nmode = "search"\nweight = %s.0\ntoken = "%s"\ntimeout = "1s"\ntext = "boom"' \
         "$target" "$(read -r _ _ _ _ _ _ k _ <<<"${services[0]}" && printf '%s' "${k%:*}")" "$((rate / 4))" "$token")"
       ;;
-    *) fail "no such case: $1" ;;
+    *) fail "unknown case: $1" ;;
   esac
   if [[ "$1" == peak ]]; then
     load "$p" "$3.case.json" none "" "p80:$((capacity * 80 / 100)):$seconds" "p90:$((capacity * 90 / 100)):$seconds" "p100:$capacity:$seconds"
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,20 +1,21 @@
 #!/usr/bin/env bash
-# Measures on this machine what docs/CAPACITY.md is worked out from, and prints two tables: the slopes of
-# the sync by the number of VMs (burdock-capacity), and of the query path by the number of leaf calls of
-# a query (one availability zone of two VMs before stand-in leaves). Ends only what it started, by process
-# id, after at most five minutes. Needs Go, a C compiler and make.
+# Measures on this machine the figures from which docs/CAPACITY.md is calculated, and prints two tables:
+# how the cost of the sync grows with the number of VMs (burdock-capacity), and how that of the query path
+# grows with the number of leaf calls per query (one availability zone with two VMs in front of stand-in
+# leaves). Runs for at most five minutes and ends only the processes that it started, by process id. Needs
+# Go, a C compiler and make.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 readonly vms=2
 readonly leaf_port=9001 control_port=9002
-readonly ready_tries=600 end_tries=100 # of 0.1 s each
+readonly ready_tries=600 end_tries=100 # 0.1 s apart
 readonly token="token-of-the-capacity-run"
-readonly run_limit=285 # seconds; the rest of the five minutes is for the end
-# A line a service: name, shards, service time, searches a second in the run of processor time.
+readonly run_limit=285 # seconds; the rest of the five minutes is for ending the processes
+# One line per service: name, shards, service time, searches per second in the run that measures CPU time.
 readonly services=("q10 10 2ms 200" "q30 30 2ms 100" "q100 100 2ms 40" "slow 30 6s 0")
-readonly held=200     # searches in flight, of 30 shards each
-readonly orders=8000 # tickets
+readonly in_flight=200 # searches in flight, of 30 shards each
+readonly orders=8000   # tickets
 
 parts=sync,query
 sizes=(8 32 128)
@@ -56,13 +57,14 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-# start_role NAME PROGRAM ARGUMENT... is start, and remembers the process id by the name.
+# start_role NAME PROGRAM ARGUMENT... calls start and stores the process id in role_pid[NAME].
 start_role() {
   start "$@"
   role_pid[$1]="${pids[-1]}"
 }
 
-left() { printf '%s' "$((run_limit - SECONDS))"; }
+# remaining_seconds prints the seconds until run_limit.
+remaining_seconds() { printf '%s' "$((run_limit - SECONDS))"; }
 
 vm_ip() { printf '%s.%s' "$net" "$((10 + $1))"; }
 
@@ -154,11 +156,11 @@
   timeout 30 "$work/bin/burdock-load" --settings "$1.toml" --out "$1.json" >"$1.out" || fail "burdock-load: $(cat "$1.out")"
 }
 
-# metric IP:PORT NAME prints the sum of a metric as an integer.
+# metric IP:PORT NAME prints a metric, summed over its labels, as an integer.
 metric() { http GET "$1" /metrics | awk -v name="$2" '$1 == name || index($1, name "{") == 1 { sum += $2 } END { printf "%.0f", sum }'; }
 
-# memory ROLE prints live heap and stacks in use of all processes of a role, in bytes. With GOGC=10 the
-# target of the next collection is 1.1 times what the last one found live.
+# memory ROLE OPERATOR-PORT prints the live heap and the stacks in use of all processes of a role, in bytes.
+# With GOGC=10 the heap target of the next collection is 1.1 times the live heap of the last one.
 memory() {
   local i sum=0 target stack
   for ((i = 1; i <= vms; i++)); do
@@ -182,9 +184,10 @@
   for ((i = 1; i <= vms; i++)); do stop "${role_pid[entry-$i]}" "${role_pid[gather-$i]}" || true; done
 }
 
-# cpu FILE ROLE prints the seconds of processor time of a role in a result.
+# cpu FILE ROLE prints the CPU seconds of a role in a result.
 cpu() { tr -d ' \n' <"$1" | sed -n "s/.*\"role\":\"$2\",\"processes\":[0-9]*,\"seconds\":\([0-9.e+-]*\).*/\1/p"; }
-# field FILE NAME prints the last number of a name; median FILE the median of the answers.
+# median FILE prints the median latency of the answers in ms; field FILE NAME prints the last number with the
+# name.
 median() { tr -d ' \n' <"$1" | sed -n 's/.*"answered":{"count":[0-9]*,"p50_ms":\([0-9.]*\).*/\1/p'; }
 field() { tr -d ' \n' <"$1" | sed -n "s/.*\"$2\":\([0-9.e+-]*\).*/\1/p"; }
 
@@ -212,7 +215,7 @@
   done
 }
 
-# connections prints how many connections all leaves have now.
+# connections prints the number of open connections of all leaves.
 connections() {
   local sum=0 host
   for ((host = 21; host < 21 + 170; host++)); do
@@ -221,8 +224,8 @@
   printf '%s' "$sum"
 }
 
-# query_memory finds the memory of connections, tickets and searches in flight, each over what is there
-# before. It starts the gathers while no leaf is there.
+# query_memory measures the memory of connections, tickets and searches in flight, each as the difference
+# from the memory before. It starts the gathers before the leaves, so that connections are measured too.
 query_memory() {
   local before_entry before_gather open job
   stop "${role_pid[leaves]}" || true
@@ -236,11 +239,11 @@
   printf 'memory of a connection to a leaf (%s of them): gather %d bytes\n' "$open" "$((($(memory gather 7411) - before_gather) / open))"
   load "$work/warm2" q10 look search 200 3 100000
   before_entry="$(memory entry 7410)" before_gather="$(memory gather 7411)"
-  load "$work/held" slow look search 200 5 "$held" &
+  load "$work/held" slow look search 200 5 "$in_flight" &
   job=$!
   sleep 4
-  printf 'memory of a search in flight of 30 leaf calls (%s of them): entry %d bytes, gather %d bytes\n' "$held" \
-    "$((($(memory entry 7410) - before_entry) / held))" "$((($(memory gather 7411) - before_gather) / held))"
+  printf 'memory of a search in flight of 30 leaf calls (%s of them): entry %d bytes, gather %d bytes\n' "$in_flight" \
+    "$((($(memory entry 7410) - before_entry) / in_flight))" "$((($(memory gather 7411) - before_gather) / in_flight))"
   wait "$job"
   load "$work/warm4" q10 look search 200 3 100000
   before_gather="$(memory gather 7411)"
@@ -275,14 +278,15 @@
   unset GOGC
 }
 
-# sync_size VMS runs one size in the background, its lines in a file; the process id is in size_pid.
+# sync_size VMS runs burdock-capacity with one size in the background, with its output in a file. It sets
+# size_pid to the process id.
 sync_size() {
-  "$work/bin/burdock-capacity" --vms "$1" --net "$((61 + RANDOM % 60))" --phase "$phase" --limit "$(left)s" >"$work/sync-$1.out" 2>&1 &
+  "$work/bin/burdock-capacity" --vms "$1" --net "$((61 + RANDOM % 60))" --phase "$phase" --limit "$(remaining_seconds)s" >"$work/sync-$1.out" 2>&1 &
   size_pid="$!"
   pids+=("$size_pid")
 }
 
-# sync_part runs the small sizes side by side and the large ones each alone.
+# sync_part runs the sizes up to 32 VMs concurrently and each larger size alone.
 sync_part() {
   local size small=() size_pid shown=""
   for size in "${sizes[@]}"; do
@@ -291,8 +295,8 @@
   for size_pid in "${small[@]}"; do wait "$size_pid" || true; done
   for size in "${sizes[@]}"; do
     if ((size > 32)); then
-      if (($(left) < 30)); then
-        printf '%s VMs: not run, no time left\n' "$size"
+      if (($(remaining_seconds) < 30)); then
+        printf '%s VMs: not run, less than 30 s remaining\n' "$size"
         continue
       fi
       sync_size "$size"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Shows the whole path on this machine: stand-ins and the system as separate processes on loopback
-# addresses, three availability zones, a signed bundle, one search, and one order that is sent
-# through three entries and stands once in the leaves' logs. Needs Go, a C compiler and make.
+# Demonstrates the whole request path on this machine. Runs the stand-ins and the system as separate
+# processes on loopback addresses in three availability zones, publishes a signed bundle, sends one search,
+# and sends one order through three entries, which must appear exactly once in the leaves' logs. Needs Go,
+# a C compiler and make.
 set -euo pipefail
 
 cd "$(dirname "$0")/.."
@@ -10,28 +11,28 @@
 readonly shards=(0 1 2)
 readonly replicas=(a b c)
 readonly token="demo-token-of-the-booking-desk"
-readonly blocks=20 # of addresses, 127.4.1.x and on; the first is taken that no other demo uses
+readonly blocks=20 # address blocks from 127.4.1.x on; the demo takes the first that no other demo uses
 readonly leaf_port=9001
 readonly leaf_control_port=9002
 readonly entry_port=7400
-readonly ready_tries=600 # of 0.1 s each
-readonly end_tries=300   # of 0.1 s each
+readonly ready_tries=600 # 0.1 s apart
+readonly end_tries=300   # 0.1 s apart
 
 work="$(mktemp -d)"
 pids=()
-net="" # the first three numbers of the addresses used
+net="" # the first three octets of the addresses
 readonly me=demo
 # shellcheck source=scripts/processes.sh
 source scripts/processes.sh
 
 say() { printf '\n== %s\n' "$*"; }
 
-# Ends only what was started here, by process id; SIGKILL for what doesn't end by itself.
+# cleanup ends only the processes started here, by process id, with SIGKILL for those that do not exit.
 cleanup() {
   local status=$?
   trap - EXIT INT TERM
   if ((status != 0)); then
-    printf '\ndemo: failed; the logs of the system end:\n' >&2
+    printf '\ndemo: failed; last lines of the logs of the system:\n' >&2
     tail -n 2 "$work"/{entry,gather,sync}-*.log >&2 || true
   fi
   stop "${pids[@]}" || status=1
@@ -42,8 +43,8 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-# start_platform starts the platform's stand-in in the first free block of addresses. A block is free
-# where it can listen: a demo that runs beside this one holds its own.
+# start_platform starts the platform's stand-in in the first free block of addresses. A block is free if
+# the stand-in can listen there; a demo that runs at the same time uses another block.
 start_platform() {
   local block log
   for ((block = 1; block <= blocks; block++)); do
@@ -167,7 +168,7 @@
   printf ']}'
 }
 
-# executions counts the lines of the leaves' execution logs that hold the text.
+# executions PAYLOAD prints the number of executions with the payload in the logs of all leaves.
 executions() {
   local s r count=0
   for s in "${shards[@]}"; do
@@ -242,10 +243,10 @@
 
 say "the leaves' execution logs"
 count="$(executions "$payload")"
-printf 'the order stands %s time(s) after 3 sends\n' "$count"
-[[ "$count" == 1 ]] || fail "the order should stand exactly once"
+printf 'the order was executed %s time(s) after 3 sends\n' "$count"
+[[ "$count" == 1 ]] || fail "the order must be executed exactly once"
 
-say "ending"
-stop "${pids[@]}" || fail "a process didn't end by itself"
+say "stopping all processes"
+stop "${pids[@]}" || fail "a process did not exit by itself"
 pids=()
-printf 'nothing is left running\n'
+printf 'all processes have exited\n'
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks format, vet and lint of the whole module. Usage: lint.sh STATICCHECK
+# Runs gofmt, go vet and staticcheck on the whole module. Usage: lint.sh STATICCHECK-PROGRAM
 set -euo pipefail
 
 unformatted=$(gofmt -l $(git ls-files '*.go'))
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,13 +1,14 @@
-# Functions for scripts that start processes on loopback and end them; read with `source`. The script
-# sets before: me (its name in messages), work (a directory for logs, with the programs in bin/), pids
-# (an array, empty at first), ready_tries and end_tries (of 0.1 s each).
+# Functions to start and end processes on loopback, included with `source`. The script must set: me (its
+# name in messages), work (a directory for logs, with the programs in bin/), pids (an empty array),
+# ready_tries and end_tries (numbers of attempts, 0.1 s apart).
 
 fail() {
   printf '%s: %s\n' "$me" "$*" >&2
   exit 1
 }
 
-# start NAME PROGRAM ARGUMENT... runs a process with its log in the work directory.
+# start NAME PROGRAM ARGUMENT... runs a process in the background with its log in the work directory, and
+# adds its id to pids.
 start() {
   local name="$1"
   shift
@@ -15,23 +16,23 @@
   pids+=("$!")
 }
 
-# stop PID... asks processes that were started here to end, and kills what has not after a while: then
-# it returns 1.
+# stop PID... terminates processes that were started here. It kills those that have not exited after
+# end_tries attempts and returns 1 in that case.
 stop() {
-  local pid tries left="$*"
+  local pid tries remaining="$*"
   for pid in "$@"; do kill -TERM "$pid" 2>/dev/null || true; done
   for ((tries = 0; tries < end_tries; tries++)); do
-    left=""
-    for pid in "$@"; do if kill -0 "$pid" 2>/dev/null; then left+="$pid "; fi; done
-    [[ -n "$left" ]] || return 0
+    remaining=""
+    for pid in "$@"; do if kill -0 "$pid" 2>/dev/null; then remaining+="$pid "; fi; done
+    [[ -n "$remaining" ]] || return 0
     sleep 0.1
   done
-  printf '%s: killed what did not end by itself: %s\n' "$me" "$left" >&2
-  for pid in $left; do kill -KILL "$pid" 2>/dev/null || true; done
+  printf '%s: killed processes that did not exit: %s\n' "$me" "$remaining" >&2
+  for pid in $remaining; do kill -KILL "$pid" 2>/dev/null || true; done
   return 1
 }
 
-# http METHOD IP:PORT PATH [BODY] prints status line, headers and body.
+# http METHOD IP:PORT PATH [BODY] sends a request and prints status line, headers and body.
 http() {
   local body="${4:-}"
   { exec 3<>"/dev/tcp/${2%:*}/${2##*:}"; } 2>/dev/null || return 1
@@ -40,12 +41,12 @@
   exec 3<&- 3>&-
 }
 
-# wait_for IP:PORT PATH polls until the answer is 200.
+# wait_for IP:PORT PATH polls until the status is 200. The script fails after ready_tries attempts.
 wait_for() {
   local tries
   for ((tries = 0; tries < ready_tries; tries++)); do
     if [[ "$(http GET "$1" "$2" 2>/dev/null | head -n 1)" == *" 200 "* ]]; then return 0; fi
     sleep 0.1
   done
-  fail "http://$1$2 wasn't ready in time"
+  fail "http://$1$2 was not ready in time"
 }
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,12 +1,14 @@
 #!/usr/bin/env bash
-# Runs every test but those that KNOWN-RED.txt names, and prints these. An entry begins with a line "TEST, ..." and
-# ends before the next; TEST may be a subtest, as in TestScenarios/NAME. An entry whose test doesn't exist fails the run.
+# Runs all tests except those named in KNOWN-RED.txt, which it prints. An entry of that file starts with a
+# line "TEST, ..." and ends before the next entry. TEST may be a subtest such as TestScenarios/NAME. The run
+# fails if the test of an entry does not exist.
 set -euo pipefail
 
 known=KNOWN-RED.txt
 
-# exists tells whether there is such a test: its function by the compiler, a subtest by a file of testdata or by its
-# name in a test's source, where a space stands for the _ that go test shows.
+# exists TEST succeeds if the test exists: the function must be in the output of go test -list, and a subtest
+# must be the name of a file in testdata or occur in the source of a test, with _ or with the space that
+# go test shows as _.
 exists() {
   local top=${1%%/*} sub=
   [ "$top" = "$1" ] || sub=${1##*/}
@@ -24,7 +26,7 @@
   tests=$(go test -list . ./... | grep '^Test')
   for n in "${names[@]}"; do
     if ! exists "$n"; then
-      echo "$known names $n, which no test is" >&2
+      echo "$known names $n, but there is no such test" >&2
       exit 1
     fi
   done
