--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for developers and CI. Everything builds from a fresh clone with Go, a C compiler and make.
+# Targets for developers and CI. A fresh clone builds with Go, a C compiler and make.
 
 GO ?= go
 BIN := bin
@@ -11,7 +11,7 @@
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-# test runs every test but the ones that KNOWN-RED.txt names, and prints those.
+# test runs all tests except those named in KNOWN-RED.txt, and prints that file.
 test:
 	bash scripts/test.sh
 
@@ -21,7 +21,7 @@
 fmt:
 	gofmt -w $$(git ls-files '*.go')
 
-# The generators and the linter are pinned in the module tools/, apart from the product's own.
+# The versions of the generators and the linter are pinned in the module tools/, separate from the main module.
 $(TOOLS)/%: tools/go.mod tools/go.sum
 	mkdir -p $(TOOLS)
 	$(GO) -C tools build -o ../$(TOOLS)/$* $$(cd tools && $(GO) list -f '{{.ImportPath}}' tool | grep '/$*$$')
