--- a/scenarios/await_test.go
+++ b/scenarios/await_test.go
@@ -8,26 +8,25 @@
 )
 
 const (
-	// readyBound is how long a fleet may take to be ready on a busy machine.
-	readyBound = 60 * time.Second
-	// awaitBound is how long a condition may take where the scenario promises no time.
-	awaitBound = 30 * time.Second
-	pollEvery  = 20 * time.Millisecond
+	// readyTimeout is the time within which a fleet has to be ready, also on a busy machine.
+	readyTimeout = 60 * time.Second
+	// awaitTimeout is the timeout of a condition for which the scenario sets none.
+	awaitTimeout = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// await polls until the condition holds, that is until it returns nil, and fails at the bound with
-// the condition's last error.
-func await(what string, bound time.Duration, condition func() error) error {
+// await polls until the condition returns nil. After the timeout it returns the condition's last error.
+func await(what string, timeout time.Duration, condition func() error) error {
 	start := time.Now()
 	for {
 		err := condition()
 		if err == nil {
 			return nil
 		}
-		if time.Since(start) > bound {
-			return fmt.Errorf("%s: not within %s: %w", what, bound, err)
+		if time.Since(start) > timeout {
+			return fmt.Errorf("%s: not within %s: %w", what, timeout, err)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -36,14 +35,14 @@
 	return err
 }
 
-// ready returns what isn't ready among the processes; one that has ended is an error at once.
-func (f *fleet) ready(daemons []*daemon) error {
+// allReady returns an error that names the first process that has ended or is not ready.
+func (f *fleet) allReady(daemons []*daemon) error {
 	for _, d := range daemons {
 		if !d.Running() {
-			return fmt.Errorf("%s has ended; its log ends:\n%s", d.Name(), d.LogTail())
+			return fmt.Errorf("%s has ended; last lines of its log:\n%s", d.Name(), d.LogTail())
 		}
 		if err := f.processReady(d.Name()); err != nil {
-			return fmt.Errorf("%s isn't ready: %w", d.Name(), err)
+			return fmt.Errorf("%s is not ready: %w", d.Name(), err)
 		}
 	}
 	return nil
@@ -70,8 +69,8 @@
 	return err
 }
 
-// metric returns the value of a metric without labels, or summed over the label sets that contain
-// all of the given label texts, such as reason="overload".
+// metric returns the value of a metric, summed over the label sets that contain all of the given label
+// texts, such as reason="overload".
 func (f *fleet) metric(process, name string, labels ...string) (float64, error) {
 	url, err := f.operatorURL(process, "/metrics")
 	if err != nil {
@@ -89,7 +88,7 @@
 		}
 	}
 	if !found {
-		return 0, fmt.Errorf("%s shows no metric %s %v", process, name, labels)
+		return 0, fmt.Errorf("%s exports no metric %s %v", process, name, labels)
 	}
 	return sum, nil
 }
@@ -108,8 +107,8 @@
 	return v, err == nil
 }
 
-// atVersion returns an error until each of the VMs' processes has the bundle version in force.
-func (f *fleet) atVersion(version float64, daemons []*daemon) error {
+// atBundleVersion returns an error until the bundle version is in force in each of the processes.
+func (f *fleet) atBundleVersion(version float64, daemons []*daemon) error {
 	for _, d := range daemons {
 		v, err := f.metric(d.Name(), "burdock_bundle_version")
 		if err != nil {
@@ -122,36 +121,36 @@
 	return nil
 }
 
-// refused returns an error until each of the processes has refused a bundle at least that often.
-func (f *fleet) refused(times float64, daemons []*daemon) error {
+// refusedAtLeast returns an error until each of the processes has refused at least that many bundles.
+func (f *fleet) refusedAtLeast(times float64, daemons []*daemon) error {
 	for _, d := range daemons {
 		n, err := f.metric(d.Name(), "burdock_bundle_refused_total")
 		if err != nil {
 			return err
 		}
 		if n < times {
-			return fmt.Errorf("%s has refused %g bundles, want %g", d.Name(), n, times)
+			return fmt.Errorf("%s has refused %g bundles, want at least %g", d.Name(), n, times)
 		}
 	}
 	return nil
 }
 
-// counted returns an error until the metric, summed over the processes, is at least that high.
-func (f *fleet) counted(metric string, least float64, daemons []*daemon) error {
+// metricAtLeast returns an error until the metric, summed over the processes, reaches the minimum.
+func (f *fleet) metricAtLeast(metric string, minimum float64, daemons []*daemon) error {
 	sum := 0.0
 	for _, d := range daemons {
 		n, err := f.metric(d.Name(), metric)
-		if err == nil { // one that wasn't counted yet isn't shown
+		if err == nil { // a counter that was never incremented is not exported
 			sum += n
 		}
 	}
-	if sum < least {
-		return fmt.Errorf("%s is %g, want %g", metric, sum, least)
+	if sum < minimum {
+		return fmt.Errorf("%s is %g, want at least %g", metric, sum, minimum)
 	}
 	return nil
 }
 
-// vmProcesses leaves stand-ins and what isn't running out.
+// vmProcesses returns the running processes of VMs, without stand-ins and frozen processes.
 func vmProcesses(daemons []*daemon) []*daemon {
 	var all []*daemon
 	for _, d := range daemons {
--- a/scenarios/caller_test.go
+++ b/scenarios/caller_test.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// readBytes is how much a slow caller reads at once.
-	readBytes = 16 << 10
-	// readBuffer is how much the kernel holds for a caller that doesn't read, so that the entry has
-	// to wait for a slow one.
-	readBuffer = 64 << 10
+	// readChunkBytes is the most that a slow caller reads at once.
+	readChunkBytes = 16 << 10
+	// receiveBufferBytes is the size of the caller's kernel receive buffer, small enough that the entry
+	// has to wait for a slow caller.
+	receiveBufferBytes = 64 << 10
 )
 
-// errCutOff ends a caller's connection in the middle of what it reads.
+// errCutOff is the read error of a connection that breaks after connection.cutAfterBytes.
 var errCutOff = errors.New("the caller's connection was cut")
 
-// connection says how a caller is connected to an entry.
+// connection describes the connections of a caller to an entry.
 type connection struct {
-	// slow is the wait before each read of readBytes at most.
-	slow time.Duration
-	// cutAfter is how many bytes the caller reads before its connection breaks; 0 is never.
-	cutAfter int
-	// http1 takes HTTP/1.1 in place of HTTP/2.
+	// readDelay is the wait before each read of at most readChunkBytes; 0 is none.
+	readDelay time.Duration
+	// cutAfterBytes is the number of bytes that the caller reads before its connection breaks; 0 is never.
+	cutAfterBytes int
+	// http1 selects HTTP/1.1 instead of HTTP/2.
 	http1 bool
 }
 
-// client returns a client with the connection. Each of its connections has the fault anew.
+// client returns an HTTP client with such connections. The fault applies to each of its connections
+// separately.
 func (c connection) client() *http.Client {
 	if c == (connection{}) {
 		return rpc.NewClient("")
@@ -49,13 +50,14 @@
 			if err != nil {
 				return nil, err
 			}
-			_ = conn.(*net.TCPConn).SetReadBuffer(readBuffer)
-			return &faultyConn{Conn: conn, fault: c, left: c.cutAfter}, nil
+			_ = conn.(*net.TCPConn).SetReadBuffer(receiveBufferBytes)
+			return &faultyConn{Conn: conn, fault: c, remaining: c.cutAfterBytes}, nil
 		},
 	}}
 }
 
-// options leave compression out where the connection has a fault, so that its size is the answer's.
+// options turns compression off for a connection with a fault, so that the bytes on the connection are
+// those of the answer.
 func (c connection) options() []connect.ClientOption {
 	if c == (connection{}) {
 		return nil
@@ -63,27 +65,27 @@
 	return []connect.ClientOption{connect.WithAcceptCompression("gzip", nil, nil)}
 }
 
-// faultyConn reads as its fault says. Its reads are made by one goroutine.
+// faultyConn applies a connection's fault to reads. Only one goroutine may read from it.
 type faultyConn struct {
 	net.Conn
-	fault connection
-	left  int
+	fault     connection
+	remaining int
 }
 
 // Read implements net.Conn.
 func (c *faultyConn) Read(b []byte) (int, error) {
-	if c.fault.slow > 0 {
-		time.Sleep(c.fault.slow)
-		b = b[:min(len(b), readBytes)]
+	if c.fault.readDelay > 0 {
+		time.Sleep(c.fault.readDelay)
+		b = b[:min(len(b), readChunkBytes)]
 	}
-	if c.fault.cutAfter == 0 {
+	if c.fault.cutAfterBytes == 0 {
 		return c.Conn.Read(b)
 	}
-	if c.left <= 0 {
+	if c.remaining <= 0 {
 		_ = c.Close()
 		return 0, errCutOff
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(b[:min(len(b), c.remaining)])
+	c.remaining -= n
 	return n, err
 }
--- a/scenarios/fleet_test.go
+++ b/scenarios/fleet_test.go
@@ -17,19 +17,19 @@
 	"github.com/burdockplank/burdockplank/internal/ticket"
 )
 
-// The roles of a VM's processes, in the order in which they start.
+// roles are the roles of a VM's processes in start order.
 var roles = []string{"sync", "gather", "entry"}
 
-// operatorPorts holds the operator listener of each role.
+// operatorPorts holds the port of the operator listener by role.
 var operatorPorts = map[string]int{
 	"entry": settings.DefaultEntryOperatorPort, "gather": settings.DefaultGatherOperatorPort, "sync": settings.DefaultSyncOperatorPort,
 }
 
-// vmPorts are the ports that other VMs use.
+// vmPorts are the ports of a VM that other VMs connect to.
 var vmPorts = []int{settings.DefaultEntryPort, settings.DefaultGatherPort, settings.DefaultSyncPort}
 
-// fleet is what one scenario runs: the platform, leaves and VMs. It belongs to the goroutine of its
-// script, but for the results of requests in the background.
+// fleet is the platform, the leaves and the VMs of one scenario. Only the goroutine of the script uses
+// it, except for the results of background requests.
 type fleet struct {
 	dir    string
 	block  *block
@@ -37,42 +37,43 @@
 
 	platformNode *node
 	vms, leaves  []*node
-	// daemons are in the order of their start.
+	// daemons are in start order.
 	daemons []*daemon
 	relay   *relay
 
 	reviewers []reviewer
-	// text and digest of the newest bundle that was published with all signatures.
-	text   string
-	digest bundle.Digest
-	// bundles holds those published with all signatures, by version.
+	// bundleText and bundleDigest are those of the newest bundle published with all signatures.
+	bundleText   string
+	bundleDigest bundle.Digest
+	// bundles holds the bundles published with all signatures, by version.
 	bundles map[uint64]*bundle.Bundle
-	// states holds what the platform's list says of a VM or leaf where it isn't live.
+	// states holds the state in the platform's list of VMs and leaves that are not live, by name.
 	states map[string]platform.State
 
-	// published and revisions hold, by version, when a manifest was sent to the platform last, and
-	// the revision that it got; offered is the digest of the newest, signed well or not.
-	published map[uint64]time.Time
-	revisions map[uint64]uint64
-	offered   bundle.Digest
-	// listedLeaving holds since when the platform's list says of a leaf that it leaves.
-	listedLeaving map[string]time.Time
-	// listLag is what the verb lag set.
+	// publishedAt and revisions hold, by version, when a manifest was last sent to the platform, and
+	// its revision there. offeredDigest is the digest of the newest manifest, validly signed or not.
+	publishedAt   map[uint64]time.Time
+	revisions     map[uint64]uint64
+	offeredDigest bundle.Digest
+	// listedLeavingSince holds the time since which the platform's list has a leaf as leaving.
+	listedLeavingSince map[string]time.Time
+	// listLag is the delay set by the verb lag.
 	listLag time.Duration
-	// note writes to the scenario's log.
-	note func(format string, args ...any)
-	// watcher is nil until the verb watch.
+	// logf writes to the scenario's log.
+	logf func(format string, args ...any)
+	// watcher is nil until the verb watch runs.
 	watcher *watcher
 
 	requests   *requests
 	traffic    map[string]*trafficRun
 	respawners []*respawner
-	// loads by name, and the seed of the scenario's random choices.
+	// loads holds the background loads by name.
 	loads map[string]*load
-	seed  uint64
+	// seed is that of the scenario's random choices.
+	seed uint64
 }
 
-// newFleet lays a fleet out and writes its settings files under dir; nothing is started.
+// newFleet returns a fleet with the layout and writes its settings files to dir. It starts no process.
 func newFleet(dir string, l layout) (*fleet, error) {
 	b, err := newBlock()
 	if err != nil {
@@ -80,22 +81,22 @@
 	}
 	f := &fleet{dir: dir, block: b, layout: l, states: make(map[string]platform.State), requests: newRequests(),
 		bundles: make(map[uint64]*bundle.Bundle), loads: make(map[string]*load),
-		traffic: make(map[string]*trafficRun), published: make(map[uint64]time.Time), revisions: make(map[uint64]uint64),
-		listedLeaving: make(map[string]time.Time),
+		traffic: make(map[string]*trafficRun), publishedAt: make(map[uint64]time.Time), revisions: make(map[uint64]uint64),
+		listedLeavingSince: make(map[string]time.Time),
 	}
 	f.platformNode = l.node(b, platformName, "", platformHost)
 	f.vms, f.leaves = l.vmNodes(b), l.leafNodes(b)
 	for i := range 2 {
 		seed := make([]byte, ed25519.SeedSize)
-		seed[0] = byte(i + 1) // the keys are for scenarios only and may as well be the same each time
+		seed[0] = byte(i + 1) // fixed keys: they are used by scenarios only
 		key := ed25519.NewKeyFromSeed(seed)
 		f.reviewers = append(f.reviewers, reviewer{id: bundle.KeyID(key.Public().(ed25519.PublicKey)), key: key})
 	}
-	return f, f.layOut()
+	return f, f.writeSettingsFiles()
 }
 
-// layOut writes settings files and names the processes.
-func (f *fleet) layOut() error {
+// writeSettingsFiles writes the settings files and adds the processes to daemons.
+func (f *fleet) writeSettingsFiles() error {
 	f.add(platformName, "burdock-standin", "platform",
 		"--listen", fmt.Sprintf("%s:%d", f.platformNode.bind, platformPort),
 		"--control", f.platformControl())
@@ -139,7 +140,7 @@
 	return text
 }
 
-// list is the platform's list; VMs and leaves whose state is absent are left out.
+// list returns the platform's list. It omits VMs and leaves whose state is stateAbsent.
 func (f *fleet) list() platform.List {
 	var l platform.List
 	for _, n := range f.vms {
@@ -174,7 +175,7 @@
 	return stateLive
 }
 
-// startAll starts everything, publishes bundle version 1, and waits until all is ready.
+// startAll starts all processes, publishes bundle version 1 and waits until all processes are ready.
 func (f *fleet) startAll() error {
 	if f.layout.Relay {
 		if err := f.startRelay(); err != nil {
@@ -184,7 +185,7 @@
 	if err := f.startRole(platformName); err != nil {
 		return err
 	}
-	if err := await("the platform's stand-in", readyBound, f.platformUp); err != nil {
+	if err := await("the platform's stand-in", readyTimeout, f.platformUp); err != nil {
 		return err
 	}
 	if err := putJSON(f.platformURL("/list"), f.list()); err != nil {
@@ -198,7 +199,7 @@
 			return err
 		}
 	}
-	return await("everything ready", readyBound, func() error { return f.ready(f.daemons) })
+	return await("everything ready", readyTimeout, func() error { return f.allReady(f.daemons) })
 }
 
 // startRole starts all processes of a role.
@@ -213,7 +214,7 @@
 	return nil
 }
 
-// startRelay puts the relay before every node. Datagrams go between VMs only.
+// startRelay starts a relay in front of every node. It relays datagrams between VMs only.
 func (f *fleet) startRelay() error {
 	f.relay = newRelay(f.nodes())
 	for _, n := range f.vms {
@@ -239,15 +240,16 @@
 	return err
 }
 
-// nodes are the platform, VMs and leaves.
+// nodes returns the platform, the VMs and the leaves.
 func (f *fleet) nodes() []*node {
 	return append(append([]*node{f.platformNode}, f.vms...), f.leaves...)
 }
 
-// names resolves what a cut can name: a node, a zone with its VMs and leaves, "vms" or "leaves".
-func (f *fleet) names(what string) ([]string, error) {
+// resolveNodeNames returns the names of the nodes that what stands for: a node, a zone with its VMs and
+// leaves, "vms" or "leaves".
+func (f *fleet) resolveNodeNames(what string) ([]string, error) {
 	var names []string
-	what = f.alias(what)
+	what = f.resolveAlias(what)
 	for _, n := range f.nodes() {
 		if n.name == what || n.zone == what {
 			names = append(names, n.name)
@@ -265,9 +267,9 @@
 	return names, nil
 }
 
-// alias puts the name of a VM in the place of minter-of-T and witness-of-T, which are the VM whose
-// gather minted the ticket T and the one that is its witness.
-func (f *fleet) alias(what string) string {
+// resolveAlias replaces minter-of-T and witness-of-T by the name of the VM whose gather minted the
+// ticket T, or of the VM that is its witness.
+func (f *fleet) resolveAlias(what string) string {
 	role, of, ok := strings.Cut(what, "/")
 	if !ok {
 		role, of = "", what
@@ -293,11 +295,11 @@
 	return names
 }
 
-// find returns the processes that a verb names: entry/vm-1, vm-1 for all of a VM, a leaf, a role
-// such as "gather" for all of it, "platform", or "everywhere".
-func (f *fleet) find(what string) ([]*daemon, error) {
+// findProcesses returns the processes that what stands for: one process such as entry/vm-1, all of a VM
+// such as vm-1, a leaf, all of a role such as "gather", "platform", or "everywhere".
+func (f *fleet) findProcesses(what string) ([]*daemon, error) {
 	var found []*daemon
-	what = f.alias(what)
+	what = f.resolveAlias(what)
 	for _, d := range f.daemons {
 		role, of, _ := strings.Cut(d.Name(), "/")
 		if what == "everywhere" || slices.Contains([]string{d.Name(), role, of}, what) {
@@ -310,23 +312,24 @@
 	return found, nil
 }
 
-// findAll is find over several words; none is an error.
-func (f *fleet) findAll(words []string) ([]*daemon, error) {
+// findAllProcesses returns the processes of all words, as findProcesses does. It is an error if there
+// are none.
+func (f *fleet) findAllProcesses(words []string) ([]*daemon, error) {
 	var all []*daemon
 	for _, w := range words {
-		found, err := f.find(w)
+		found, err := f.findProcesses(w)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, found...)
 	}
 	if len(all) == 0 {
-		return nil, errors.New("no process was named")
+		return nil, errors.New("no process is named")
 	}
 	return all, nil
 }
 
-func (f *fleet) vm(name string) (*node, error)   { return nodeNamed(f.vms, f.alias(name)) }
+func (f *fleet) vm(name string) (*node, error)   { return nodeNamed(f.vms, f.resolveAlias(name)) }
 func (f *fleet) leaf(name string) (*node, error) { return nodeNamed(f.leaves, name) }
 
 func nodeNamed(nodes []*node, name string) (*node, error) {
@@ -343,14 +346,14 @@
 }
 func (f *fleet) platformURL(path string) string { return "http://" + f.platformControl() + path }
 
-// leafLogFile is where a leaf writes what it starts; it outlives the leaf's process.
+// leafLogFile returns the path of a leaf's journal. The file outlives the leaf's process.
 func (f *fleet) leafLogFile(n *node) string { return filepath.Join(f.dir, n.name+".journal") }
 
 func leafURL(n *node, path string) string {
 	return fmt.Sprintf("http://%s:%d%s", n.bind, leafControlPort, path)
 }
 
-// operatorURL is a path of the operator listener of a VM's process such as entry/vm-1.
+// operatorURL returns the URL of a path at the operator listener of a VM's process such as entry/vm-1.
 func (f *fleet) operatorURL(process, path string) (string, error) {
 	role, of, _ := strings.Cut(process, "/")
 	n, err := f.vm(of)
@@ -360,7 +363,8 @@
 	return "http://" + n.bind + ":" + strconv.Itoa(operatorPorts[role]) + path, nil
 }
 
-// stop ends everything in order, last started first, and reports what didn't end by itself.
+// stop terminates all processes, last started first, and returns an error for those that do not exit by
+// themselves.
 func (f *fleet) stop() error {
 	for _, l := range f.loads {
 		l.finish()
@@ -372,7 +376,7 @@
 	if f.watcher != nil {
 		problems = f.watcher.finish()
 	}
-	var asked []*daemon
+	var terminating []*daemon
 	for _, d := range slices.Backward(f.daemons) {
 		if !d.Running() {
 			continue
@@ -381,9 +385,9 @@
 			problems = errors.Join(problems, err)
 			continue
 		}
-		asked = append(asked, d)
+		terminating = append(terminating, d)
 	}
-	for _, d := range asked {
+	for _, d := range terminating {
 		problems = errors.Join(problems, d.WaitCleanExit())
 	}
 	if f.relay != nil {
--- a/scenarios/history_order_test.go
+++ b/scenarios/history_order_test.go
@@ -17,71 +17,71 @@
 )
 
 const (
-	// historyFor is how long callers send orders while faults come and go.
-	historyFor = 15 * time.Second
-	// historyCallers send at the same time.
+	// historyDuration is the time for which callers send orders under random faults.
+	historyDuration = 15 * time.Second
+	// historyCallers is the number of concurrent callers.
 	historyCallers = 16
-	// sendTimeout is the deadline of one send, above the kind's own.
+	// sendTimeout is the timeout of one send, longer than the kind's own.
 	sendTimeout = 3 * time.Second
-	// sendsAtMost bounds how often one order is sent in a row while it has no final outcome.
-	sendsAtMost = 12
-	// comeBackAtMost bounds how long a caller waits before it sends again.
-	comeBackAtMost = 300 * time.Millisecond
-	// thinkTime is between two orders of one caller.
+	// maxSends is how often a caller sends an order in sequence while it has no final outcome.
+	maxSends = 12
+	// maxRetryWait limits the wait of a caller before it sends an order again.
+	maxRetryWait = 300 * time.Millisecond
+	// thinkTime is the wait between two orders of one caller.
 	thinkTime = 20 * time.Millisecond
-	// settleWorkers send through each entry at the end.
+	// settleWorkers is the number of concurrent senders through each entry at the end.
 	settleWorkers = 4
 )
 
-// sent is one send of an order, with the reply.
-type sent struct {
-	ticket       int
-	caller       int
-	entry        string
-	called, back time.Duration
-	reply        *reply
+// orderSend is one send of an order and its reply. Its times count from the start of the history.
+type orderSend struct {
+	ticket            int
+	caller            int
+	entry             string
+	sentAt, repliedAt time.Duration
+	reply             *reply
 }
 
-// bookedOrder is what one ticket is for.
+// bookedOrder is a ticket and the payload of its order.
 type bookedOrder struct {
 	ticket, payload string
 }
 
-// orderHistory records what callers saw. It is safe for concurrent use.
+// orderHistory records the sends of orders and their replies. It is safe for concurrent use.
 type orderHistory struct {
 	start time.Time
 
 	mu sync.Mutex
 	// Guarded by mu.
 	orders []bookedOrder
-	sends  []sent
+	sends  []orderSend
 	// refused counts tickets that were not issued.
 	refused int
-	// callerEnds counts orders by how they ended for their callers.
-	callerEnds map[callerEnd]int
+	// callerOutcomes counts orders by their outcome for the caller.
+	callerOutcomes map[callerOutcome]int
 }
 
-// callerEnd is how an order ended for its caller.
-type callerEnd string
+// callerOutcome is the outcome of an order for its caller.
+type callerOutcome string
 
-// The ends of orders for their callers.
+// The outcomes of orders for their callers.
 const (
-	endAnswered  callerEnd = "answered"
-	endNever     callerEnd = "never run"
-	endUnknown   callerEnd = "unknown"
-	endUndecided callerEnd = "undecided"
+	outcomeAnswered  callerOutcome = "answered"
+	outcomeNeverRun  callerOutcome = "never run"
+	outcomeUnknown   callerOutcome = "unknown"
+	outcomeUndecided callerOutcome = "undecided"
 )
 
-func (h *orderHistory) ended(e callerEnd) {
+func (h *orderHistory) countOutcome(e callerOutcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.callerEnds == nil {
-		h.callerEnds = make(map[callerEnd]int)
+	if h.callerOutcomes == nil {
+		h.callerOutcomes = make(map[callerOutcome]int)
 	}
-	h.callerEnds[e]++
+	h.callerOutcomes[e]++
 }
 
-func (h *orderHistory) add(s sent) {
+func (h *orderHistory) add(s orderSend) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sends = append(h.sends, s)
@@ -97,7 +97,7 @@
 	}}
 	called := time.Since(h.start)
 	rep := q.send()
-	h.add(sent{ticket: ticket, caller: caller, entry: entry.name, called: called, back: time.Since(h.start), reply: rep})
+	h.add(orderSend{ticket: ticket, caller: caller, entry: entry.name, sentAt: called, repliedAt: time.Since(h.start), reply: rep})
 	return rep
 }
 
@@ -114,13 +114,13 @@
 // run books one order after another until ctx ends.
 func (c *orderCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.one(ctx)
-		pause(ctx, thinkTime)
+		c.bookOne(ctx)
+		sleep(ctx, thinkTime)
 	}
 }
 
-// one gets a ticket and books its order.
-func (c *orderCaller) one(ctx context.Context) {
+// bookOne requests a ticket and books its order.
+func (c *orderCaller) bookOne(ctx context.Context) {
 	q := &request{entry: c.anyVM(), token: callerToken, timeout: sendTimeout, issue: &pb.IssueTicketRequest{Service: serviceName, Kind: orderKind}}
 	text := q.send().issue.GetTicket()
 	c.h.mu.Lock()
@@ -135,24 +135,24 @@
 	c.book(ctx, ticket)
 }
 
-// book sends an order, at once through up to three entries, until it has a final outcome; now and
-// then once more after that.
+// book sends an order through up to three entries at the same time until it has a final outcome, and at
+// random (one time in four) again after that.
 func (c *orderCaller) book(ctx context.Context, ticket int) {
-	end := endUndecided
-	for range sendsAtMost {
+	end := outcomeUndecided
+	for range maxSends {
 		reps := c.sendAtOnce(ticket, 1+c.random.IntN(3))
 		for _, rep := range reps {
 			end = end.after(rep)
 		}
-		if end != endUndecided && c.random.IntN(4) > 0 {
+		if end != outcomeUndecided && c.random.IntN(4) > 0 {
 			break
 		}
-		pause(ctx, min(comeBackAtMost, max(thinkTime, reps[0].outcome.GetRetryAfter().AsDuration())))
+		sleep(ctx, min(maxRetryWait, max(thinkTime, reps[0].outcome.GetRetryAfter().AsDuration())))
 	}
-	c.h.ended(end)
+	c.h.countOutcome(end)
 }
 
-// sendAtOnce sends through n entries drawn at random.
+// sendAtOnce sends the order through n random entries concurrently.
 func (c *orderCaller) sendAtOnce(ticket, n int) []*reply {
 	reps := make([]*reply, n)
 	var wg sync.WaitGroup
@@ -164,22 +164,22 @@
 	return reps
 }
 
-// after returns the end that a caller knows after a further reply: an answer or "never" decides.
-func (e callerEnd) after(r *reply) callerEnd {
+// after returns the outcome for the caller after a further reply. An answer or "never run" is final.
+func (e callerOutcome) after(r *reply) callerOutcome {
 	switch {
-	case e == endAnswered || e == endNever:
+	case e == outcomeAnswered || e == outcomeNeverRun:
 		return e
-	case answered(r):
-		return endAnswered
-	case never(r):
-		return endNever
-	case final(r):
-		return endUnknown
+	case isAnswered(r):
+		return outcomeAnswered
+	case isNeverRun(r):
+		return outcomeNeverRun
+	case isFinal(r):
+		return outcomeUnknown
 	}
 	return e
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -188,30 +188,31 @@
 	}
 }
 
-// final tells whether the reply decides the order: answered, never, or unknown without a time to
-// come back.
-func final(r *reply) bool {
-	return answered(r) || never(r) ||
+// isFinal reports whether the reply decides the order: answered, never run, or unknown without a
+// retry-after time.
+func isFinal(r *reply) bool {
+	return isAnswered(r) || isNeverRun(r) ||
 		r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_UNKNOWN && r.outcome.GetRetryAfter() == nil
 }
 
-func answered(r *reply) bool {
+func isAnswered(r *reply) bool {
 	return r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_ANSWERED_WHOLE
 }
 
-// never tells whether the reply says that the order of the ticket will never run, which only the
-// ticket's own keepers can; any other not_run speaks of one send.
-func never(r *reply) bool {
+// isNeverRun reports whether the reply says that the order of the ticket never ran and never will. Only
+// the ticket's gather and witness can say so (step order.*); any other not_run is about one send.
+func isNeverRun(r *reply) bool {
 	return r.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN && strings.HasPrefix(r.outcome.GetStep(), "order.")
 }
 
-// The porcupine model of one ticket: it starts undecided and becomes executed or never for good.
+// The state and the outputs of the porcupine model of one ticket. A ticket starts undecided and becomes
+// executed or never run; it does not change after that.
 type (
 	ticketState struct {
 		executed, never, answeredFirst bool
 	}
 	ticketOutput struct {
-		// reply of a send, nil for the audit of the leaves' journals at the end.
+		// reply is that of a send, nil for the audit of the leaves' journals at the end.
 		reply      *reply
 		executions int
 	}
@@ -231,18 +232,19 @@
 	},
 }
 
-// stepTicket takes one send or the audit. The input is the ticket's text.
+// stepTicket applies a send or the audit to the state and reports whether the output is allowed. The
+// input is the ticket's text.
 func stepTicket(s ticketState, ticket string, o ticketOutput) (bool, ticketState) {
 	switch {
 	case o.reply == nil:
 		ok := o.executions == 0 && !s.executed || o.executions == 1 && !s.never
 		return ok, s
-	case answered(o.reply):
+	case isAnswered(o.reply):
 		first := !o.reply.order.GetReplayed()
 		ok := !s.never && o.reply.order.GetResult() == "done:"+ticket && !(first && s.answeredFirst)
 		s.executed, s.answeredFirst = true, s.answeredFirst || first
 		return ok, s
-	case never(o.reply):
+	case isNeverRun(o.reply):
 		ok := !s.executed
 		s.never = true
 		return ok, s
@@ -262,18 +264,18 @@
 	return byTicket, byRequest
 }
 
-// check compares the history with the leaves' journals; it returns what breaks a promise.
+// check compares the history with the leaves' journals and returns the violations.
 func (h *orderHistory) check(lines []leaf.FileLine) []string {
 	byTicket, byRequest := executionsBy(lines)
-	var broken []string
+	var violations []string
 	ops := make([][]porcupine.Operation, len(h.orders))
 	for _, s := range h.sends {
 		if s.reply.outcome.GetKind() == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN && byRequest[s.reply.requestID()] > 0 {
-			broken = append(broken, fmt.Sprintf("ticket %d: a leaf ran the request of %s", s.ticket, s.reply))
+			violations = append(violations, fmt.Sprintf("ticket %d: a leaf ran the request of %s", s.ticket, s.reply))
 		}
 		ops[s.ticket] = append(ops[s.ticket], porcupine.Operation{
 			ClientId: len(ops[s.ticket]), Input: h.orders[s.ticket].ticket, Output: ticketOutput{reply: s.reply},
-			Call: int64(s.called), Return: int64(s.back),
+			Call: int64(s.sentAt), Return: int64(s.repliedAt),
 		})
 	}
 	end := int64(time.Since(h.start))
@@ -284,48 +286,48 @@
 		if porcupine.CheckOperations(ticketModel, all) {
 			continue
 		}
-		broken = append(broken, fmt.Sprintf("ticket %d: no order of its sends explains what they got, with %d executions", i, byTicket[o.ticket]))
+		violations = append(violations, fmt.Sprintf("ticket %d: no order of its sends explains their replies, with %d executions", i, byTicket[o.ticket]))
 		for _, s := range h.sends {
 			if s.ticket == i {
-				broken = append(broken, fmt.Sprintf("    %8s to %8s through %s: %s", s.called.Round(time.Millisecond), s.back.Round(time.Millisecond), s.entry, s.reply))
+				violations = append(violations, fmt.Sprintf("    %8s to %8s through %s: %s", s.sentAt.Round(time.Millisecond), s.repliedAt.Round(time.Millisecond), s.entry, s.reply))
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
-// TestOrderHistory runs many callers against random faults: no order runs twice, none that was said
-// never to run runs, each answered one has run once, and no answer is taken back.
+// TestOrderHistory sends orders from many callers under random faults. No order runs twice, none that
+// was reported as never run runs, each answered order has run once, and no answer is withdrawn later.
 func TestOrderHistory(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	seed := seedOf(t)
+	seed := runSeed(t)
 	l := defaultLayout()
 	l.Relay, l.VMs, l.Zones, l.Shards, l.Replicas = true, 4, 2, 2, 2
 	f := startFleet(t, l)
 	h := &orderHistory{start: time.Now()}
-	ctx, cancel := context.WithTimeout(t.Context(), historyFor)
+	ctx, cancel := context.WithTimeout(t.Context(), historyDuration)
 	defer cancel()
 	var callers sync.WaitGroup
 	for i := range historyCallers {
 		c := &orderCaller{f: f, h: h, id: i, random: rand.New(rand.NewPCG(seed, uint64(i)+1))}
 		callers.Go(func() { c.run(ctx) })
 	}
-	m := &mischief{f: f, random: rand.New(rand.NewPCG(seed, 0)), log: t.Logf}
+	m := &faultInjector{f: f, random: rand.New(rand.NewPCG(seed, 0)), log: t.Logf}
 	is.NoErr(m.run(ctx, orderFaults()))
 	callers.Wait()
-	is.NoErr(await("everything ready", readyBound, func() error { return f.ready(f.daemons) }))
+	is.NoErr(await("everything ready", readyTimeout, func() error { return f.allReady(f.daemons) }))
 	h.settle(f)
 	written, err := f.journal()
 	is.NoErr(err)
-	t.Logf("%d orders, %d sends, %d tickets refused; ends: %v", len(h.orders), len(h.sends), h.refused, h.callerEnds)
+	t.Logf("%d orders, %d sends, %d tickets refused; outcomes: %v", len(h.orders), len(h.sends), h.refused, h.callerOutcomes)
 	for _, b := range h.check(written.lines) {
 		t.Error(b)
 	}
-	is.True(h.callerEnds[endAnswered] > historyCallers) // the run means something
+	is.True(h.callerOutcomes[outcomeAnswered] > historyCallers) // else the run proves nothing
 }
 
-// settle sends every order once more through every entry, after all faults.
+// settle sends every order once more through every entry, after the faults have ended.
 func (h *orderHistory) settle(f *fleet) {
 	var wg sync.WaitGroup
 	for _, n := range f.vms {
--- a/scenarios/verbs_platform_test.go
+++ b/scenarios/verbs_platform_test.go
@@ -10,9 +10,9 @@
 	"github.com/burdockplank/burdockplank/internal/standin/platform"
 )
 
-// verbList changes a VM's or leaf's state in the platform's list: live, leaving or absent.
+// verbList sets the state of a VM or leaf in the platform's list: live, leaving or absent.
 func verbList(f *fleet, a *arguments) error {
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	name, state := a.words[0], platform.State(a.words[1])
@@ -23,17 +23,17 @@
 		return err
 	}
 	f.states[name] = state
-	delete(f.listedLeaving, name)
+	delete(f.listedLeavingSince, name)
 	if state == stateLeaving && f.listLag == 0 {
-		f.listedLeaving[name] = time.Now()
+		f.listedLeavingSince[name] = time.Now()
 	}
 	return putJSON(f.platformURL("/list"), f.list())
 }
 
-// verbReplace kills a VM and starts another in its place, at the same address, under a new name.
-// The platform's list changes with it.
+// verbReplace kills a VM, starts another at the same address under a new name, and updates the platform's
+// list.
 func verbReplace(f *fleet, a *arguments) error {
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	n, err := f.vm(a.words[0])
@@ -41,7 +41,7 @@
 		return err
 	}
 	old, name := n.name, a.words[1]
-	ds, err := f.find(old)
+	ds, err := f.findProcesses(old)
 	if err != nil {
 		return err
 	}
@@ -63,38 +63,38 @@
 	return putJSON(f.platformURL("/list"), f.list())
 }
 
-// verbPublish publishes the newest bundle with another version, other snapshots and edits.
+// verbPublish publishes the newest bundle with another version and optionally other snapshots and edits.
 func verbPublish(f *fleet, a *arguments) error {
 	version := a.number("version", 0)
 	snapshots := a.text("snapshots", "")
 	signers, by := a.number("signers", len(f.reviewers)), a.text("by", "")
 	size := a.number("bytes", 0)
-	if err := a.done(0, anyNumber); err != nil {
+	if err := a.validate(0, anyNumber); err != nil {
 		return err
 	}
 	if version < 1 || signers < 0 || signers > len(f.reviewers) {
 		return fmt.Errorf("want version=N from 1 and signers=0 to %d", len(f.reviewers))
 	}
-	text, err := f.edited(uint64(version), snapshots, a.words)
+	text, err := f.editBundle(uint64(version), snapshots, a.words)
 	if err != nil {
 		return err
 	}
 	signing := f.reviewers[:signers]
 	if by != "" {
-		if signing, err = f.signersNamed(by); err != nil {
+		if signing, err = f.parseSigners(by); err != nil {
 			return err
 		}
 	}
 	if size > 0 {
-		text = padded(text, size)
+		text = padBundle(text, size)
 	}
 	return f.publish(text, signing)
 }
 
-// verbStale is: stale N. The platform serves the bundle as it stood when version N was the newest;
-// stale 0 ends that.
+// verbStale is: stale N. The platform serves the bundle as of the time when version N was the
+// newest; stale 0 ends that.
 func verbStale(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	var version uint64
@@ -103,14 +103,14 @@
 	}
 	revision := f.revisions[version]
 	if version != 0 && revision == 0 {
-		return fmt.Errorf("version %d wasn't published", version)
+		return fmt.Errorf("version %d was not published", version)
 	}
 	return putJSON(f.platformURL("/faults"), platform.Faults{StaleRevision: revision})
 }
 
-// verbLag makes the platform serve each list that long after its publication.
+// verbLag makes the platform serve each list with that delay after its publication.
 func verbLag(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	d, err := time.ParseDuration(a.words[0])
--- a/scenarios/verbs_request_test.go
+++ b/scenarios/verbs_request_test.go
@@ -11,22 +11,22 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// requestTimeout is the caller's deadline where the script gives none; the kinds' own are shorter.
+// requestTimeout is the caller's timeout if the script sets none; the timeouts of the kinds are shorter.
 const requestTimeout = 10 * time.Second
 
-// The kinds that the verbs use where the script gives none.
+// orderKind is the kind of all orders and tickets.
 const orderKind = "booking"
 
-// base takes the options that all requests have: via=VM, timeout=D, as=CALLER, slow=D, cut_after=BYTES
-// and http1.
-func (f *fleet) base(a *arguments) (*request, error) {
+// baseRequest returns a request with the options common to all requests: via=VM, timeout=D, as=CALLER,
+// slow=D, cut_after=BYTES and http1.
+func (f *fleet) baseRequest(a *arguments) (*request, error) {
 	entry, err := f.vm(a.text("via", f.vms[0].name))
 	if err != nil {
 		return nil, err
 	}
 	q := &request{
 		entry: entry, timeout: a.duration("timeout", requestTimeout),
-		connection: connection{slow: a.duration("slow", 0), cutAfter: a.number("cut_after", 0), http1: a.flag("http1")},
+		connection: connection{readDelay: a.duration("slow", 0), cutAfterBytes: a.number("cut_after", 0), http1: a.flag("http1")},
 	}
 	switch as := a.text("as", callerName); as {
 	case callerName:
@@ -36,13 +36,13 @@
 	case "nobody":
 		q.token = "token-of-nobody"
 	default:
-		return nil, fmt.Errorf("no caller %q", as)
+		return nil, fmt.Errorf("unknown caller %q", as)
 	}
 	return q, nil
 }
 
-// run sends the request, in the background where it has a name.
-func (f *fleet) run(q *request, name string) *reply {
+// runRequest sends the request, in the background if it has a name.
+func (f *fleet) runRequest(q *request, name string) *reply {
 	if name != "" {
 		f.requests.background(name, q)
 		return nil
@@ -60,16 +60,16 @@
 		return err
 	}
 	name := a.name()
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	q.search.Kind, q.search.Query = a.words[0], a.words[1]
-	f.run(q, name)
+	f.runRequest(q, name)
 	return nil
 }
 
 func (f *fleet) searchRequest(a *arguments) (*request, error) {
-	q, err := f.base(a)
+	q, err := f.baseRequest(a)
 	if err != nil {
 		return nil, err
 	}
@@ -77,29 +77,29 @@
 	return q, nil
 }
 
-// verbTicket is: ticket NAME [via=VM] [timeout=D] [as=CALLER]. The ticket is kept under the name.
+// verbTicket is: ticket NAME [via=VM] [timeout=D] [as=CALLER]. It stores the ticket under the name.
 func verbTicket(f *fleet, a *arguments) error {
-	q, err := f.base(a)
+	q, err := f.baseRequest(a)
 	if err != nil {
 		return err
 	}
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	name := a.words[0]
 	if f.requests.tickets[name] != nil {
-		return fmt.Errorf("there is a ticket %s already", name)
+		return fmt.Errorf("ticket %s already exists", name)
 	}
 	q.issue = &pb.IssueTicketRequest{Service: serviceName, Kind: orderKind}
-	rep := f.run(q, "")
-	f.requests.tickets[name] = &heldTicket{text: rep.issue.GetTicket(), key: "key of " + name, payload: "payload of " + name}
+	rep := f.runRequest(q, "")
+	f.requests.tickets[name] = &issuedTicket{text: rep.issue.GetTicket(), key: "key of " + name, payload: "payload of " + name}
 	return nil
 }
 
 // verbSend is: send TICKET [via=VM] [timeout=D] [as=CALLER] [key=K] [payload=P] [&NAME]. Key and
-// payload are those of the ticket where the script gives none.
+// payload default to those of the ticket.
 func verbSend(f *fleet, a *arguments) error {
-	q, err := f.base(a)
+	q, err := f.baseRequest(a)
 	if err != nil {
 		return err
 	}
@@ -112,14 +112,14 @@
 		Ticket: t.text, Service: serviceName, Kind: orderKind,
 		Key: a.text("key", t.key), Payload: a.text("payload", t.payload),
 	}
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
-	f.run(q, name)
+	f.runRequest(q, name)
 	return nil
 }
 
-// verbOrder is a ticket and the first send of its order, both through the same entry.
+// verbOrder requests a ticket and sends its order for the first time, both through the same entry.
 func verbOrder(f *fleet, a *arguments) error {
 	if len(a.words) != 1 {
 		return fmt.Errorf("want one name for the ticket, got %q", a.words)
@@ -130,9 +130,9 @@
 		return err
 	}
 	if last, _ := f.requests.getLast(); last.issue == nil {
-		return fmt.Errorf("no ticket: %s", last)
+		return fmt.Errorf("no ticket was issued: %s", last)
 	}
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	return verbSend(f, parseArguments(words))
@@ -140,13 +140,13 @@
 
 // verbReply waits for a background request and makes its reply the last one.
 func verbReply(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
-	return await("reply "+a.words[0], awaitBound, func() error { return f.requests.take(a.words[0]) })
+	return await("reply "+a.words[0], awaitTimeout, func() error { return f.requests.takeReply(a.words[0]) })
 }
 
-// verbExpect compares the last reply with its words; README.md lists them.
+// verbExpect compares the last reply with its arguments; README.md lists them.
 func verbExpect(ts *testscript.TestScript, neg bool, args []string) {
 	last, err := fleetOf(ts).requests.getLast()
 	ts.Check(err)
@@ -159,7 +159,7 @@
 	}
 }
 
-// verbUntil sends a request again until its reply is as expected:
+// verbUntil repeats a request until its reply is as expected:
 // until EXPECTATION... -- search|send ARGUMENT...
 func verbUntil(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
@@ -171,7 +171,7 @@
 	if send == nil {
 		ts.Fatalf("until can search and send, not %s", args[i+1])
 	}
-	err := await("until "+args[0], awaitBound, func() error {
+	err := await("until "+args[0], awaitTimeout, func() error {
 		if err := send(f, parseArguments(args[i+2:])); err != nil {
 			return err
 		}
--- a/scenarios/verbs_test.go
+++ b/scenarios/verbs_test.go
@@ -10,15 +10,15 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// fleetKey finds the scenario's holder of its fleet.
+// fleetKey is the key of the scenario's fleetHolder in testscript's values.
 type fleetKey struct{}
 
-// holder has the fleet of a script once the verb fleet ran.
-type holder struct{ fleet *fleet }
+// fleetHolder holds the fleet of a script. It is empty until the verb fleet has run.
+type fleetHolder struct{ fleet *fleet }
 
-// setUp prepares a scenario: what it starts is ended with it, whatever its end is.
+// setUp prepares a scenario. At its end, passed or failed, its fleet is stopped and its history checked.
 func setUp(env *testscript.Env) error {
-	h := &holder{}
+	h := &fleetHolder{}
 	env.Values[fleetKey{}] = h
 	env.Defer(func() {
 		if h.fleet == nil {
@@ -35,19 +35,19 @@
 	return nil
 }
 
-// verb is a verb that needs a fleet.
+// verb is a script command that needs a fleet.
 type verb func(f *fleet, a *arguments) error
 
 const anyNumber = math.MaxInt
 
-// verbs returns all verbs; README.md tells what each does. None may bear the name of a command of
-// testscript itself, which would be run in its place.
+// verbs returns all verbs by name; README.md describes them. No verb may have the name of a command of
+// testscript, which would run instead of it.
 func verbs() map[string]func(*testscript.TestScript, bool, []string) {
 	all := map[string]func(*testscript.TestScript, bool, []string){"fleet": verbFleet}
 	for name, v := range map[string]verb{
-		"start": each((*daemon).Start), "crash": each((*daemon).Kill),
-		"freeze": each((*daemon).Freeze), "wake": each((*daemon).Resume),
-		"shutdown": verbShutdown, "terminate": each((*daemon).Terminate),
+		"start": eachProcess((*daemon).Start), "crash": eachProcess((*daemon).Kill),
+		"freeze": eachProcess((*daemon).Freeze), "wake": eachProcess((*daemon).Resume),
+		"shutdown": verbShutdown, "terminate": eachProcess((*daemon).Terminate),
 		"cut": verbCut, "heal": verbHeal, "silence": verbSilence, "sever": verbSever,
 		"fault": verbFault, "snapshots": verbSnapshots, "list": verbList, "replace": verbReplace, "lag": verbLag,
 		"publish": verbPublish, "stale": verbStale, "watch": verbWatch, "bundles": verbBundles,
@@ -65,13 +65,13 @@
 	return all
 }
 
-// withFleet turns a verb into a command that fails the script on an error. The last reply is logged
-// by the verbs that make one.
+// withFleet turns a verb into a command that fails the script on an error. It logs the last reply if the
+// verb has set a new one.
 func withFleet(v verb) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		f := fleetOf(ts)
 		if neg {
-			ts.Fatalf("this verb can't be negated")
+			ts.Fatalf("this verb cannot be negated")
 		}
 		before, _ := f.requests.getLast()
 		err := v(f, parseArguments(args))
@@ -83,15 +83,15 @@
 }
 
 func fleetOf(ts *testscript.TestScript) *fleet {
-	f := ts.Value(fleetKey{}).(*holder).fleet
+	f := ts.Value(fleetKey{}).(*fleetHolder).fleet
 	if f == nil {
-		ts.Fatalf("no fleet yet")
+		ts.Fatalf("the verb fleet has not run")
 	}
 	return f
 }
 
 func verbFleet(ts *testscript.TestScript, neg bool, args []string) {
-	h := ts.Value(fleetKey{}).(*holder)
+	h := ts.Value(fleetKey{}).(*fleetHolder)
 	if h.fleet != nil || neg {
 		ts.Fatalf("a scenario has one fleet")
 	}
@@ -105,23 +105,23 @@
 	l.BalancerLag = a.duration("balancer_lag", l.BalancerLag)
 	l.HitBytes, l.CrashMark = a.number("hit_bytes", l.HitBytes), a.text("crash_mark", l.CrashMark)
 	l.Concurrency, l.Queue = a.number("concurrency", l.Concurrency), a.number("queue", l.Queue)
-	ts.Check(a.done(0, 0))
+	ts.Check(a.validate(0, 0))
 	f, err := newFleet(ts.MkAbs("."), l)
 	ts.Check(err)
-	h.fleet, f.note = f, ts.Logf
+	h.fleet, f.logf = f, ts.Logf
 	f.seed, err = f.newSeed()
 	ts.Check(err)
 	ts.Logf("seed %d (to run it again set %s)", f.seed, seedVariable)
 	ts.Check(f.startAll())
 }
 
-// each makes a verb of an action on the processes that its words name.
-func each(action func(*daemon) error) verb {
+// eachProcess returns a verb that runs the action on the processes that its words name.
+func eachProcess(action func(*daemon) error) verb {
 	return func(f *fleet, a *arguments) error {
-		if err := a.done(1, anyNumber); err != nil {
+		if err := a.validate(1, anyNumber); err != nil {
 			return err
 		}
-		found, err := f.findAll(a.words)
+		found, err := f.findAllProcesses(a.words)
 		if err != nil {
 			return err
 		}
@@ -134,29 +134,29 @@
 	}
 }
 
-// verbShutdown asks all named processes to end, then waits until each has ended with exit code 0.
+// verbShutdown terminates all named processes, then waits until each has exited with code 0.
 func verbShutdown(f *fleet, a *arguments) error {
-	if err := each((*daemon).Terminate)(f, a); err != nil {
+	if err := eachProcess((*daemon).Terminate)(f, a); err != nil {
 		return err
 	}
-	return each((*daemon).WaitCleanExit)(f, a)
+	return eachProcess((*daemon).WaitCleanExit)(f, a)
 }
 
-// pair resolves the two sides of a cut or silence; the relay must be there.
-func (f *fleet) pair(a *arguments) (as, bs []string, err error) {
-	if err := a.done(2, 2); err != nil {
+// resolvePair returns the nodes of the two sides of a cut, silence or sever. The fleet must have a relay.
+func (f *fleet) resolvePair(a *arguments) (as, bs []string, err error) {
+	if err := a.validate(2, 2); err != nil {
 		return nil, nil, err
 	}
 	if f.relay == nil {
-		return nil, nil, errors.New("the fleet has no relay; say: fleet relay")
+		return nil, nil, errors.New("the fleet has no relay; use: fleet relay")
 	}
-	as, errA := f.names(a.words[0])
-	bs, errB := f.names(a.words[1])
+	as, errA := f.resolveNodeNames(a.words[0])
+	bs, errB := f.resolveNodeNames(a.words[1])
 	return as, bs, errors.Join(errA, errB)
 }
 
 func verbCut(f *fleet, a *arguments) error {
-	as, bs, err := f.pair(a)
+	as, bs, err := f.resolvePair(a)
 	if err == nil {
 		f.relay.setCut(as, bs, true)
 	}
@@ -164,7 +164,7 @@
 }
 
 func verbHeal(f *fleet, a *arguments) error {
-	as, bs, err := f.pair(a)
+	as, bs, err := f.resolvePair(a)
 	if err == nil {
 		f.relay.setCut(as, bs, false)
 	}
@@ -172,26 +172,26 @@
 }
 
 func verbSilence(f *fleet, a *arguments) error {
-	as, bs, err := f.pair(a)
+	as, bs, err := f.resolvePair(a)
 	if err == nil && f.relay.silence(as, bs) == 0 {
 		return fmt.Errorf("no open connection between %s and %s", a.words[0], a.words[1])
 	}
 	return err
 }
 
-// verbSever is: sever A B after=BYTES.
+// verbSever is: sever A B after=BYTES. Open connections break after that many more bytes of answers.
 func verbSever(f *fleet, a *arguments) error {
 	after := a.number("after", 1)
-	as, bs, err := f.pair(a)
+	as, bs, err := f.resolvePair(a)
 	if err == nil {
 		f.relay.sever(as, bs, after)
 	}
 	return err
 }
 
-// verbFault replaces the faults of the platform, or of a leaf or several.
+// verbFault replaces the faults of the platform or of leaves.
 func verbFault(f *fleet, a *arguments) error {
-	if err := a.done(2, 2); err != nil {
+	if err := a.validate(2, 2); err != nil {
 		return err
 	}
 	if !json.Valid([]byte(a.words[1])) {
@@ -212,7 +212,8 @@
 	return nil
 }
 
-// leavesNamed resolves a leaf, "shard-2" for the whole group of a shard, an availability zone, or "leaves".
+// leavesNamed returns the leaves that what stands for: a leaf, the group of a shard such as "shard-2", an
+// availability zone, or "leaves" for all.
 func (f *fleet) leavesNamed(what string) ([]*node, error) {
 	var found []*node
 	for _, n := range f.leaves {
@@ -227,7 +228,7 @@
 }
 
 func verbSnapshots(f *fleet, a *arguments) error {
-	if err := a.done(2, anyNumber); err != nil {
+	if err := a.validate(2, anyNumber); err != nil {
 		return err
 	}
 	leaves, err := f.leavesNamed(a.words[0])
@@ -250,16 +251,16 @@
 	return nil
 }
 
-// verbAwait polls for a condition; with within=D the scenario promises a time, else a generous bound
-// holds. The first word names the condition, in some cases with a number, the others processes.
+// verbAwait waits for a condition, within=D at most, or awaitTimeout if the scenario sets no time. The
+// first word names the condition, followed by a metric or a number for some conditions, then processes.
 func verbAwait(f *fleet, a *arguments) error {
-	bound := a.duration("within", awaitBound)
-	if err := a.done(2, anyNumber); err != nil {
+	bound := a.duration("within", awaitTimeout)
+	if err := a.validate(2, anyNumber); err != nil {
 		return err
 	}
 	what, rest := a.words[0], a.words[1:]
 	if what == "executed" {
-		return await(fmt.Sprint(a.words), bound, func() error { return f.executed(rest) })
+		return await(fmt.Sprint(a.words), bound, func() error { return f.ordersExecuted(rest) })
 	}
 	var number float64
 	metric := ""
@@ -273,20 +274,20 @@
 		}
 		number, rest = n, rest[1:]
 	}
-	daemons, err := f.findAll(rest)
+	daemons, err := f.findAllProcesses(rest)
 	if err != nil {
 		return err
 	}
 	conditions := map[string]func() error{
-		"ready":   func() error { return f.ready(daemons) },
+		"ready":   func() error { return f.allReady(daemons) },
 		"ended":   func() error { return allEnded(daemons) },
 		"running": func() error { return allRunning(daemons) },
-		"version": func() error { return f.atVersion(number, vmProcesses(daemons)) },
-		"refused": func() error { return f.refused(number, vmProcesses(daemons)) },
-		"metric":  func() error { return f.counted(metric, number, vmProcesses(daemons)) },
+		"version": func() error { return f.atBundleVersion(number, vmProcesses(daemons)) },
+		"refused": func() error { return f.refusedAtLeast(number, vmProcesses(daemons)) },
+		"metric":  func() error { return f.metricAtLeast(metric, number, vmProcesses(daemons)) },
 	}
 	if conditions[what] == nil {
-		return fmt.Errorf("can't await %q", what)
+		return fmt.Errorf("unknown condition %q", what)
 	}
 	return await(fmt.Sprint(a.words), bound, conditions[what])
 }
--- a/scenarios/watch_test.go
+++ b/scenarios/watch_test.go
@@ -12,50 +12,52 @@
 	"github.com/burdockplank/burdockplank/internal/bundle"
 )
 
-// watchEvery is the wait between two looks at a VM.
-const watchEvery = 50 * time.Millisecond
+// watchInterval is the wait between two checks of a VM.
+const watchInterval = 50 * time.Millisecond
 
-// watcher looks at the bundle version of every process and of answers through every entry until the
-// scenario ends, and keeps each one that went down. What a process showed outlives its restart: once
-// ready, a new start shows no lower version than any process or caller saw before it was noticed.
+// watcher checks the bundle version of every process, and of answers through every entry, until the
+// scenario ends, and records each version that decreased. Observations outlive a restart of the process:
+// once ready, a restarted process must not show a lower version than any process or answer had shown
+// before the watcher noticed the restart.
 type watcher struct {
 	fleet   *fleet
 	stop    chan struct{}
 	running sync.WaitGroup
 
 	mu sync.Mutex
-	// The fields below are guarded by mu. highest was seen anywhere; shown is by process, callers'
-	// by VM.
+	// The fields below are guarded by mu. highest is the highest version seen anywhere. observed is by
+	// process name, for answers by VM. dumps and answers count the checks.
 	highest  uint64
-	shown    map[string]*shown
+	observed map[string]*observation
 	problems []error
-	looks    int
+	dumps    int
 	answers  int
 }
 
-// shown is what one process, or a VM's answers, showed so far.
-type shown struct {
-	// start counts the starts of the process; highest is of this start, floor of all before it.
+// observation is what one process, or the answers through one VM, have shown so far.
+type observation struct {
+	// start is the number of starts of the process, highest the highest version since this start. floor
+	// is the highest version seen anywhere before it.
 	start          int
 	highest, floor uint64
-	// digest is that of the highest version, in hex.
+	// digest is the bundle digest of the highest version, in hex.
 	digest string
 }
 
-// verbWatch is: watch bundles. It looks in the background until the end of the scenario, which fails
-// where a version went down.
+// verbWatch is: watch bundles. It checks in the background until the end of the scenario, which fails
+// if a version has decreased.
 func verbWatch(f *fleet, a *arguments) error {
-	if err := a.done(1, 1); err != nil {
+	if err := a.validate(1, 1); err != nil {
 		return err
 	}
 	if a.words[0] != "bundles" || f.watcher != nil {
 		return errors.New("want: watch bundles, once")
 	}
-	w := &watcher{fleet: f, stop: make(chan struct{}), shown: make(map[string]*shown)}
+	w := &watcher{fleet: f, stop: make(chan struct{}), observed: make(map[string]*observation)}
 	f.watcher = w
 	for _, n := range f.vms {
-		w.running.Go(func() { w.loop(func() { w.look(n) }) })
-		w.running.Go(func() { w.loop(func() { w.ask(n) }) })
+		w.running.Go(func() { w.loop(func() { w.checkDump(n) }) })
+		w.running.Go(func() { w.loop(func() { w.checkSearch(n) }) })
 	}
 	return nil
 }
@@ -65,26 +67,27 @@
 		select {
 		case <-w.stop:
 			return
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 			step()
 		}
 	}
 }
 
-// finish ends the watch and returns what went down; a watch that saw nothing is an error.
+// finish ends the watch and returns the versions that decreased. It is an error if the watch has seen no
+// dump or no answer.
 func (w *watcher) finish() error {
 	close(w.stop)
 	w.running.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.looks == 0 || w.answers == 0 {
-		return fmt.Errorf("the watch of bundles saw %d dumps and %d answers", w.looks, w.answers)
+	if w.dumps == 0 || w.answers == 0 {
+		return fmt.Errorf("the watch of bundles saw %d dumps and %d answers", w.dumps, w.answers)
 	}
 	return errors.Join(w.problems...)
 }
 
-// look reads the dumps of a VM's processes; one that is down or frozen shows nothing.
-func (w *watcher) look(n *node) {
+// checkDump reads the dumps of a VM's processes. It skips processes that are down or frozen.
+func (w *watcher) checkDump(n *node) {
 	for _, role := range roles {
 		name := role + "/" + n.name
 		d := w.fleet.daemon(name)
@@ -97,23 +100,23 @@
 		if err != nil || d.Starts() != start {
 			continue
 		}
-		w.saw(name, start, ready, dump)
+		w.recordDump(name, start, ready, dump)
 	}
 }
 
-// saw compares what a process shows with what was seen before.
-func (w *watcher) saw(name string, start int, ready bool, dump *bundle.StoreDump) {
+// recordDump compares a process's dump with earlier observations.
+func (w *watcher) recordDump(name string, start int, ready bool, dump *bundle.StoreDump) {
 	version := dump.Version
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.looks++
-	s := w.shown[name]
+	w.dumps++
+	s := w.observed[name]
 	if s == nil {
-		s = &shown{start: start}
-		w.shown[name] = s
+		s = &observation{start: start}
+		w.observed[name] = s
 	}
 	if s.start != start {
-		*s = shown{start: start, floor: w.highest}
+		*s = observation{start: start, floor: w.highest}
 	}
 	if version < s.highest {
 		w.problems = append(w.problems, fmt.Errorf("%s shows bundle version %d after %d", name, version, s.highest))
@@ -124,14 +127,14 @@
 	s.digest = dump.Digest
 	if ready && version < s.floor {
 		w.problems = append(w.problems, fmt.Errorf("%s is ready after its start %d with bundle version %d; %d was seen before", name, start, version, s.floor))
-		s.floor = 0 // said once
+		s.floor = 0 // report once
 	}
 	s.highest, w.highest = max(s.highest, version), max(w.highest, version)
 }
 
-// ask searches through a VM's entry and compares the answer's version with those of the answers
-// before it.
-func (w *watcher) ask(n *node) {
+// checkSearch searches through a VM's entry and compares the answer's version with those of earlier
+// answers.
+func (w *watcher) checkSearch(n *node) {
 	if d := w.fleet.daemon("entry/" + n.name); d.Frozen() || !d.Running() {
 		return
 	}
@@ -148,10 +151,10 @@
 	defer w.mu.Unlock()
 	w.answers++
 	name := "answers through " + n.name
-	s := w.shown[name]
+	s := w.observed[name]
 	if s == nil {
-		s = &shown{}
-		w.shown[name] = s
+		s = &observation{}
+		w.observed[name] = s
 	}
 	if version < s.highest {
 		w.problems = append(w.problems, fmt.Errorf("%s have bundle version %d after %d", name, version, s.highest))
@@ -159,7 +162,7 @@
 	s.highest, w.highest = max(s.highest, version), max(w.highest, version)
 }
 
-// daemon returns the process of that full name, which must be there.
+// daemon returns the process with the full name. It panics if there is none.
 func (f *fleet) daemon(name string) *daemon {
 	for _, d := range f.daemons {
 		if d.Name() == name {
@@ -169,7 +172,7 @@
 	panic("no process " + name)
 }
 
-// bundleDump returns what a process's dump says of its bundles.
+// bundleDump returns the bundle part of a process's dump.
 func (f *fleet) bundleDump(process string) (*bundle.StoreDump, error) {
 	url, err := f.operatorURL(process, "/dump")
 	if err != nil {
@@ -189,24 +192,25 @@
 
 // verbBundles is one of
 //
-//	bundles in_force N within=D PROCESS...   by the processes' own time, within D of the publication
+//	bundles in_force N within=D PROCESS...   version N is in force, by the processes' own time since
+//	                                         at most D after its publication
 //	bundles agree N PROCESS...               all have the same bundle of version N
-//	bundles differ N PROCESS...              they haven't
-//	bundles settle N PROCESS...              waits until they have
-//	bundles refused REASON PROCESS...        waits until dump and metric name the reason for which
-//	                                         the bundle that was published last was refused
+//	bundles differ N PROCESS...              not all have the same bundle of version N
+//	bundles settle N PROCESS...              waits until all have the same bundle of version N
+//	bundles refused REASON PROCESS...        waits until dump and metric name REASON for the refusal of
+//	                                         the bundle published last
 func verbBundles(f *fleet, a *arguments) error {
 	within := a.duration("within", 0)
-	if err := a.done(3, anyNumber); err != nil {
+	if err := a.validate(3, anyNumber); err != nil {
 		return err
 	}
-	found, err := f.findAll(a.words[2:])
+	found, err := f.findAllProcesses(a.words[2:])
 	if err != nil {
 		return err
 	}
 	daemons, what, arg := vmProcesses(found), a.words[0], a.words[1]
 	if what == "refused" {
-		return await("refused", awaitBound, func() error { return f.eachDump(daemons, f.refusedFor(bundle.RefusalReason(arg))) })
+		return await("refused", awaitTimeout, func() error { return f.eachDump(daemons, f.refusedFor(bundle.RefusalReason(arg))) })
 	}
 	version, err := strconv.ParseUint(arg, 10, 64)
 	if err != nil {
@@ -223,12 +227,12 @@
 		}
 		return nil
 	case "settle":
-		return await("settle", awaitBound, func() error { return f.eachDump(daemons, agreement(version)) })
+		return await("settle", awaitTimeout, func() error { return f.eachDump(daemons, agreement(version)) })
 	}
-	return fmt.Errorf("bundles can't check %q", what)
+	return fmt.Errorf("unknown check of bundles %q", what)
 }
 
-// dumpCheck compares what one process's dump says.
+// dumpCheck checks the bundle dump of one process.
 type dumpCheck func(name string, d *bundle.StoreDump) error
 
 func (f *fleet) eachDump(daemons []*daemon, check dumpCheck) error {
@@ -249,8 +253,8 @@
 		if d.Version != version || d.Since == nil {
 			return fmt.Errorf("%s has bundle version %d, want %d", name, d.Version, version)
 		}
-		if took := d.Since.Sub(f.published[version]); took > within {
-			return fmt.Errorf("%s put version %d in force %s after its publication, want %s", name, version, took, within)
+		if elapsed := d.Since.Sub(f.publishedAt[version]); elapsed > within {
+			return fmt.Errorf("%s put version %d in force %s after its publication, want %s", name, version, elapsed, within)
 		}
 		return nil
 	}
@@ -275,10 +279,10 @@
 			return err
 		}
 		for _, r := range d.Refusals {
-			if r.Reason == reason && r.Digest == f.offered.String() && r.Message != "" {
+			if r.Reason == reason && r.Digest == f.offeredDigest.String() && r.Message != "" {
 				return nil
 			}
 		}
-		return fmt.Errorf("the dump of %s names no refusal %s of bundle %s: %+v", name, reason, f.offered, d.Refusals)
+		return fmt.Errorf("the dump of %s names no refusal %s of bundle %s: %+v", name, reason, f.offeredDigest, d.Refusals)
 	}
 }
