--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 BIN := bin
 TOOLS := .bin
 
-.PHONY: all build test lint fmt generate demo bench capacity clean
+.PHONY: all build test lint fmt generate rename-tool demo bench capacity clean
 
 all: build
 
@@ -26,6 +26,14 @@
 	mkdir -p $(TOOLS)
 	$(GO) -C tools build -o ../$(TOOLS)/$* $$(cd tools && $(GO) list -f '{{.ImportPath}}' tool | grep '/$*$$')
 
+# gopls renames an identifier with every use: .bin/gopls rename -w FILE:LINE:COLUMN NEWNAME. It needs another
+# golang.org/x/tools than the generators, so it is pinned here and not in the module tools/.
+GOPLS_VERSION := v0.23.0
+rename-tool: $(TOOLS)/gopls
+
+$(TOOLS)/gopls: Makefile
+	GOBIN="$(CURDIR)/$(TOOLS)" $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 generate: $(TOOLS)/buf $(TOOLS)/protoc-gen-go $(TOOLS)/protoc-gen-connect-go $(TOOLS)/wire
 	cd api && PATH="$(CURDIR)/$(TOOLS):$$PATH" buf lint && PATH="$(CURDIR)/$(TOOLS):$$PATH" buf generate
 	$(TOOLS)/wire ./cmd/...
