--- a/api/burdock/v1/burdockv1connect/fleet.connect.go
+++ b/api/burdock/v1/burdockv1connect/fleet.connect.go
@@ -43,11 +43,11 @@
 
 // FleetServiceClient is a client for the burdock.v1.FleetService service.
 type FleetServiceClient interface {
-	// Exchange tells the peer what it lacks, and returns what the sender lacks.
+	// Exchange sends the peer the state that it lacks, and returns the state that the sender lacks.
 	Exchange(context.Context, *v1.FleetExchange) (*v1.FleetExchange, error)
-	// Search answers a caller's search for another VM, or says that it doesn't take it.
+	// Search answers a caller's search on behalf of another VM, or declines it.
 	Search(context.Context, *v1.FleetSearch) (*v1.FleetSearchAnswer, error)
-	// Ping tells that the VM runs and how far behind its processor is.
+	// Ping checks that the VM runs and returns its load.
 	Ping(context.Context, *v1.FleetPing) (*v1.FleetPong, error)
 }
 
@@ -119,11 +119,11 @@
 
 // FleetServiceHandler is an implementation of the burdock.v1.FleetService service.
 type FleetServiceHandler interface {
-	// Exchange tells the peer what it lacks, and returns what the sender lacks.
+	// Exchange sends the peer the state that it lacks, and returns the state that the sender lacks.
 	Exchange(context.Context, *v1.FleetExchange) (*v1.FleetExchange, error)
-	// Search answers a caller's search for another VM, or says that it doesn't take it.
+	// Search answers a caller's search on behalf of another VM, or declines it.
 	Search(context.Context, *v1.FleetSearch) (*v1.FleetSearchAnswer, error)
-	// Ping tells that the VM runs and how far behind its processor is.
+	// Ping checks that the VM runs and returns its load.
 	Ping(context.Context, *v1.FleetPing) (*v1.FleetPong, error)
 }
 
--- a/api/burdock/v1/burdockv1connect/sync.connect.go
+++ b/api/burdock/v1/burdockv1connect/sync.connect.go
@@ -49,9 +49,9 @@
 
 // FeedServiceClient is a client for the burdock.v1.FeedService service.
 type FeedServiceClient interface {
-	// Watch sends the whole view first and again at each change, at least once a second.
+	// Watch sends the complete view first, then a view at each change and at least once per second.
 	Watch(context.Context, *v1.WatchRequest) (*connect.ServerStreamForClient[v1.View], error)
-	// Report gives the sync what a process saw for itself.
+	// Report sends the sync what a process has observed itself.
 	Report(context.Context, *v1.ReportRequest) (*v1.ReportResponse, error)
 }
 
@@ -103,9 +103,9 @@
 
 // FeedServiceHandler is an implementation of the burdock.v1.FeedService service.
 type FeedServiceHandler interface {
-	// Watch sends the whole view first and again at each change, at least once a second.
+	// Watch sends the complete view first, then a view at each change and at least once per second.
 	Watch(context.Context, *v1.WatchRequest, *connect.ServerStream[v1.View]) error
-	// Report gives the sync what a process saw for itself.
+	// Report sends the sync what a process has observed itself.
 	Report(context.Context, *v1.ReportRequest) (*v1.ReportResponse, error)
 }
 
@@ -153,10 +153,10 @@
 
 // PeerServiceClient is a client for the burdock.v1.PeerService service.
 type PeerServiceClient interface {
-	// Bundle returns the manifest of the bundle in force.
+	// Manifest returns the manifest of the bundle in force and that of the platform's list.
 	Manifest(context.Context, *v1.ManifestRequest) (*v1.ManifestResponse, error)
 	Sections(context.Context, *v1.SectionsRequest) (*v1.SectionsResponse, error)
-	// Exchange gives and takes the whole membership and evidence; used when digests differ.
+	// Exchange exchanges the complete membership and evidence. It is used when digests differ.
 	Exchange(context.Context, *v1.ExchangeRequest) (*v1.ExchangeResponse, error)
 }
 
@@ -228,10 +228,10 @@
 
 // PeerServiceHandler is an implementation of the burdock.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Bundle returns the manifest of the bundle in force.
+	// Manifest returns the manifest of the bundle in force and that of the platform's list.
 	Manifest(context.Context, *v1.ManifestRequest) (*v1.ManifestResponse, error)
 	Sections(context.Context, *v1.SectionsRequest) (*v1.SectionsResponse, error)
-	// Exchange gives and takes the whole membership and evidence; used when digests differ.
+	// Exchange exchanges the complete membership and evidence. It is used when digests differ.
 	Exchange(context.Context, *v1.ExchangeRequest) (*v1.ExchangeResponse, error)
 }
 
