--- a/internal/standin/platform/reads.go
+++ b/internal/standin/platform/reads.go
@@ -42,14 +42,14 @@
 
 // countRead counts one read.
 func (c *readCounter) countRead(kind readKind, r *http.Request, watch bool) {
-	source, _, err := net.SplitHostPort(r.RemoteAddr)
+	clientIP, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
-		source = r.RemoteAddr
+		clientIP = r.RemoteAddr
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads.Total++
-	c.reads.BySource[source]++
+	c.reads.BySource[clientIP]++
 	if watch {
 		c.reads.Watches++
 	}
