--- a/internal/syncd/spread_test.go
+++ b/internal/syncd/spread_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// budget is the number of bytes per second that a VM may send and receive for control traffic in
+// maxControlBytesPerSecond is the number of bytes per second that a VM may send and receive for control traffic in
 // total.
-const budget = 4 << 10
+const maxControlBytesPerSecond = 4 << 10
 
 func TestBytesStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -69,13 +69,13 @@
 			return perVM
 		}
 		measure("start", 30*time.Second)
-		is.True(measure("calm", 30*time.Second) < budget)
+		is.True(measure("calm", 30*time.Second) < maxControlBytesPerSecond)
 		f.publish(2)
-		is.True(measure("one new version a minute", time.Minute) < budget)
+		is.True(measure("one new version a minute", time.Minute) < maxControlBytesPerSecond)
 		f.cut("az-1")
 		measure("a zone cut off", 30*time.Second)
 		f.cut("")
 		measure("healed", 30*time.Second)
-		is.True(measure("calm again", 30*time.Second) < budget)
+		is.True(measure("calm again", 30*time.Second) < maxControlBytesPerSecond)
 	})
 }
