--- a/internal/upstream/dump.go
+++ b/internal/upstream/dump.go
@@ -55,7 +55,7 @@
 		Slots: l.slots, Snapshots: l.snapshots, Planned: l.planned, Connections: []ConnDump{},
 	}
 	if s := l.presence.leaving(); s != pb.DepartureSource_DEPARTURE_SOURCE_UNSPECIFIED {
-		d.Leaving = sourceName(s)
+		d.Leaving = evidenceName(s)
 	}
 	if l.openError != nil {
 		d.OpenError = l.openError.Error()
--- a/internal/upstream/leaf.go
+++ b/internal/upstream/leaf.go
@@ -265,9 +265,9 @@
 	if !isNew {
 		return
 	}
-	l.pool.metrics.departures.WithLabelValues(l.service, sourceName(source)).Inc()
+	l.pool.metrics.departures.WithLabelValues(l.service, evidenceName(source)).Inc()
 	l.pool.log.Info("leaf is leaving", zap.String("leaf", l.id), zap.Uint64("incarnation", incarnation),
-		zap.String("evidence", sourceName(source)))
+		zap.String("evidence", evidenceName(source)))
 	l.pool.reporter.ReportDeparture(&pb.Departure{
 		Leaf: l.id, Incarnation: incarnation, Source: source, Vm: l.pool.cfg.VM,
 	})
--- a/internal/upstream/metrics.go
+++ b/internal/upstream/metrics.go
@@ -23,12 +23,12 @@
 
 // metrics holds the pool's metrics by service. None is labelled by leaf.
 type metrics struct {
-	calls      *prometheus.CounterVec
-	opened     *prometheus.CounterVec
-	closed     *prometheus.CounterVec
-	pings      *prometheus.CounterVec
-	polls      *prometheus.CounterVec
-	departures *prometheus.CounterVec
+	calls        *prometheus.CounterVec
+	openAttempts *prometheus.CounterVec
+	closed       *prometheus.CounterVec
+	pings        *prometheus.CounterVec
+	statusPolls  *prometheus.CounterVec
+	departures   *prometheus.CounterVec
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -38,15 +38,15 @@
 		}, append([]string{"service"}, labels...))
 	}
 	m := &metrics{
-		calls:      counter("calls_total", "Calls to leaves by method and result.", "method", "result"),
-		opened:     counter("connections_opened_total", "Tries to open a connection by result: opened, refused, failed.", "result"),
-		closed:     counter("connections_closed_total", "Connections taken out of use by reason: silent, lost, goaway, retired, closed.", "reason"),
-		pings:      counter("pings_total", "Pings of quiet connections by result: alive, no_answer.", "result"),
-		polls:      counter("status_polls_total", "Questions for a leaf's status by result: ok, error.", "result"),
-		departures: counter("departures_total", "Leaf incarnations first seen leaving by this process, by evidence.", "evidence"),
+		calls:        counter("calls_total", "Calls to leaves by method and result.", "method", "result"),
+		openAttempts: counter("connections_opened_total", "Tries to open a connection by result: opened, refused, failed.", "result"),
+		closed:       counter("connections_closed_total", "Connections taken out of use by reason: silent, lost, goaway, retired, closed.", "reason"),
+		pings:        counter("pings_total", "Pings of quiet connections by result: alive, no_answer.", "result"),
+		statusPolls:  counter("status_polls_total", "Questions for a leaf's status by result: ok, error.", "result"),
+		departures:   counter("departures_total", "Leaf incarnations first seen leaving by this process, by evidence.", "evidence"),
 	}
 	if reg != nil {
-		reg.MustRegister(m.calls, m.opened, m.closed, m.pings, m.polls, m.departures)
+		reg.MustRegister(m.calls, m.openAttempts, m.closed, m.pings, m.statusPolls, m.departures)
 	}
 	return m
 }
@@ -63,12 +63,12 @@
 	m.pings.WithLabelValues(service, result).Inc()
 }
 
-func (m *metrics) countPoll(service string, err error) {
+func (m *metrics) countStatusPoll(service string, err error) {
 	result := resultOK
 	if err != nil {
 		result = resultError
 	}
-	m.polls.WithLabelValues(service, result).Inc()
+	m.statusPolls.WithLabelValues(service, result).Inc()
 }
 
 // resultOf returns the label for a failed call.
@@ -90,7 +90,7 @@
 	return resultError
 }
 
-// sourceName returns the short lower-case name of a kind of evidence.
-func sourceName(s pb.DepartureSource) string {
+// evidenceName returns the short lower-case name of a kind of evidence.
+func evidenceName(s pb.DepartureSource) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), "DEPARTURE_SOURCE_"))
 }
--- a/internal/upstream/open.go
+++ b/internal/upstream/open.go
@@ -61,7 +61,7 @@
 		l.openFailed(err)
 		return
 	}
-	l.pool.metrics.opened.WithLabelValues(l.service, "opened").Inc()
+	l.pool.metrics.openAttempts.WithLabelValues(l.service, "opened").Inc()
 	l.conns = append(l.conns, c)
 	l.notify()
 	if st != nil {
@@ -78,10 +78,10 @@
 		return
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		l.pool.metrics.opened.WithLabelValues(l.service, "failed").Inc()
+		l.pool.metrics.openAttempts.WithLabelValues(l.service, "failed").Inc()
 		return
 	}
-	l.pool.metrics.opened.WithLabelValues(l.service, "refused").Inc()
+	l.pool.metrics.openAttempts.WithLabelValues(l.service, "refused").Inc()
 	l.recordDeparture(0, pb.DepartureSource_DEPARTURE_SOURCE_CONNECT)
 }
 
@@ -129,7 +129,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.polling = false
-	l.pool.metrics.countPoll(l.service, err)
+	l.pool.metrics.countStatusPoll(l.service, err)
 	if err != nil {
 		return
 	}
