--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -11,8 +11,8 @@
 	// estimateHalfLife is the half-life of a lower bound without new samples. The decay lets requests
 	// to a service that was slow through again.
 	estimateHalfLife = time.Second
-	// minTimeDeviations is how many mean deviations below the mean the lower bound of a time lies.
-	minTimeDeviations = 2
+	// lowerBoundDeviations is how many mean deviations below the mean the lower bound of a time lies.
+	lowerBoundDeviations = 2
 )
 
 // estimate holds moving averages of a time and of its absolute deviation, in nanoseconds.
@@ -42,8 +42,8 @@
 	if e.updated.IsZero() {
 		return 0
 	}
-	age := math.Exp2(-float64(now.Sub(e.updated)) / float64(estimateHalfLife))
-	return time.Duration(max(0, e.mean-minTimeDeviations*e.deviation) * age)
+	decay := math.Exp2(-float64(now.Sub(e.updated)) / float64(estimateHalfLife))
+	return time.Duration(max(0, e.mean-lowerBoundDeviations*e.deviation) * decay)
 }
 
 const (
@@ -57,7 +57,7 @@
 
 // eventRate estimates the events per second, with weights that decay exponentially.
 type eventRate struct {
-	count            float64
+	weightSum        float64
 	started, updated time.Time
 }
 
@@ -66,13 +66,13 @@
 	if r.updated.IsZero() || now.Sub(r.updated) > rateResetAfter {
 		*r = eventRate{started: now}
 	}
-	r.count = r.decayed(now) + 1
+	r.weightSum = r.decayed(now) + 1
 	r.updated = now
 }
 
 // decayed returns the sum of the weights that the events so far have at now.
 func (r *eventRate) decayed(now time.Time) float64 {
-	return r.count * math.Exp(-float64(now.Sub(r.updated))/float64(rateTimeConstant))
+	return r.weightSum * math.Exp(-float64(now.Sub(r.updated))/float64(rateTimeConstant))
 }
 
 // perSecond returns the events per second. Shortly after the first event it corrects for the short time
