--- a/internal/bundle/bench_test.go
+++ b/internal/bundle/bench_test.go
@@ -42,7 +42,7 @@
 
 // BenchmarkApply verifies and applies a bundle of that size.
 func BenchmarkApply(b *testing.B) {
-	c := offer(1, Digest{}, fleetText(1), reviewer(1))
+	c := signedCandidate(1, Digest{}, fleetText(1), reviewer(1))
 	for b.Loop() {
 		s := NewStore(trustOf(1, reviewer(1)), nil)
 		if err := s.Apply(c.signed, c.text); err != nil {
--- a/internal/bundle/fixture_test.go
+++ b/internal/bundle/fixture_test.go
@@ -33,8 +33,8 @@
 	text    []byte
 }
 
-// offer signs the text without checking it.
-func offer(version uint64, parent Digest, text string, keys ...ed25519.PrivateKey) candidate {
+// signedCandidate signs the text without checking it.
+func signedCandidate(version uint64, parent Digest, text string, keys ...ed25519.PrivateKey) candidate {
 	manifest, err := encodeManifest(version, parent, []byte(text))
 	if err != nil {
 		panic(err)
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -65,7 +65,7 @@
 
 // FuzzManifest decodes and applies manifests of arbitrary bytes, unsigned and signed.
 func FuzzManifest(f *testing.F) {
-	good := offer(3, Digest{}, sample, reviewer(1))
+	good := signedCandidate(3, Digest{}, sample, reviewer(1))
 	encoded, err := proto.Marshal(good.signed)
 	if err != nil {
 		f.Fatal(err)
--- a/internal/bundle/store_test.go
+++ b/internal/bundle/store_test.go
@@ -18,15 +18,15 @@
 	return a.version > b.version || a.version == b.version && bytes.Compare(a.digest[:], b.digest[:]) > 0
 }
 
-// offerPool is a set of bundles to offer. Those whose digest is in bad must never be applied.
-type offerPool struct {
-	offers []candidate
-	bad    map[Digest]bool
+// candidatePool is a set of bundles to offer. Those whose digest is in bad must never be applied.
+type candidatePool struct {
+	candidates []candidate
+	bad        map[Digest]bool
 }
 
-// drawOfferPool draws bundles of few versions, so that several share a version.
-func drawOfferPool(t *rapid.T) offerPool {
-	p := offerPool{bad: make(map[Digest]bool)}
+// drawCandidatePool draws bundles of few versions, so that several share a version.
+func drawCandidatePool(t *rapid.T) candidatePool {
+	p := candidatePool{bad: make(map[Digest]bool)}
 	n := rapid.IntRange(1, 8).Draw(t, "offers")
 	for mark := range n {
 		version := uint64(rapid.IntRange(1, 4).Draw(t, "version"))
@@ -34,33 +34,33 @@
 		fault := rapid.SampledFrom([]string{"none", "none", "none", "unsigned", "unworkable", "text", "version"}).Draw(t, "fault")
 		switch fault {
 		case "none":
-			c = offer(version, Digest{}, textVariant(version, mark), reviewer(1))
+			c = signedCandidate(version, Digest{}, textVariant(version, mark), reviewer(1))
 		case "unsigned":
-			c = offer(version, Digest{}, textVariant(version, mark), reviewer(9))
+			c = signedCandidate(version, Digest{}, textVariant(version, mark), reviewer(9))
 		case "unworkable":
-			c = offer(version, Digest{}, unworkableText(version), reviewer(1))
+			c = signedCandidate(version, Digest{}, unworkableText(version), reviewer(1))
 		case "text":
-			c = offer(version, Digest{}, textVariant(version, mark), reviewer(1))
+			c = signedCandidate(version, Digest{}, textVariant(version, mark), reviewer(1))
 			c.text = append([]byte(nil), c.text...)
 			c.text[len(c.text)-2] ^= 1
 		case "version":
-			c = offer(version, Digest{}, textVariant(version+1, mark), reviewer(1))
+			c = signedCandidate(version, Digest{}, textVariant(version+1, mark), reviewer(1))
 		}
 		p.bad[c.digest] = fault != "none"
-		p.offers = append(p.offers, c)
+		p.candidates = append(p.candidates, c)
 	}
 	return p
 }
 
 func TestStoresConvergeAndNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := drawOfferPool(t)
+		p := drawCandidatePool(t)
 		var ends []Digest
 		var races []float64
 		for range 3 {
 			s := NewStore(trustOf(1, reviewer(1)), nil)
-			order := rapid.Permutation(append(p.offers, p.offers[0])).Draw(t, "order")
-			applyAll(t, s, p, order)
+			sequence := rapid.Permutation(append(p.candidates, p.candidates[0])).Draw(t, "order")
+			applyAll(t, s, p, sequence)
 			if b := s.Current(); b != nil {
 				ends = append(ends, b.Digest)
 			} else {
@@ -78,9 +78,9 @@
 }
 
 // applyAll applies the bundles in order and checks after each that the highest valid one is in force.
-func applyAll(t *rapid.T, s *Store, p offerPool, order []candidate) {
+func applyAll(t *rapid.T, s *Store, p candidatePool, sequence []candidate) {
 	var best candidate
-	for _, c := range order {
+	for _, c := range sequence {
 		changed := s.Changed()
 		err := s.Apply(c.signed, c.text)
 		want := !p.bad[c.digest] && higher(c, best)
@@ -126,28 +126,28 @@
 }
 
 func TestStoreRefusalReasons(t *testing.T) {
-	good := offer(2, Digest{}, textVariant(2, 0), reviewer(1), reviewer(2))
-	rival := offer(2, Digest{}, textVariant(2, 1), reviewer(1), reviewer(2))
+	good := signedCandidate(2, Digest{}, textVariant(2, 0), reviewer(1), reviewer(2))
+	rival := signedCandidate(2, Digest{}, textVariant(2, 1), reviewer(1), reviewer(2))
 	if higher(rival, good) {
 		good, rival = rival, good
 	}
-	otherText := offer(5, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2))
+	otherText := signedCandidate(5, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2))
 	otherText.text = good.text
-	empty := offer(5, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2))
+	empty := signedCandidate(5, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2))
 	empty.signed.Manifest = nil
 	tests := []struct {
 		name   string
 		c      candidate
 		reason RefusalReason
 	}{
-		{"one signature of two", offer(5, Digest{}, textVariant(5, 0), reviewer(1)), RefusedSignatures},
+		{"one signature of two", signedCandidate(5, Digest{}, textVariant(5, 0), reviewer(1)), RefusedSignatures},
 		{"no manifest", empty, RefusedSignatures},
-		{"no version", offer(0, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
-		{"text of another version", offer(6, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
+		{"no version", signedCandidate(0, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
+		{"text of another version", signedCandidate(6, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
 		{"text of another bundle", otherText, RefusedSections},
-		{"no TOML", offer(5, Digest{}, "version = ", reviewer(1), reviewer(2)), RefusedSyntax},
-		{"can't work", offer(5, Digest{}, unworkableText(5), reviewer(1), reviewer(2)), RefusedUnworkable},
-		{"older", offer(1, Digest{}, textVariant(1, 0), reviewer(1), reviewer(2)), RefusedOlder},
+		{"no TOML", signedCandidate(5, Digest{}, "version = ", reviewer(1), reviewer(2)), RefusedSyntax},
+		{"can't work", signedCandidate(5, Digest{}, unworkableText(5), reviewer(1), reviewer(2)), RefusedUnworkable},
+		{"older", signedCandidate(1, Digest{}, textVariant(1, 0), reviewer(1), reviewer(2)), RefusedOlder},
 		{"lower digest", rival, RefusedRace},
 	}
 	for _, tt := range tests {
@@ -175,7 +175,7 @@
 
 func TestStoreCountsRacesAndParentMismatches(t *testing.T) {
 	is := is.New(t)
-	a, b := offer(2, Digest{}, textVariant(2, 0), reviewer(1)), offer(2, Digest{}, textVariant(2, 1), reviewer(1))
+	a, b := signedCandidate(2, Digest{}, textVariant(2, 0), reviewer(1)), signedCandidate(2, Digest{}, textVariant(2, 1), reviewer(1))
 	if higher(a, b) {
 		a, b = b, a
 	}
@@ -188,30 +188,30 @@
 	is.Equal(s.Dump().(StoreDump).Races[0].Version, uint64(2))
 	is.Equal(len(s.Dump().(StoreDump).Races[0].Digests), 2)
 
-	orphan := offer(3, a.digest, textVariant(3, 0), reviewer(1))
-	is.NoErr(s.Apply(orphan.signed, orphan.text)) // applied, since stores must converge even if they missed the parent
+	wrongParent := signedCandidate(3, a.digest, textVariant(3, 0), reviewer(1))
+	is.NoErr(s.Apply(wrongParent.signed, wrongParent.text)) // applied, since stores must converge even if they missed the parent
 	is.Equal(testutil.ToFloat64(s.metrics.parentMismatches), 1.0)
 }
 
 func TestStoreAppliesConcurrently(t *testing.T) {
 	is := is.New(t)
-	var offers []candidate
+	var candidates []candidate
 	var best candidate
 	for i := range 24 {
-		c := offer(uint64(1+i/2), Digest{}, textVariant(uint64(1+i/2), i), reviewer(1))
+		c := signedCandidate(uint64(1+i/2), Digest{}, textVariant(uint64(1+i/2), i), reviewer(1))
 		if higher(c, best) {
 			best = c
 		}
-		offers = append(offers, c)
+		candidates = append(candidates, c)
 	}
 	s := NewFollowerStore(nil)
 	var wg sync.WaitGroup
 	for seed := range uint64(4) {
-		order := rand.New(rand.NewPCG(seed, 0)).Perm(len(offers))
+		sequence := rand.New(rand.NewPCG(seed, 0)).Perm(len(candidates))
 		wg.Go(func() {
 			var last uint64
-			for _, i := range order {
-				_ = s.Apply(offers[i].signed, offers[i].text)
+			for _, i := range sequence {
+				_ = s.Apply(candidates[i].signed, candidates[i].text)
 				if v := s.Current().Version; v < last {
 					t.Errorf("version %d after %d", v, last)
 				} else {
