--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -30,9 +30,12 @@
 	syncPort = 7402
 )
 
+// errCut is the error of a call across a cut. A cut is a simulated network partition that separates one zone from the
+// others; see fleet.cut.
 var errCut = errors.New("unreachable")
 
-// node is one sync process with its sockets. It implements spread.Transport, to count packets and to apply cuts.
+// node is one sync (burdock-sync) that runs in this process. It stands for a VM that runs only a sync. It implements
+// spread.Transport, to count packets and to apply cuts.
 type node struct {
 	fleet        *fleet
 	id, zone, ip string
@@ -45,7 +48,8 @@
 	done         sync.WaitGroup
 }
 
-// newNode opens the sockets of a sync and starts it.
+// newNode opens the UDP socket of a sync and starts the sync. The server opens its TCP listener later, in its own
+// goroutine; an error of the server is ignored.
 func newNode(ctx context.Context, f *fleet, number int) (*node, error) {
 	n := &node{
 		fleet: f, id: fmt.Sprintf("vm-%04d", number), zone: fmt.Sprintf("az-%d", number%f.zones+1),
@@ -85,7 +89,8 @@
 	_ = n.udp.Close()
 }
 
-// Send implements spread.Transport. A packet across a cut is counted and goes to the sink instead.
+// Send implements spread.Transport. A packet across a cut is counted and sent to the fleet's sink, a socket that
+// discards it, so that the metrics of package spread count its bytes as sent, too.
 func (n *node) Send(to string, packet []byte) error {
 	n.packets.Add(1)
 	if n.fleet.cutBetween(n, to) {
@@ -117,7 +122,7 @@
 }
 
 // counters returns the bytes sent and received, from the metrics of package spread, and the number of completed
-// reads of the platform, including failed ones.
+// reads of the platform, including failed ones. Both are 0 if the metrics could not be gathered.
 func (n *node) counters() (bytes, reads float64) {
 	families, err := n.registry.Gather()
 	if err != nil {
