--- a/internal/upstream/metrics.go
+++ b/internal/upstream/metrics.go
@@ -10,11 +10,16 @@
 	pb "github.com/burdockplank/burdockplank/api/burdock/v1"
 )
 
-// The results of a call as metric labels. Refusals are labelled by their reason.
+// The results of calls as metric labels. Status polls use resultOK and resultError only. The label of a
+// refused call is "refused_" and the reason, as in refused_shed.
 const (
-	resultOK        = "ok"
-	resultNotSent   = "not_sent"
-	resultSilent    = "silent"
+	resultOK = "ok"
+	// resultNotSent is a call that got no connection, or failed before any of it was written for a reason
+	// that has no label of its own.
+	resultNotSent = "not_sent"
+	// resultSilent is a call on a connection that was found silent.
+	resultSilent = "silent"
+	// resultLost is a call on a connection that the leaf ended without a GOAWAY.
 	resultLost      = "lost"
 	resultTimeout   = "timeout"
 	resultCancelled = "cancelled"
@@ -23,7 +28,8 @@
 
 // metrics holds the pool's metrics by service. None is labelled by leaf.
 type metrics struct {
-	calls        *prometheus.CounterVec
+	calls *prometheus.CounterVec
+	// openAttempts counts refused and failed attempts to open a connection, too.
 	openAttempts *prometheus.CounterVec
 	closed       *prometheus.CounterVec
 	pings        *prometheus.CounterVec
@@ -90,7 +96,8 @@
 	return resultError
 }
 
-// evidenceName returns the short lower-case name of a kind of evidence.
+// evidenceName returns the name of a kind of evidence in metrics, log lines and dumps: that of s without
+// its prefix, in lower case.
 func evidenceName(s pb.DepartureSource) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), "DEPARTURE_SOURCE_"))
 }
