--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -8,20 +8,22 @@
 const (
 	// sampleWeight is the weight of a new sample in the moving averages.
 	sampleWeight = 0.1
-	// estimateHalfLife is the half-life of a lower bound without new samples. The decay lets requests
-	// to a service that was slow through again.
+	// estimateHalfLife is the half-life of a lower bound without new samples. Refused requests give no
+	// samples, so without the decay the bound of a service that was slow would go on to refuse requests.
 	estimateHalfLife = time.Second
-	// lowerBoundDeviations is how many mean deviations below the mean the lower bound of a time lies.
+	// lowerBoundDeviations is the distance of a lower bound below the mean, in mean absolute deviations.
 	lowerBoundDeviations = 2
 )
 
-// estimate holds moving averages of a time and of its absolute deviation, in nanoseconds.
+// estimate holds moving averages of the time that admitted requests take and of its absolute
+// deviation from the mean, in nanoseconds.
 type estimate struct {
 	mean, deviation float64
 	updated         time.Time
 }
 
-// add adds a sample.
+// add adds a sample. The first deviation is half of the first sample, so that the lower bound is 0 after
+// a single sample.
 func (e *estimate) add(now time.Time, d time.Duration) {
 	x := float64(d)
 	if e.updated.IsZero() {
@@ -33,11 +35,13 @@
 	e.updated = now
 }
 
-// typical returns the mean, or 0 before the first sample.
+// typical returns the mean, or 0 before the first sample. Unlike the lower bound it does not decay
+// without new samples.
 func (e *estimate) typical() time.Duration { return time.Duration(e.mean) }
 
-// lowerBound returns the time below which a request is assumed not to finish, or 0 before the first
-// sample.
+// lowerBound returns an estimate of the shortest time in which a request finishes: the mean less
+// lowerBoundDeviations mean deviations, at least 0, decayed by the time since the newest sample. It
+// returns 0 before the first sample. Admission assumes that no request finishes sooner.
 func (e *estimate) lowerBound(now time.Time) time.Duration {
 	if e.updated.IsZero() {
 		return 0
@@ -57,6 +61,7 @@
 
 // eventRate estimates the events per second, with weights that decay exponentially.
 type eventRate struct {
+	// weightSum is the sum of the events' weights at updated.
 	weightSum        float64
 	started, updated time.Time
 }
