--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -8,7 +8,7 @@
 	"github.com/burdockplank/burdockplank/internal/settings"
 )
 
-// Limits of the values in a bundle.
+// The largest values that a bundle may set.
 const (
 	maxQueryBytes = 1 << 20
 	maxTopK       = 10_000
@@ -17,12 +17,13 @@
 	maxShare      = 1000
 	maxRate       = 1e9
 	// maxHedgeBudget and maxRetryBudget bound the extra load that a kind may put on upstreams, as a
-	// share of its calls.
+	// share of the calls to its service. See Kind.
 	maxHedgeBudget = 0.05
 	maxRetryBudget = 0.10
 )
 
-// path is the position of a table in the text. It is formatted only when an error is reported.
+// path is the dotted path of a table in the text, as in service[0].kind[1]. It is formatted only when an
+// error is reported.
 type path struct {
 	parent *path
 	name   string
@@ -49,10 +50,11 @@
 	return self + "." + name
 }
 
-// checker builds a bundle from its raw form and keeps the first error found.
+// checker builds a bundle from a rawBundle, the decoded TOML, and keeps the first error found.
 type checker struct {
 	err *ParseError
-	// leafIDs and addresses hold those of all services, to check that each is unique.
+	// leafIDs and addresses hold the ids and addresses of the leaves checked so far, over all services,
+	// to check that each is unique.
 	leafIDs, addresses map[string]bool
 }
 
@@ -98,6 +100,7 @@
 	return b
 }
 
+// limits checks the table limits.
 func (c *checker) limits(l Limits) {
 	p := &path{name: "limits", index: -1}
 	c.inRange(p, "max_query_bytes", float64(l.MaxQueryBytes), 1, maxQueryBytes)
@@ -105,6 +108,7 @@
 	c.timeout(p, "max_timeout", l.MaxTimeout, maxTimeout)
 }
 
+// timeout requires a duration from 1 ms to limit.
 func (c *checker) timeout(p *path, key string, d, limit time.Duration) {
 	c.require(d >= time.Millisecond && d <= limit, p, key, "want a duration from 1ms to %v, got %v", limit, d)
 }
--- a/internal/bundle/dump.go
+++ b/internal/bundle/dump.go
@@ -6,29 +6,38 @@
 	"time"
 )
 
-// DumpDuty is the key of the store in a daemon's dump.
+// DumpDuty is the key of the store's state, a StoreDump, in the JSON object of a daemon's dump.
 const DumpDuty = "bundle"
 
 // StoreDump is the state of a store in an operators' dump.
 type StoreDump struct {
 	// Version is the version of the bundle in force, or 0 if there is none.
-	Version  uint64        `json:"version"`
-	Digest   string        `json:"digest,omitempty"`
-	Parent   string        `json:"parent,omitempty"`
-	Signers  []string      `json:"signers,omitempty"`
-	Since    *time.Time    `json:"since,omitempty"`
+	Version uint64 `json:"version"`
+	// Digest is the digest of the bundle in force.
+	Digest string `json:"digest,omitempty"`
+	// Parent is the digest of the parent that its manifest names, empty if it names none.
+	Parent string `json:"parent,omitempty"`
+	// Signers lists the key ids of all its signatures. They are not checked here: reviewers may be
+	// untrusted and signatures invalid.
+	Signers []string `json:"signers,omitempty"`
+	// Since is when this store put it in force.
+	Since *time.Time `json:"since,omitempty"`
+	// Bytes is the length of its text.
 	Bytes    int           `json:"text_bytes"`
 	Races    []RaceDump    `json:"races,omitempty"`
 	Refusals []RefusalDump `json:"refusals,omitempty"`
 }
 
-// RaceDump lists the digests of different verified bundles that share one version.
+// RaceDump lists the digests of different bundles that share one version and whose manifests the store
+// accepted. A follower store accepts manifests without verifying their signatures. Texts are not checked.
+// The list is limited: a store keeps the highest historyVersions versions and the first historyDigests
+// digests of each.
 type RaceDump struct {
 	Version uint64   `json:"version"`
 	Digests []string `json:"digests"`
 }
 
-// RefusalDump is the newest refusal for one reason.
+// RefusalDump is the JSON form of a Refusal, the newest one for its reason.
 type RefusalDump struct {
 	Reason  RefusalReason `json:"reason"`
 	Version uint64        `json:"version"`
@@ -37,8 +46,7 @@
 	At      time.Time     `json:"at"`
 }
 
-// Dump implements operator.Dumper. It returns a StoreDump. Signers lists all key ids in the manifest,
-// including those of reviewers who are not trusted.
+// Dump implements operator.Dumper. It returns a StoreDump.
 func (s *Store) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/bundle/errors.go
+++ b/internal/bundle/errors.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// ParseError reports why a bundle's text is refused.
+// ParseError reports why a bundle's text is refused: it is too long, can't be decoded or breaks a rule.
+// Store.Apply and Open wrap it in a *RefusedError.
 type ParseError struct {
 	// Line counts from 1. It is 0 if the error has no line.
 	Line int
@@ -43,20 +44,22 @@
 	RefusedSignatures RefusalReason = "signatures"
 	// RefusedSections is a text whose sections differ from those in the manifest.
 	RefusedSections RefusalReason = "sections"
-	// RefusedSyntax is a text that can't be parsed.
+	// RefusedSyntax is a text that is too long or can't be decoded.
 	RefusedSyntax RefusalReason = "syntax"
 	// RefusedUnworkable is a text that can be decoded but whose values break a rule.
 	RefusedUnworkable RefusalReason = "unworkable"
 	// RefusedOlder is a bundle of a lower version than the one in force.
 	RefusedOlder RefusalReason = "older"
-	// RefusedRace is a bundle that shares its version with the one in force and has the lower digest.
+	// RefusedRace is a bundle that lost a race: two bundles were published with the same version, and
+	// the other one, with the higher digest, is in force.
 	RefusedRace RefusalReason = "race_lost"
 )
 
 // RefusedError reports why a bundle was not applied. The bundle in force is unchanged.
 type RefusedError struct {
 	Reason RefusalReason
-	// Version and Digest identify the refused bundle. Each is zero if it could not be read.
+	// Version and Digest identify the refused bundle. Digest is always set. Version is 0 if the manifest
+	// was not decoded, as when its signatures are refused.
 	Version uint64
 	Digest  Digest
 	cause   error
@@ -70,6 +73,8 @@
 // Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.cause }
 
+// refuse returns an error without Version and Digest. Its callers set Digest, and Version where it is
+// known.
 func refuse(reason RefusalReason, format string, args ...any) *RefusedError {
 	return &RefusedError{Reason: reason, cause: fmt.Errorf(format, args...)}
 }
--- a/internal/bundle/model.go
+++ b/internal/bundle/model.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Digest is the SHA-256 of a manifest's encoded bytes, or of a section.
+// Digest is the SHA-256 of a manifest's encoded bytes, of a section, or of a caller's token.
 type Digest [32]byte
 
 // Bundle is a checked bundle. It is immutable and shared by pointer within a process.
@@ -36,8 +36,8 @@
 	TokenSHA256 Digest
 	// Services lists the names of the services that the caller may use.
 	Services []string
-	// Rate is the caller's rate limit at one entry process, in requests per second. 0 means no limit of
-	// its own.
+	// Rate is the caller's rate limit in requests per second. Each entry process applies it separately.
+	// 0 means that the caller has no rate limit.
 	Rate float64
 	// Burst is the size of the token bucket of the rate limit, in requests.
 	Burst int
@@ -54,19 +54,21 @@
 	ModeOrder  Mode = "order"
 )
 
-// Partial is the policy of a kind of search for late shards.
+// Partial determines what a kind of search does about late shards.
 type Partial string
 
 // The policies for partial answers.
 const (
 	// PartialLatency answers before the deadline without the late shards, once EarlyCoverage is
-	// reached and the stragglers, which are hedged, have not answered within EarlyAfter.
+	// reached and the stragglers have not answered within EarlyAfter. Stragglers are hedged only where
+	// the hedge budget allows it and a replica is left that has not been tried.
 	PartialLatency Partial = "latency"
 	// PartialCoverage waits for every shard until the deadline.
 	PartialCoverage Partial = "coverage"
 )
 
-// Kind is one kind of request of a service, with its policy.
+// Kind is one kind of request of a service, with its policy. A kind of order has only Name, Mode,
+// Weight and Timeout; the other fields are zero.
 type Kind struct {
 	Name string
 	Mode Mode
@@ -82,21 +84,23 @@
 	MinCoverage float64
 	// EarlyCoverage is the share of documents from which PartialLatency may answer early.
 	EarlyCoverage float64
-	// EarlyAfter is how long PartialLatency waits for stragglers before it answers early, as a
-	// multiple of the service's typical time of the slowest shard.
+	// EarlyAfter is the time from the start of the search (or of its rerun at another snapshot) until
+	// PartialLatency may answer early, as a multiple of the time in which the slowest shard of the
+	// service typically answers.
 	EarlyAfter float64
-	// HedgeBudget is the share of extra calls allowed for hedges, 0 to 0.05.
+	// HedgeBudget is the number of hedges allowed, 0 to 0.05, as a share of a process's calls to the
+	// service other than hedges and retries.
 	HedgeBudget float64
-	// RetryBudget is the share of extra calls allowed for retries, 0 to 0.10.
+	// RetryBudget is the number of retries allowed, 0 to 0.10, as a share of the same calls.
 	RetryBudget float64
 }
 
-// Service is one searchable service of an operator.
+// Service is one service of an operator. It takes searches, orders or both.
 type Service struct {
 	Name   string
 	Kinds  map[string]*Kind
 	Leaves map[string]*Leaf
-	// Snapshots are the index versions with their shard maps, newest first.
+	// Snapshots holds the versions of the index, newest first.
 	Snapshots []*Snapshot
 }
 
@@ -112,7 +116,7 @@
 	Connections int
 }
 
-// Snapshot is one version of the index and the map of its shards.
+// Snapshot is one version of the index, with its shards and the leaves that hold them.
 type Snapshot struct {
 	Version uint64
 	Shards  []Shard
--- a/internal/bundle/store_test.go
+++ b/internal/bundle/store_test.go
@@ -13,12 +13,13 @@
 	"pgregory.net/rapid"
 )
 
-// higher reports whether a is higher than b in the order of bundles.
+// higher reports whether a store prefers a to b: the higher version or, with equal versions, the higher
+// digest.
 func higher(a, b candidate) bool {
 	return a.version > b.version || a.version == b.version && bytes.Compare(a.digest[:], b.digest[:]) > 0
 }
 
-// candidatePool is a set of bundles to offer. Those whose digest is in bad must never be applied.
+// candidatePool is a set of bundles to apply. A store must refuse those whose digest maps to true in bad.
 type candidatePool struct {
 	candidates []candidate
 	bad        map[Digest]bool
@@ -39,11 +40,11 @@
 			c = signedCandidate(version, Digest{}, textVariant(version, mark), reviewer(9))
 		case "unworkable":
 			c = signedCandidate(version, Digest{}, unworkableText(version), reviewer(1))
-		case "text":
+		case "text": // altered after it was signed
 			c = signedCandidate(version, Digest{}, textVariant(version, mark), reviewer(1))
 			c.text = append([]byte(nil), c.text...)
 			c.text[len(c.text)-2] ^= 1
-		case "version":
+		case "version": // the text's differs from the manifest's
 			c = signedCandidate(version, Digest{}, textVariant(version+1, mark), reviewer(1))
 		}
 		p.bad[c.digest] = fault != "none"
@@ -77,7 +78,7 @@
 	})
 }
 
-// applyAll applies the bundles in order and checks after each that the highest valid one is in force.
+// applyAll applies the bundles in sequence and checks after each that the highest valid one is in force.
 func applyAll(t *rapid.T, s *Store, p candidatePool, sequence []candidate) {
 	var best candidate
 	for _, c := range sequence {
@@ -113,12 +114,12 @@
 	b := s.Current()
 	if best.version == 0 {
 		if b != nil || s.Manifest() != nil || s.Text() != nil {
-			t.Fatal("a refused bundle is in force")
+			t.Fatal("a bundle, manifest or text is in force although none was valid")
 		}
 		return
 	}
 	if b == nil || b.Digest != best.digest || b.Version != best.version {
-		t.Fatalf("in force is not version %d, %s", best.version, best.digest)
+		t.Fatalf("wrong bundle in force, want version %d with digest %s", best.version, best.digest)
 	}
 	if ManifestDigest(s.Manifest().GetManifest()) != best.digest || !bytes.Equal(s.Text(), best.text) {
 		t.Fatal("manifest or text are not those of the bundle in force")
@@ -141,7 +142,7 @@
 		reason RefusalReason
 	}{
 		{"one signature of two", signedCandidate(5, Digest{}, textVariant(5, 0), reviewer(1)), RefusedSignatures},
-		{"no manifest", empty, RefusedSignatures},
+		{"no manifest", empty, RefusedSignatures}, // signatures are checked before the manifest is decoded
 		{"no version", signedCandidate(0, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
 		{"text of another version", signedCandidate(6, Digest{}, textVariant(5, 0), reviewer(1), reviewer(2)), RefusedManifest},
 		{"text of another bundle", otherText, RefusedSections},
@@ -188,6 +189,7 @@
 	is.Equal(s.Dump().(StoreDump).Races[0].Version, uint64(2))
 	is.Equal(len(s.Dump().(StoreDump).Races[0].Digests), 2)
 
+	// The parent of wrongParent is not the bundle in force.
 	wrongParent := signedCandidate(3, a.digest, textVariant(3, 0), reviewer(1))
 	is.NoErr(s.Apply(wrongParent.signed, wrongParent.text)) // applied, since stores must converge even if they missed the parent
 	is.Equal(testutil.ToFloat64(s.metrics.parentMismatches), 1.0)
