--- a/internal/standin/platform/reads.go
+++ b/internal/standin/platform/reads.go
@@ -12,6 +12,7 @@
 type readKind int
 
 const (
+	// kindKey is a read of any key that is not part of the bundle.
 	kindKey readKind = iota
 	kindManifest
 	kindSection
@@ -40,16 +41,17 @@
 	return &readCounter{reads: Reads{BySource: make(map[string]uint64)}}
 }
 
-// countRead counts one read.
+// countRead counts one read, by its kind and the client's IP address. Malformed reads are counted, too. watch is true
+// if the read is well-formed and asks to wait for a change.
 func (c *readCounter) countRead(kind readKind, r *http.Request, watch bool) {
-	source, _, err := net.SplitHostPort(r.RemoteAddr)
+	clientIP, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
-		source = r.RemoteAddr
+		clientIP = r.RemoteAddr
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads.Total++
-	c.reads.BySource[source]++
+	c.reads.BySource[clientIP]++
 	if watch {
 		c.reads.Watches++
 	}
