--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -221,7 +221,7 @@
 
 // checkUnanswered reports requests that reached a leaf but got no answer. Two cases are allowed: the VM was killed
 // during the call, or the VM was frozen and so could not answer before the caller gave up. A graceful shutdown is not
-// an excuse. Requests that were not sent completely are ignored. Requests that were not sent completely are ignored.
+// an excuse. Requests that were not sent completely are ignored.
 func checkUnanswered(h *History, x *index) []string {
 	return checkCalls(h, func(c *Call) string {
 		switch {
